--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -252,7 +252,12 @@
 
 
 def say(made, path, text, first=lambda: None):
-    """Writes into the pipe once the program reads it; `first` is done before a byte has gone."""
+    """Write `text` to the named pipe at `path` as soon as the program has opened the pipe for reading.
+
+    `first` is called between that moment and the write. Each text has a pipe of its own: before the write, a
+    new pipe replaces the opened one at `path`. The program can open the new pipe only for its next reading,
+    so the next call waits until this reading has ended, and no reading can contain two texts.
+    """
     end = time.monotonic() + 20
     while True:
         try:
@@ -261,6 +266,9 @@
         except OSError:  # nobody reads yet
             assert made.process.poll() is None and time.monotonic() < end, made.log.read_text()
             time.sleep(0.002)
+    fresh = path.with_suffix(".next")
+    os.mkfifo(fresh)
+    fresh.replace(path)
     first()
     os.write(pipe, text.encode())
     os.close(pipe)
