--- a/olivecourse/choice.py
+++ b/olivecourse/choice.py
@@ -1,6 +1,8 @@
-"""Every decision of the request router. Types, events and actions: olivecourse/interface.py.
+"""Every decision of the request router; olivecourse/interface.py defines its settings, events and actions.
 
-NetKV's hashed names decide the ordinary path, guards keep the rules, trust and limits meet what fails.
+The normal path follows NetKV: popular objects get several hashed names on a consistent-hash ring. Guards
+enforce the rules for effects, drains and cold starts. Error scores, concurrency limits and fill shares adapt
+to failures and overload. Comments marked "Departure:" give the reasons where the code differs from the paper.
 """
 
 from __future__ import annotations
@@ -12,594 +14,855 @@
 
 from olivecourse import interface as w
 from olivecourse.purge_table import PurgeTable
-from olivecourse.reports import Reports
-from olivecourse.ring import Ring, rendezvous, steps
+from olivecourse.reports import LoadReports
+from olivecourse.ring import Ring, rendezvous_order, ring_distance
 from olivecourse.sizes import Sizes
 from olivecourse.sketch import HyperLogLog, LossyCounter, max_balls
-from olivecourse.state import Held, Node
+from olivecourse.state import Node, PendingRequest
 
 MS = 1_000_000
-# The mechanism of NetKV.
-INTERVAL_NS = 5_000 * MS  # counting interval: long enough for some hundred requests, short against a rush
-COUNT_ERROR = 0.002  # Lossy Counter error; small enough that no object worth a second name is pruned
-SUPPORT = 0.01  # share of an interval's load that makes an object a candidate; well above the error
-HLL_BITS = 10  # about 3 % error on the number of distinct objects
-ALPHA = 1.0  # spread factor of the second MaxBalls form: the proven constant
-FEW = 16  # up to so many caches MaxBalls takes its second form; the first holds for large n only
-BOUND = 2.0  # peak over average: the aims allow a busy link about this much sharing
-NAME_WORTH = 4.0  # mean requests in an interval that an extra name must serve to be worth its fill
-T_STEP = 0.85  # ratio between neighbouring trial values of T
-POINTS = 64  # ring points of a cache of mean weight: shares within some 12 %
-# Health.
-GAIN, FAIL_GAIN, BROKEN_GAIN = 0.1, 0.3, 0.6  # weight of an answer, a failure, no connection
-DEAD = 0.8  # pain above which a cache is passed by, where requests may go straight to a parent
-PAIN_HALF_NS = 4_000 * MS  # unheard-of nodes are forgiven by half in this time, so trials return by and by
-SLACK, STEEP = 0.4, 3.0  # pain above the best peer's taken for chance; trust lost per pain beyond it
-TRIAL = 0.02  # trust of the worst node: a trickle that notices its return
-UP = 0.5  # trust above which a source counts as up
-TICK_NS = 100 * MS  # watch period; a small part of any aim
+
+# Parameters of the NetKV mechanism.
+
+# Counting interval: long enough for some hundred requests, short compared with a rush of requests.
+INTERVAL_NS = 5_000 * MS
+# Relative error of the Lossy Counter, small enough that no object that deserves a second name is pruned.
+COUNT_ERROR = 0.002
+# Share of an interval's load that makes an object a candidate for several names, well above COUNT_ERROR.
+SUPPORT = 0.01
+HLL_BITS = 10  # gives about 3 % error on the number of distinct objects
+ALPHA = 1.0  # spread factor in the second form of MaxBalls: the constant proven in the paper
+# MaxBalls uses its second form for up to this many caches, because the first form holds for large n only.
+FEW_CACHES = 16
+# Highest accepted ratio of peak to mean load: the latency targets tolerate about this much link sharing.
+BOUND = 2.0
+# Mean number of requests in an interval that an additional name must serve to be worth its fill.
+NAME_WORTH = 4.0
+THRESHOLD_STEP = 0.85  # ratio between successive trial values of the threshold T
+POINTS_PER_CACHE = 64  # ring points of a cache of mean weight; key shares then differ by about 12 %
+
+# Health of caches and sources. An error score runs from 0 (healthy) to 1 (failing).
+
+# Weight in the error score of an answer, of a failed attempt and of a failed connection.
+ANSWER_WEIGHT, FAILURE_WEIGHT, CONNECT_FAILURE_WEIGHT = 0.1, 0.3, 0.6
+# Above this error score a node counts as failing. Where a request may bypass the caches, a cache above it is
+# skipped and the request goes straight to a parent or origin.
+FAILED_SCORE = 0.8
+# The error score of a node that sends no answers halves in this time, so that the node gradually gets trial
+# traffic.
+SCORE_HALF_LIFE_NS = 4_000 * MS
+# SLACK: excess of a node's error score over its best peer's that is attributed to chance.
+# STEEP: trust lost per unit of excess beyond SLACK.
+SLACK, STEEP = 0.4, 3.0
+MIN_TRUST = 0.02  # trust of the worst node: enough trial traffic to notice its recovery
+UP_THRESHOLD = 0.5  # a source whose trust is above this counts as up
+TICK_NS = 100 * MS  # period of the health check; short compared with any latency target
+
 # Attempts.
-LEARN = 0.02  # weight of one request in the learned mean sending times and worths
-RETRY_SHARE, RETRY_BURST = 0.3, 20.0  # further attempts a request earns; how many may be saved up
-FASTER = 0.5  # part of the other's wait that makes a parent the faster one beyond the noise of few misses
-OLD_FLEET, FLEET_FOR = 4, 10  # the routers that steps for a source of all were tuned with; and the most
-SPEAKS_FOR = 6  # most others' events that one own event stands for: routers of a place meet the same troubles
-COLD_SAFETY = 0.5  # part of the cold budget that is spent; weights are rough and traffic comes in bursts
-LATE_CUT, FULL_CUT = 0.93, 0.9  # a late answer and a refusal shrink the cache's limit on what is out
-SPILL = 0.5  # a cache takes what others have no room for up to this part of its limit: misses cost the link
-FIRST_LIMIT, LEAST_LIMIT = 2.5, 2.0  # times the weight, as aims allow a shared link; enough to recover
-UNTOLD = 6.0, 20.0  # where weights tell nothing, start at what small caches bear, and hub caches and origins
-RICH, POOREST, RICHEST = 0.5, 0.65, 1.25  # limits stretch by worth for sending time: its power, the bounds
-ASK_AGAIN_NS = 1_000 * MS  # between calls for the list after a failed one: discovery is easily crowded
-REPEAT_ROOM = 0.5  # part of the room that a client's repeat may use: it is likely late already
-MOST_ERRORS = 3  # plain errors, one after the other, that tell of a bad request rather than of bad caches
-QUICK_NS = 5 * MS  # a cache of the own zone refuses by itself within this; any source is further off
-FILL_CUT, FILL_STEP = 0.95, 0.01  # settles where a sixth of the fills are late
-QUIET_NS, QUIET_GAIN = 1_000 * MS, 1.04  # no fill late for so long, the share grows by so much a tick
-# Lost answers. One shows when a deadline passes over an attempt whose cache answered others meanwhile: it
-# grants so many early repeats. One that is answered in time grants another; calm days know none.
-LOST_GRANT, MOST_LOST = 10.0, 40.0
-SURE, CALL, CALL_NS = 1.3, 1.25, 15 * MS  # times the usual before it seems lost; what a repeat in time takes
-LEAST_FILLS, MOST_FILLS = 0.1, 1.5  # room above one: a few late fills on a calm day refuse nothing
-
-
-def choose_t(counts: list[float], total: float, distinct: float, n: int, bound: float, least: float) -> float:
-    """The largest threshold whose peak estimate keeps the bound over average, else the lowest-peak one."""
-    if max(counts, default=0.0) <= 0.0 or n < 1:
+
+LEARNING_RATE = 0.02  # weight of one request in the learned mean sending times and mean worth density
+# Retries that each request adds to the retry budget, and the most retries the budget can hold.
+RETRIES_PER_REQUEST, MAX_SAVED_RETRIES = 0.3, 20.0
+# A parent counts as faster when its mean fill wait is below this share of the other parent's; a smaller
+# difference may be noise, as a router sees few misses.
+CLEARLY_FASTER = 0.5
+# REFERENCE_ROUTERS: number of routers for which the step sizes for the shared origin were tuned.
+# MAX_ORIGIN_SAMPLE_WEIGHT: highest weight of one event at a source that all routers share.
+REFERENCE_ROUTERS, MAX_ORIGIN_SAMPLE_WEIGHT = 4, 10
+# Highest number of events in the zone that one local event represents: the routers of a zone see the same
+# troubles, so one router's event tells about the others' events.
+MAX_SAMPLE_WEIGHT = 6
+# Share of the cold-start budget that is spent; weights are rough estimates and traffic is bursty.
+COLD_SAFETY = 0.5
+# A late answer and a refusal multiply the concurrency limit of the cache by these factors.
+LATE_LIMIT_FACTOR, REFUSED_LIMIT_FACTOR = 0.93, 0.9
+# A cache takes requests that spill over from full caches only up to this share of its limit, because the
+# resulting misses load the shared link.
+SPILLOVER_SHARE = 0.5
+# INITIAL_LIMIT: first concurrency limit per unit of weight, as the latency targets allow a shared link.
+# MIN_LIMIT: lowest limit, enough for the cache to recover.
+INITIAL_LIMIT, MIN_LIMIT = 2.5, 2.0
+# Where discovery gives no weights, limits start from these: the capacity of a small cache, and that of a
+# parent or origin.
+ASSUMED_WEIGHTS = 6.0, 20.0
+# Limits are scaled by a request's worth per sending time, relative to the mean, raised to VALUE_EXPONENT and
+# kept between the two bounds.
+VALUE_EXPONENT, MIN_VALUE_FACTOR, MAX_VALUE_FACTOR = 0.5, 0.65, 1.25
+# Delay between a failed call for the cache list and the next call; discovery is easily overloaded.
+RESUBSCRIBE_NS = 1_000 * MS
+# Share of a limit that a request repeated by the client may use: its answer is probably late already.
+REPEAT_SHARE = 0.5
+# This many plain server errors in succession indicate a bad request rather than bad caches.
+MAX_ERRORS = 3
+# A cache in the router's own zone sends its own refusals within this time; any fill source is further away.
+LOCAL_REFUSAL_NS = 5 * MS
+# Multiplier of the fill share after a late fill and increment after a timely one; the two balance when a
+# sixth of the fills are late.
+LATE_FILL_FACTOR, TIMELY_FILL_STEP = 0.95, 0.01
+# When no fill has been late for this delay, the fill share grows by this factor at each tick.
+FILL_RECOVERY_DELAY_NS, FILL_RECOVERY_FACTOR = 1_000 * MS, 1.04
+# A response counts as lost when the deadline passes for an attempt whose cache has answered other requests
+# since. Each lost response grants this many early repeats, and each early repeat that is answered in time
+# grants one more. While no response is lost, there are no early repeats.
+CREDIT_PER_LOST_RESPONSE, MAX_LOST_RESPONSE_CREDIT = 10.0, 40.0
+# LOST_AFTER_FACTOR: multiple of the expected time after which a response seems lost.
+# REPEAT_TIME_FACTOR, REPEAT_OVERHEAD_NS: a repeat takes this multiple of the sending time plus this overhead.
+LOST_AFTER_FACTOR, REPEAT_TIME_FACTOR, REPEAT_OVERHEAD_NS = 1.3, 1.25, 15 * MS
+# Bounds of a fill share. The range above 1 is a reserve: a few late fills in normal operation refuse nothing.
+MIN_FILL_SHARE, MOST_FILLS = 0.1, 1.5
+
+
+def choose_t(
+    counts: list[float],
+    total: float,
+    distinct: float,
+    cache_count: int,
+    max_ratio: float,
+    min_threshold: float,
+) -> float:
+    """Returns the largest threshold T whose estimated peak load is at most `max_ratio` times the mean.
+
+    If no trial value down to `min_threshold` meets the bound, the one with the lowest estimated peak is
+    returned. `counts` holds the load of each frequent object, `total` the load of all objects and `distinct`
+    the number of objects.
+    """
+    if max(counts, default=0.0) <= 0.0 or cache_count < 1:
         return math.inf
-    best, t = (math.inf, math.inf), max(counts)
-    while t >= least:
-        hot = [f for f in counts if f > t]
-        cold, cold_load = distinct - len(hot), max(total - sum(hot), 0.0)
-        peak = max_balls(sum(hot) / t, n, ALPHA, FEW) * t
-        peak += max_balls(cold, n, ALPHA, FEW) * cold_load / cold if cold >= 1 else cold_load
-        # Departure: the cold term knows only the mean; the largest cold object lands whole on one cache.
-        whole = max((f for f in counts if f <= t), default=0.0)
-        peak = max(peak, whole + (total - whole) / n)
-        if peak <= bound * total / n:
-            return t
-        best = min(best, (peak, t))
-        t *= T_STEP
+    best, threshold = (math.inf, math.inf), max(counts)
+    while threshold >= min_threshold:
+        hot_counts = [count for count in counts if count > threshold]
+        cold_count, cold_load = distinct - len(hot_counts), max(total - sum(hot_counts), 0.0)
+        peak = max_balls(sum(hot_counts) / threshold, cache_count, ALPHA, FEW_CACHES) * threshold
+        peak += (
+            max_balls(cold_count, cache_count, ALPHA, FEW_CACHES) * cold_load / cold_count
+            if cold_count >= 1
+            else cold_load
+        )
+        # Departure: the estimate for cold objects uses only their mean load, but the largest cold object goes
+        # to a single cache as a whole, so the peak is at least that cache's load.
+        largest_cold = max((count for count in counts if count <= threshold), default=0.0)
+        peak = max(peak, largest_cold + (total - largest_cold) / cache_count)
+        if peak <= max_ratio * total / cache_count:
+            return threshold
+        best = min(best, (peak, threshold))
+        threshold *= THRESHOLD_STEP
     return best[1]
 
 
 class Router:
-    """Decides for one gateway: `start()` once, then `handle(event, now)` for each event."""
+    """Makes all routing decisions for one gateway.
+
+    Call `start()` once, then `handle(event, now)` for each event.
+    """
 
     def __init__(self, settings: w.Settings, now: int) -> None:
         self.s, self.now = settings, now
         self.random = Random(settings.seed)
-        here = settings.zone_routers[settings.zone : settings.zone + 1]
-        self.seats = max(here[0] if here and here[0] else settings.routers, 1)  # routers of this zone
-        self.speaks = min(self.seats, SPEAKS_FOR)
-        self.fleet = min(max(self.speaks, settings.routers // OLD_FLEET), FLEET_FOR)  # same for the origin
-        self.acts: list[w.Action] = []
+        zone_routers_here = settings.zone_routers[settings.zone : settings.zone + 1]
+        self.routers_in_zone = max(
+            zone_routers_here[0] if zone_routers_here and zone_routers_here[0] else settings.routers, 1
+        )
+        # Weight of one local event at a source: in this zone, and at the origin that all routers share.
+        self.sample_weight = min(self.routers_in_zone, MAX_SAMPLE_WEIGHT)
+        self.origin_sample_weight = min(
+            max(self.sample_weight, settings.routers // REFERENCE_ROUTERS), MAX_ORIGIN_SAMPLE_WEIGHT
+        )
+        self.actions: list[w.Action] = []
         self.nodes, self.ring = dict[int, Node](), Ring()
         self.caches, self.parents, self.origins = list[Node](), list[Node](), list[Node]()
-        self.held: dict[str, Held] = {}
-        self.attempts: dict[tuple[str, int], tuple[int, Held, Node, Node | None]] = {}
-        self.timers, self.serial = dict[int, str](), 0
+        # Unanswered requests by request id; attempts by request id and attempt number, with their send time,
+        # request, cache and fill source; request ids by the token of their deadline timer.
+        self.held: dict[str, PendingRequest] = {}
+        self.attempts: dict[tuple[str, int], tuple[int, PendingRequest, Node, Node | None]] = {}
+        self.timers, self.last_token = dict[int, str](), 0
+        # Load counts of the current interval; frequent objects of the previous interval and the threshold T.
         self.counter, self.distinct = LossyCounter(COUNT_ERROR), HyperLogLog(HLL_BITS)
-        self.counts, self.t, self.ask_at = dict[str, float](), math.inf, math.inf
-        # Departure: part of a class's requests that may fill; the others take a hit or a refusal.
+        self.counts, self.t, self.next_subscribe_at = dict[str, float](), math.inf, math.inf
+        # Departure: only a share of each class's requests may cause a fill. The other requests are served
+        # only by a hit, or refused. A second share applies to fills with objects that a parent already holds,
+        # because such fills put no load on the origin.
         self.fills = [MOST_FILLS] * len(settings.classes)
-        self.near = list(self.fills)  # the same for fills with what a parent holds: the archive has no part
-        self.late_at = [now] * len(self.fills)  # when a fill was last late
-        self.streak: dict[tuple[int, bool], int] = {}  # timely fills since the last late one
+        self.near = list(self.fills)
+        self.late_at = [now] * len(self.fills)  # time of the last late fill, by class
+        self.streak: dict[tuple[int, bool], int] = {}  # timely fills since the last late fill
         self.retune_at = now + INTERVAL_NS
         self.purges = PurgeTable()
-        self.retries, self.held_back = RETRY_BURST, False
-        # Early repeats that lost answers have granted; attempts to be looked at, by their timers.
+        self.retry_budget, self.fills_restricted = MAX_SAVED_RETRIES, False
+        # Number of early repeats that lost responses have granted, and attempts to check for a lost response,
+        # by timer token.
         self.lost, self.looks = 0.0, dict[int, tuple[str, int]]()
-        # Learned mean sending times; the start is high, as the cold budget must not be underestimated.
+        # Learned mean sending time of each class, in ns. It starts at the latency target, which is high,
+        # because the cold-start budget must not be underestimated. Cold-start budgets use a second copy that
+        # is never restored from memory.
         self.size_ns = [float(c.aim_ns) for c in settings.classes]
-        self.price_ns = list(self.size_ns)  # the same for cold budgets, which no memory may stretch
-        self.recall: Callable[[Node], None] = lambda unused: None  # a memory's say on a node first told of
-        self.limits: w.Limits | None = None  # a guard's against storms
-        self.sizes, self.reports = Sizes(), Reports(settings.report_fields)
+        self.price_ns = list(self.size_ns)
+        # Hook for the memory component: restores the remembered state of a node that is new to this router.
+        self.recall: Callable[[Node], None] = lambda unused: None
+        self.limits: w.Limits | None = None  # limits of the storm guard, if one is set
+        # `density` is the mean worth of a request per ns of sending time.
+        self.sizes, self.reports = Sizes(), LoadReports(settings.report_fields)
         self.density = sum(c.worth / (c.aim_ns or 1) for c in settings.classes) / (len(settings.classes) or 1)
-        self.hears: dict[type, Callable[[Any], object]] = {
-            w.Request: self._request,
-            w.AttemptEnded: self._outcome,
-            w.TimerFired: self._timer,
-            w.CacheList: self._list,
-            w.Purged: self._purged,
+        self.handlers: dict[type, Callable[[Any], object]] = {
+            w.Request: self._on_request,
+            w.AttemptEnded: self._on_attempt_ended,
+            w.TimerFired: self._on_timer,
+            w.CacheList: self._on_cache_list,
+            w.Purged: self._on_purged,
             w.ClientLeft: lambda gone: self.held.pop(gone.request, None),
         }
 
     def start(self) -> list[w.Action]:
+        """Returns the first actions: the periodic timer and, if discovery must be asked, a subscription."""
         return [w.SetTimer(TICK_NS, 0), *([w.Subscribe(True)] if self.s.ask_discovery else ())]
 
     def handle(self, event: w.Event, now: int) -> list[w.Action]:
-        self.now, self.acts = now, []
-        self.hears.get(type(event), lambda unused: None)(event)
-        return self.acts
+        """Processes one event at time `now` (in ns) and returns the resulting actions."""
+        self.now, self.actions = now, []
+        self.handlers.get(type(event), lambda unused: None)(event)
+        return self.actions
 
     def avoided(self) -> set[int]:
-        """The nodes that get nothing, or a trickle, as they are not ready or fail."""
+        """Returns the ids of nodes that get only trial traffic or none, as they are failing or not ready."""
         return {c for c, n in self.nodes.items() if n.failing or n.member.state is not w.State.READY}
 
-    # The ordinary path -----------------------------------------------------------------------------
-
-    def _request(self, ask: w.Request) -> None:
-        cls, flags = self.s.classes[ask.cls], ask.flags
-        write = cls.write or bool(flags & w.Flag.WRITE)
-        self.density += LEARN * (cls.worth / self.size_ns[ask.cls] - self.density)
-        told = ask.size_kb and self.s.client_kb_per_s and ask.size_kb / self.s.client_kb_per_s * 1e9
-        if known := told or self.sizes.guess(ask.object or ""):
-            self._learn(ask.cls, known)
-        size = known or self.size_ns[ask.cls]
-        budget = cls.deadline_ns if ask.budget_ns is None else ask.budget_ns
-        # Departure: caches keep each part by itself, so each part is an object of its own on the ring.
+    # Choice of cache and source ---------------------------------------------------------------------
+
+    def _on_request(self, ask: w.Request) -> None:
+        """Registers a new request, sets its deadline timer, counts its object and sends the first attempt."""
+        request_class, flags = self.s.classes[ask.cls], ask.flags
+        write = request_class.write or bool(flags & w.Flag.WRITE)
+        self.density += LEARNING_RATE * (request_class.worth / self.size_ns[ask.cls] - self.density)
+        reported_time = ask.size_kb and self.s.client_kb_per_s and ask.size_kb / self.s.client_kb_per_s * 1e9
+        if known_time := reported_time or self.sizes.estimate(ask.object or ""):
+            self._learn_sending_time(ask.cls, known_time)
+        sending_time = known_time or self.size_ns[ask.cls]
+        budget_ns = request_class.deadline_ns if ask.budget_ns is None else ask.budget_ns
+        # Departure: a cache stores each part of an object separately, so each part is an object of its own on
+        # the ring.
         key = ask.object or ask.request
         key = f"{key}/{ask.part}" if ask.part else key
-        held = self.held[ask.request] = Held(ask, cls, self.now + budget, size, write, key, sized=bool(known))
-        rich = min(max((cls.worth / size / (self.density or 1.0)) ** RICH, POOREST), RICHEST)
-        held.rich = rich * REPEAT_ROOM if flags & w.Flag.REPEAT else rich
-        held.chance = self.random.random()  # once: a further attempt needs no second stroke of luck
-        self.serial += 1
-        self.timers[self.serial] = ask.request
-        # Fires just before the deadline, so that the answer is ours and not an overdue one.
-        self.acts.append(w.SetTimer(max(budget - self.s.tick_ns, 0), self.serial))
+        pending = self.held[ask.request] = PendingRequest(
+            ask, request_class, self.now + budget_ns, sending_time, write, key, size_known=bool(known_time)
+        )
+        limit_factor = min(
+            max(
+                (request_class.worth / sending_time / (self.density or 1.0)) ** VALUE_EXPONENT,
+                MIN_VALUE_FACTOR,
+            ),
+            MAX_VALUE_FACTOR,
+        )
+        pending.limit_factor = limit_factor * REPEAT_SHARE if flags & w.Flag.REPEAT else limit_factor
+        # The draw is made once per request, so that a retry does not have to pass the fill share again.
+        pending.fill_draw = self.random.random()
+        self.last_token += 1
+        self.timers[self.last_token] = ask.request
+        # The timer fires just before the deadline, so that the router's own answer arrives before the request
+        # is overdue.
+        self.actions.append(w.SetTimer(max(budget_ns - self.s.tick_ns, 0), self.last_token))
         if ask.object is not None and not write and not flags & w.Flag.REPEAT:
-            # Departure: where sizes are told, load is sending time, as a large object fills a link unseen.
-            self.counter.add(key, size if told else 1.0)
+            # Departure: where sizes are reported, load is measured in sending time, because the number of
+            # requests does not show that a large object fills a link.
+            self.counter.add(key, sending_time if reported_time else 1.0)
             self.distinct.add(key)
-        self.retries = min(self.retries + RETRY_SHARE, RETRY_BURST)
-        fit = self.limits is None or self.limits.admit(ask, size, float(budget), len(self.held) - 1)
-        (self._send if fit else self._give_up)(held)
+        self.retry_budget = min(self.retry_budget + RETRIES_PER_REQUEST, MAX_SAVED_RETRIES)
+        admitted = self.limits is None or self.limits.admit(
+            ask, sending_time, float(budget_ns), len(self.held) - 1
+        )
+        (self._send if admitted else self._give_up)(pending)
 
-    def _learn(self, cls: int, size: float) -> None:
-        for means in (self.size_ns, self.price_ns):
-            means[cls] += LEARN * (size - means[cls])
+    def _learn_sending_time(self, class_index: int, sending_time: float) -> None:
+        """Updates the mean sending times of a class with one request's sending time in ns."""
+        for mean_times in (self.size_ns, self.price_ns):
+            mean_times[class_index] += LEARNING_RATE * (sending_time - mean_times[class_index])
 
     def _retune(self) -> None:
-        pairs = self.counter.frequent(SUPPORT)
-        self.counts = dict(pairs)
-        known, total = max(self.distinct.count(), len(pairs)), self.counter.total
+        """Ends a counting interval: chooses T for its frequent objects and restarts the counters."""
+        frequent_counts = self.counter.frequent(SUPPORT)
+        self.counts = dict(frequent_counts)
+        distinct_count, total_load = max(self.distinct.count(), len(frequent_counts)), self.counter.total
         self.t = choose_t(
             list(self.counts.values()),
-            total,
-            known,
+            total_load,
+            distinct_count,
             len(self.caches),
             BOUND,
-            NAME_WORTH * total / max(self.counter.arrivals, 1),
+            NAME_WORTH * total_load / max(self.counter.arrivals, 1),
         )
         self.counter, self.distinct = LossyCounter(COUNT_ERROR), HyperLogLog(HLL_BITS)
         self.retune_at = self.now + INTERVAL_NS
 
     def _names(self, key: str) -> int:
-        """Departure: a count that passes T inside the interval acts at once, as popularity can jump."""
-        f = max(self.counts.get(key, 0.0), self.counter.count(key))
-        return math.ceil(f / self.t) if f > self.t else 1
-
-    def _pick_cache(self, held: Held) -> Node | None:
-        """The first fit cache on the ring from one of the object's names, picked evenly. Departure: one at
-        its limit of unanswered attempts is passed over, as more would be late; if all are, refuse early."""
-        spare, away = list[Node](), False
-        for node in self.ring.walk(f"{held.key}#{self.random.randrange(self._names(held.key))}"):
-            if not self._may_send(node, held) or self.s.direct and self._pain(node) > DEAD:
+        """Returns how many names an object has on the ring: its load divided by T, at least one.
+
+        Departure: a count that exceeds T within the current interval takes effect at once, because popularity
+        can rise suddenly.
+        """
+        count = max(self.counts.get(key, 0.0), self.counter.count(key))
+        return math.ceil(count / self.t) if count > self.t else 1
+
+    def _pick_cache(self, pending: PendingRequest) -> Node | None:
+        """Returns the first suitable cache on the ring from the position of a random name of the object.
+
+        Departure: a cache at its limit of unanswered attempts is skipped, because a further attempt would be
+        late. If all caches are at their limits, the request is refused early.
+        """
+        fallbacks, past_first = list[Node](), False
+        for node in self.ring.walk(f"{pending.key}#{self.random.randrange(self._names(pending.key))}"):
+            if not self._may_send(node, pending) or self.s.direct and self._pain(node) > FAILED_SCORE:
                 continue
-            limit = max(node.limit, node.bears) * (SPILL if away else 1.0)
-            room, away = max(limit * held.rich, min(limit, 1.0)), True  # an idle one takes whatever comes
-            if not self._has_room(node, room):
+            limit = max(node.limit, node.bears) * (SPILLOVER_SHARE if past_first else 1.0)
+            # An idle cache with a limit of at least one always accepts an attempt.
+            allowed, past_first = max(limit * pending.limit_factor, min(limit, 1.0)), True
+            if not self._admits_attempt(node, allowed):
                 continue
             if (
-                not held.write
-                and node.member.cache not in held.tried
+                not pending.write
+                and node.member.cache not in pending.tried_caches
                 and self.random.random() < self._trust(node, self.caches)
             ):
                 return node
-            spare.append(node)
-        held.crowded = away
-        # A write is kept nowhere and may have but one attempt: no trials, the least pain, then ring order.
+            fallbacks.append(node)
+        pending.caches_full = past_first
+        # Fallback order: caches tried least often, then lowest error score, then ring order. A write is not
+        # cached and may have only one attempt, so it is never trial traffic; its error scores are rounded so
+        # that ring order decides between similar caches.
         return min(
-            spare,
+            fallbacks,
             default=None,
-            key=lambda n: (held.tried.count(n.member.cache), round(self._pain(n), 1 if held.write else 9)),
+            key=lambda candidate: (
+                pending.tried_caches.count(candidate.member.cache),
+                round(self._pain(candidate), 1 if pending.write else 9),
+            ),
         )
 
-    def _has_room(self, node: Node, room: float) -> bool:
-        """Part of an attempt is a chance, so that limits below one add up over many routers."""
-        return len(node.out) + self.random.random() <= room
-
-    def _pick_source(self, held: Held, straight: bool = False) -> Node | None:
-        """The faster of the object's first two parents, the next one up, or the origin."""
-        may = self._may_send if straight else self._may_use
-        if held.write:
-            return next((n for n in [*self.origins, *self.parents] if may(n, held)), None)
-        # Departure: the hash follows weights, as small parents filled up first.
-        order = rendezvous(held.key, [(n, n.member.weight or 1.0) for n in self.parents])
-
-        def up(node: Node) -> bool:
-            return node not in held.bad and may(node, held) and self._trust(node, self.parents) > UP
-
-        first = [n for n in order[:2] if up(n)]
-        if first:
-            # Departure: unless one is clearly faster all take the same; a wait is one router's few misses.
-            first.sort(key=lambda n: steps(self.s.zone_hub, n.member.zone, self.s.zone))
-            quicker = (first[-1].wait or math.inf) < FASTER * (first[0].wait or 0.0)
-            return first[-1 if quicker else 0]
-        return next((n for n in [*filter(up, order[2:]), *self.origins, *order] if may(n, held)), None)
-
-    # Sending, and the guards that every attempt passes ----------------------------------------------
-
-    def _send(self, held: Held) -> None:
-        """One more attempt, or the final answer."""
+    def _admits_attempt(self, node: Node, allowed: float) -> bool:
+        """Returns whether the node has room for one more attempt, at random for a fractional limit.
+
+        With a random decision, limits below one add up correctly over many routers.
+        """
+        return len(node.in_flight) + self.random.random() <= allowed
+
+    def _pick_source(self, pending: PendingRequest, as_target: bool = False) -> Node | None:
+        """Returns the source for a fill: one of the object's first two parents, another parent or the origin.
+
+        With `as_target`, the result receives the request itself, without a cache in between, so it must pass
+        the checks of an attempt.
+        """
+        permitted = self._may_send if as_target else self._may_use
+        if pending.write:
+            return next((n for n in [*self.origins, *self.parents] if permitted(n, pending)), None)
+        # Departure: the hash order respects the parents' weights, because with equal shares small parents
+        # overloaded first.
+        order = rendezvous_order(pending.key, [(n, n.member.weight or 1.0) for n in self.parents])
+
+        def is_up(node: Node) -> bool:
+            """Returns whether a parent is usable, has not failed for this request and is trusted enough."""
+            return (
+                node not in pending.failed_sources
+                and permitted(node, pending)
+                and self._trust(node, self.parents) > UP_THRESHOLD
+            )
+
+        preferred = [n for n in order[:2] if is_up(n)]
+        if preferred:
+            # Departure: all routers use the same parent, the nearer one, unless the other is clearly faster,
+            # because each router's mean fill wait rests on few misses.
+            preferred.sort(key=lambda n: ring_distance(self.s.zone_hub, n.member.zone, self.s.zone))
+            second_is_faster = (preferred[-1].wait or math.inf) < CLEARLY_FASTER * (preferred[0].wait or 0.0)
+            return preferred[-1 if second_is_faster else 0]
+        return next(
+            (n for n in [*filter(is_up, order[2:]), *self.origins, *order] if permitted(n, pending)), None
+        )
+
+    # Sending, and the checks that every attempt passes ----------------------------------------------
+
+    def _send(self, pending: PendingRequest) -> None:
+        """Sends one more attempt, or gives the final answer if no attempt is possible."""
         node = source = None
-        if held.sent < self.s.max_attempts and held.deadline - self.now > self.s.tick_ns:
-            if not (held.write and self.s.direct):
-                node = self._pick_cache(held)
-            chance, cls = min(held.chance / held.rich, 1.0), held.ask.cls
-            held.near = not held.write and chance >= self.fills[cls]
-            if node is not None and not (held.near and chance >= self.near[cls]):
-                source = self._pick_source(held)
-                if held.near and source not in self.parents:
-                    source = None  # the origin holds everything, and is what must be spared
-            elif node is None and self.s.direct:  # departure: what has no cache passes by where it may
-                node = self._pick_source(held, straight=True)
-                spill = SPILL**2 if held.crowded else 1.0
-                node = node if node is not None and self._has_room(node, node.limit * spill) else None
-                if node in self.parents:  # filled from the origin: naming itself would fill nothing
-                    source = next((n for n in self.origins if self._may_use(n, held)), None)
-        if node is None or (held.write and source is None and node not in self.origins):
-            self._give_up(held)
+        if pending.sent < self.s.max_attempts and pending.deadline - self.now > self.s.tick_ns:
+            if not (pending.write and self.s.direct):
+                node = self._pick_cache(pending)
+            draw, class_index = min(pending.fill_draw / pending.limit_factor, 1.0), pending.ask.cls
+            pending.near = not pending.write and draw >= self.fills[class_index]
+            if node is not None and not (pending.near and draw >= self.near[class_index]):
+                source = self._pick_source(pending)
+                if pending.near and source not in self.parents:
+                    # Only a fill with an object that a parent holds is allowed. The origin holds every
+                    # object, and it is the server that must be relieved.
+                    source = None
+            # Departure: a request without a usable cache bypasses the caches where the settings allow it.
+            elif node is None and self.s.direct:
+                node = self._pick_source(pending, as_target=True)
+                spillover = SPILLOVER_SHARE**2 if pending.caches_full else 1.0
+                node = (
+                    node if node is not None and self._admits_attempt(node, node.limit * spillover) else None
+                )
+                # The parent fills from the origin; naming the parent as its own source would fill nothing.
+                if node in self.parents:
+                    source = next((used for used in self.origins if self._may_use(used, pending)), None)
+        if node is None or (pending.write and source is None and node not in self.origins):
+            self._give_up(pending)
             return
-        left, key = held.deadline - self.now, (held.ask.request, held.sent)
-        held.sent += 1
-        held.tried.append(node.member.cache)
-        held.out[key[1]] = (node, source)
-        held.ran.append((self.now, node))
-        self.attempts[key] = (self.now, held, node, source)
-        self._look_later(key, held, source)
-        node.out[key] = self.now
-        for n in (node, source) if source is not node else (node,):
-            if n is not None:
-                n.credit -= self.price_ns[held.ask.cls]
-        if node in self.origins:  # it never lacks anything
-            self.acts.append(w.Look(key[0], node.member.cache, left))
+        remaining_ns, key = pending.deadline - self.now, (pending.ask.request, pending.sent)
+        pending.sent += 1
+        pending.tried_caches.append(node.member.cache)
+        pending.in_flight[key[1]] = (node, source)
+        pending.maybe_executed.append((self.now, node))
+        self.attempts[key] = (self.now, pending, node, source)
+        self._schedule_lost_check(key, pending, source)
+        node.in_flight[key] = self.now
+        for used in (node, source) if source is not node else (node,):
+            if used is not None:
+                used.credit -= self.price_ns[pending.ask.cls]
+        # The origin holds every object, so the request needs no fill source.
+        if node in self.origins:
+            self.actions.append(w.Look(key[0], node.member.cache, remaining_ns))
             return
-        age, fresh_fill = self._max_age(held)
-        how = w.How(0) if held.write or fresh_fill or not self.s.joins else w.How.JOIN
-        how |= w.How.RENEW if held.cls.fresh_ns and not held.write else 0
-        how |= w.How.HELD_ONLY if held.near and source is not None else 0
-        origin = (source or node).member.cache
-        self.acts.append(
-            w.ReadThrough(key[0], node.member.cache, left, origin, 0 if held.write else 1, age, how)
+        max_age, purge_bound = self._max_age(pending)
+        how = w.How(0) if pending.write or purge_bound or not self.s.joins else w.How.JOIN
+        how |= w.How.RENEW if pending.request_class.fresh_ns and not pending.write else 0
+        how |= w.How.HELD_ONLY if pending.near and source is not None else 0
+        fill_source = (source or node).member.cache
+        self.actions.append(
+            w.ReadThrough(
+                key[0], node.member.cache, remaining_ns, fill_source, 0 if pending.write else 1, max_age, how
+            )
         )
 
-    def _may_send(self, node: Node, held: Held) -> bool:
-        """The guard of effects, drains and cold starts that every attempt passes."""
-        if held.ran and held.cls.effect is not w.Effect.IDEMPOTENT:
-            if held.cls.effect is w.Effect.AT_MOST_ONCE:
+    def _may_send(self, node: Node, pending: PendingRequest) -> bool:
+        """Returns whether effect rules, drains and cold starts allow an attempt through this node."""
+        if pending.maybe_executed and pending.request_class.effect is not w.Effect.IDEMPOTENT:
+            if pending.request_class.effect is w.Effect.AT_MOST_ONCE:
                 return False
-            (sent, first), scope = held.ran[0], held.cls.key_scope
+            (sent_at, first), scope = pending.maybe_executed[0], pending.request_class.key_scope
             if (
-                self.now >= sent + held.cls.key_memory_ns - self.s.tick_ns
+                self.now >= sent_at + pending.request_class.key_memory_ns - self.s.tick_ns
                 or scope is w.Scope.ZONE
                 and first.member.zone != node.member.zone
                 or scope is w.Scope.CELL
                 and first.member.cell != node.member.cell
             ):
                 return False
-        return self._may_use(node, held)
+        return self._may_use(node, pending)
 
-    def _may_use(self, node: Node, held: Held) -> bool:
-        """The guard of drains and cold starts, which holds for the source of a fill too."""
+    def _may_use(self, node: Node, pending: PendingRequest) -> bool:
+        """Returns whether drains and cold starts allow this node as a cache or as a fill source."""
         if node.member.state is not w.State.READY or self.nodes.get(node.member.cache) is not node:
             return False
-        m, parent = node.member, node.member.kind == self.s.parent_kind
+        entry, parent = node.member, node.member.kind == self.s.parent_kind
         floor, ramp, multiple = (
             (self.s.parent_cold_from, self.s.parent_cold_ns, self.s.parent_fall_multiple)
             if parent
             else (self.s.cold_from, self.s.cold_ns, self.s.fall_multiple)
         )
-        age = max(self.now - (m.ready_at_ns or 0), 0)
-        if not m.ready_at_ns or m.kind == self.s.origin_kind or age >= ramp:
+        age = max(self.now - (entry.ready_at_ns or 0), 0)
+        if not entry.ready_at_ns or entry.kind == self.s.origin_kind or age >= ramp:
             return True
-        # Credit grows by this router's part of what the node surely bears, from a random start, buys a send
-        # when worth the largest, and lapses if unused for a window: a rush must not find that of all full.
-        weight = self.reports.least(m, self.caches) if self.s.weights == "silent" else m.weight or 1.0
-        rate = COLD_SAFETY * multiple * (floor + (1 - floor) * age / ramp) * weight / node.seats
+        # Credit pays for attempts at a cold node. It grows by this router's share of the node's safe
+        # capacity, starting from a random amount, and one attempt needs credit for the longest sending time.
+        # Credit that is unused for a window lapses, so that a rush of requests does not find every router
+        # with full credit.
+        weight = (
+            self.reports.min_capacity(entry, self.caches)
+            if self.s.weights == "silent"
+            else entry.weight or 1.0
+        )
+        rate = COLD_SAFETY * multiple * (floor + (1 - floor) * age / ramp) * weight / node.sharing_routers
         cycle = (largest := max(self.price_ns)) + rate * self.s.fall_ns
         node.credit = max(node.credit + rate * (self.now - node.credit_at), 0.0) % cycle
         node.credit_at = self.now
         return node.credit >= largest
 
-    def _max_age(self, held: Held) -> tuple[int, bool]:
-        """The oldest copy that will do, and whether a purge that has not settled bounds it."""
-        ages = [self.now - at for at in self.purges.find(held.ask.object, held.ask.group)]
-        return (max(min(*ages, held.cls.fresh_ns or ages[0]), 1), True) if ages else (0, False)
-
-    def _give_up(self, held: Held) -> None:
-        """The final answer, at once: a refusal where a new try is harmless, else a failure."""
-        self.acts += [w.Cancel(held.ask.request, attempt) for attempt in held.out if self.s.cancel]
-        if len(held.errors) < MOST_ERRORS:  # else no store can use it, and none is to blame
-            self._blame(held.errors)
+    def _max_age(self, pending: PendingRequest) -> tuple[int, bool]:
+        """Returns the maximum age of a usable copy in ns, 0 for no bound, and whether a purge sets it."""
+        ages = [self.now - at for at in self.purges.find(pending.ask.object, pending.ask.group)]
+        return (max(min(*ages, pending.request_class.fresh_ns or ages[0]), 1), True) if ages else (0, False)
+
+    def _give_up(self, pending: PendingRequest) -> None:
+        """Ends the request at once: refuses it if the client may safely retry, else fails it."""
+        self.actions += [
+            w.Cancel(pending.ask.request, attempt) for attempt in pending.in_flight if self.s.cancel
+        ]
+        # After MAX_ERRORS errors no store can use the request, and no node is charged with the errors.
+        if len(pending.uncharged_errors) < MAX_ERRORS:
+            self._attribute_failures(pending.uncharged_errors)
         harmless = (
-            held.cls.effect is w.Effect.IDEMPOTENT
-            or not held.ran
-            or held.cls.effect is w.Effect.DEDUPLICATED
-            and held.cls.key_scope is w.Scope.ALL
+            pending.request_class.effect is w.Effect.IDEMPOTENT
+            or not pending.maybe_executed
+            or pending.request_class.effect is w.Effect.DEDUPLICATED
+            and pending.request_class.key_scope is w.Scope.ALL
+        )
+        # The delay is the longest that clients respect: the latency target is already missed, and an early
+        # retry would only displace other requests.
+        retry_delay_ns = self.s.max_retry_after_ns if self.s.retry_after else 0
+        retry_delay_ns = (
+            retry_delay_ns if self.limits is None else self.limits.wait(pending.ask, retry_delay_ns)
+        )
+        self.actions.append(
+            w.Refuse(pending.ask.request, retry_delay_ns) if harmless else w.Fail(pending.ask.request)
         )
-        # As late as clients heed: the aim is gone by then, and an early repeat only crowds out others.
-        after = self.s.max_retry_after_ns if self.s.retry_after else 0
-        after = after if self.limits is None else self.limits.wait(held.ask, after)
-        self.acts.append(w.Refuse(held.ask.request, after) if harmless else w.Fail(held.ask.request))
-        del self.held[held.ask.request]
+        del self.held[pending.ask.request]
 
-    # What comes back --------------------------------------------------------------------------------
+    # Outcomes ---------------------------------------------------------------------------------------
 
-    def _outcome(self, end: w.AttemptEnded) -> None:
+    def _on_attempt_ended(self, end: w.AttemptEnded) -> None:
+        """Records how an attempt ended, then closes, retries or gives up its request."""
         key = (end.request, end.attempt)
         if key not in self.attempts:
             return
-        sent, held, node, source = self.attempts.pop(key)
-        node.out.pop(key, None)
-        self.reports.heard(node, end.report)
-        held.out.pop(end.attempt, None)
+        sent_at, pending, node, source = self.attempts.pop(key)
+        node.in_flight.pop(key, None)
+        self.reports.observe(node, end.report)
+        pending.in_flight.pop(end.attempt, None)
         if end.status.never_ran:
-            held.ran.remove((sent, node))
-        self._judge(end, held, node, source)
-        if self.held.get(end.request) is not held:
+            pending.maybe_executed.remove((sent_at, node))
+        self._record_outcome(end, pending, node, source)
+        if self.held.get(end.request) is not pending:
             return
         if end.closed:
             del self.held[end.request]
-        elif end.status is w.Status.MISS and source is None or self._lacks(end, held):
-            self._give_up(held)  # it was only to take a hit, or what a parent holds
-        elif len(held.errors) >= MOST_ERRORS:
-            self._give_up(held)
-        elif not held.out:
-            of_source = self._of_source(end, held, source)
-            if of_source:
-                held.bad.append(source)
-            # Where an answer was lost, its copy is: ask again.
-            if of_source or end.status is w.Status.RESET or held.again and end.status is w.Status.CANCELLED:
-                held.tried.remove(node.member.cache)
-            self.retries -= not end.status.never_ran  # what never ran cost nothing
-            again = self.retries >= 0 and (
+        elif end.status is w.Status.MISS and source is None or self._parent_lacks_object(end, pending):
+            # The attempt could only be served by a hit, or by a fill with an object that a parent holds.
+            self._give_up(pending)
+        elif len(pending.uncharged_errors) >= MAX_ERRORS:
+            self._give_up(pending)
+        elif not pending.in_flight:
+            source_failed = self._is_source_failure(end, pending, source)
+            if source_failed:
+                pending.failed_sources.append(source)
+            # The retry may use the same cache if only its source failed, or if its response was lost, because
+            # the cache then has the copy.
+            if (
+                source_failed
+                or end.status is w.Status.RESET
+                or pending.repeated_early
+                and end.status is w.Status.CANCELLED
+            ):
+                pending.tried_caches.remove(node.member.cache)
+            self.retry_budget -= not end.status.never_ran  # an attempt that never ran cost nothing
+            may_retry = self.retry_budget >= 0 and (
                 self.limits is None
                 or self.limits.again(
-                    held.ask, node.member.cache, None if source is None else source.member.cache
+                    pending.ask, node.member.cache, None if source is None else source.member.cache
                 )
             )
-            (self._send if again else self._give_up)(held)
-            self.retries = max(self.retries, 0.0)
-
-    def _judge(self, end: w.AttemptEnded, held: Held, node: Node, source: Node | None) -> None:
-        """Moves the pain of the cache and of its source by how the attempt ended."""
-        note, lag, busy = end.note, end.latency_ns or 0, len(node.out) + 1 >= node.limit / 2
-        if self._lacks(end, held):
+            (self._send if may_retry else self._give_up)(pending)
+            self.retry_budget = max(self.retry_budget, 0.0)
+
+    def _record_outcome(
+        self, end: w.AttemptEnded, pending: PendingRequest, node: Node, source: Node | None
+    ) -> None:
+        """Updates error scores, limits, fill shares and learned times from the outcome of an attempt."""
+        note, latency, busy = end.note, end.latency_ns or 0, len(node.in_flight) + 1 >= node.limit / 2
+        if self._parent_lacks_object(end, pending):
             return
-        # One whose answer was lost tells nothing of fills, and a dead source nothing of crowded ones.
-        if self._of_source(end, held, source) and (note is not w.Note.SOURCE_UNREACHED or lag > held.aim):
-            self._fill(held, False)
+        # An attempt whose response was lost says nothing about fills, and an unreachable source says nothing
+        # about overload.
+        if self._is_source_failure(end, pending, source) and (
+            note is not w.Note.SOURCE_UNREACHED or latency > pending.aim
+        ):
+            self._adapt_fill_share(pending, False)
         if end.status in (w.Status.CANCELLED, w.Status.NOT_SENT, w.Status.MISS):
             return
         if end.status is not w.Status.CONNECT_FAILED and end.status is not w.Status.TIMEOUT:
             node.heard = self.now
         if end.status is w.Status.SERVED:
-            aim, hurt = held.aim, min(1.0, lag / max(held.aim, 1))
-            # Hits need neither the link nor the source; what was overdue has been counted already.
-            if (note.filled or not note) and not held.overdue:
-                self._fill(held, lag <= aim, note is w.Note.FILLED and self.s.notes == "all")
-            if busy and not note.filled:  # else it was not load that decided
-                self._limit(node, LATE_CUT if lag > aim else None, bool(note))
-            if not (held.ask.size_kb or held.write or end.same or note is w.Note.JOINED):
-                self.sizes.saw(held.ask.object or "", lag - (end.source_wait_ns or 0))
-            self._blame(held.errors)  # it was not the request
-            if held.again and lag < held.aim:
-                self.lost = min(self.lost + 1.0, MOST_LOST)
-            self._hurt(node, hurt, GAIN)
+            aim, sample = pending.aim, min(1.0, latency / max(pending.aim, 1))
+            # A hit uses neither the link nor the source, and an overdue fill has already been counted as
+            # late.
+            if (note.filled or not note) and not pending.overdue:
+                self._adapt_fill_share(
+                    pending, latency <= aim, note is w.Note.FILLED and self.s.notes == "all"
+                )
+            # The latency of a fill does not depend on the load of the cache alone, so fills do not change its
+            # limit.
+            if busy and not note.filled:
+                self._adapt_limit(node, LATE_LIMIT_FACTOR if latency > aim else None, bool(note))
+            if not (pending.ask.size_kb or pending.write or end.same or note is w.Note.JOINED):
+                self.sizes.saw(pending.ask.object or "", latency - (end.source_wait_ns or 0))
+            # The request itself did not cause its earlier errors, as it was served now, so nodes are charged.
+            self._attribute_failures(pending.uncharged_errors)
+            if pending.repeated_early and latency < pending.aim:
+                self.lost = min(self.lost + 1.0, MAX_LOST_RESPONSE_CREDIT)
+            self._update_error_score(node, sample, ANSWER_WEIGHT)
             if source is not None and note not in (w.Note.HIT, w.Note.STALE):
-                self._hurt(source, hurt, GAIN)
-                miss = end.source_wait_ns or max(lag - held.size_ns, 0)
-                source.wait = miss if source.wait is None else source.wait + GAIN * (miss - source.wait)
+                self._update_error_score(source, sample, ANSWER_WEIGHT)
+                fill_wait = end.source_wait_ns or max(latency - pending.size_ns, 0)
+                source.wait = (
+                    fill_wait
+                    if source.wait is None
+                    else source.wait + ANSWER_WEIGHT * (fill_wait - source.wait)
+                )
             return
-        if end.status is w.Status.FULL and busy and lag <= QUICK_NS:
-            self._limit(node, FULL_CUT)
-        if self._of_source(end, held, source):
-            hurts = [(source or node, FAIL_GAIN)]
+        if end.status is w.Status.FULL and busy and latency <= LOCAL_REFUSAL_NS:
+            self._adapt_limit(node, REFUSED_LIMIT_FACTOR)
+        if self._is_source_failure(end, pending, source):
+            charges = [(source or node, FAILURE_WEIGHT)]
         elif end.status is w.Status.CONNECT_FAILED or source is None:
-            hurts = [(node, BROKEN_GAIN)]
-        else:  # the cache's fault, its source's, or one lost answer; of a death, connections will tell
-            hurts = [(node, FAIL_GAIN / 2), (source, FAIL_GAIN / 2)]
-        if end.status is w.Status.ERROR and not end.note and held.cls.effect is w.Effect.IDEMPOTENT:
-            held.errors.append(hurts)  # or the request's own: what comes of it elsewhere will tell
+            charges = [(node, CONNECT_FAILURE_WEIGHT)]
         else:
-            self._blame([hurts])
-
-    def _blame(self, errors: list[list[tuple[Node, float]]]) -> None:
-        for node, gain in [hurt for hurts in errors for hurt in hurts]:
-            self._hurt(node, 1.0, gain)
-
-    def _lacks(self, end: w.AttemptEnded, held: Held) -> bool:
-        """It was to be filled with what a parent holds, and that holds nothing."""
-        return held.near and (end.status is w.Status.MISS or end.note is w.Note.SOURCE_LACKS)
-
-    def _fill(self, held: Held, timely: bool, near: bool = False) -> None:
-        cls, near = held.ask.cls, near or held.near
-        shares, speaks = (self.near, self.speaks) if near else (self.fills, self.fleet)
-        # Steps grow while no fill is late: with few fills of its own a router would be long behind.
-        streak = self.streak[cls, near] = self.streak.get((cls, near), 0) + 1 if timely else 0
-        shares[cls] = (
-            min(shares[cls] + FILL_STEP * speaks * streak, MOST_FILLS)
+            # Either the cache or its source may be at fault, or a single response was lost. If a server is
+            # down, connection failures show it.
+            charges = [(node, FAILURE_WEIGHT / 2), (source, FAILURE_WEIGHT / 2)]
+        if (
+            end.status is w.Status.ERROR
+            and not end.note
+            and pending.request_class.effect is w.Effect.IDEMPOTENT
+        ):
+            # The request itself may cause the error; its outcome at other caches decides.
+            pending.uncharged_errors.append(charges)
+        else:
+            self._attribute_failures([charges])
+
+    def _attribute_failures(self, uncharged_errors: list[list[tuple[Node, float]]]) -> None:
+        """Charges recorded errors to the error scores of the nodes that may have caused them."""
+        for node, weight in [charge for charges in uncharged_errors for charge in charges]:
+            self._update_error_score(node, 1.0, weight)
+
+    def _parent_lacks_object(self, end: w.AttemptEnded, pending: PendingRequest) -> bool:
+        """Returns whether a fill that may use only a parent's own copy found that the parent has none."""
+        return pending.near and (end.status is w.Status.MISS or end.note is w.Note.SOURCE_LACKS)
+
+    def _adapt_fill_share(self, pending: PendingRequest, timely: bool, from_parent: bool = False) -> None:
+        """Raises the fill share of the request's class after a timely fill and lowers it after a late one."""
+        class_index, from_parent = pending.ask.cls, from_parent or pending.near
+        shares, sample_weight = (
+            (self.near, self.sample_weight) if from_parent else (self.fills, self.origin_sample_weight)
+        )
+        # The steps grow while no fill is late; otherwise a router with few fills would need a long time to
+        # recover.
+        streak = self.streak[class_index, from_parent] = (
+            self.streak.get((class_index, from_parent), 0) + 1 if timely else 0
+        )
+        shares[class_index] = (
+            min(shares[class_index] + TIMELY_FILL_STEP * sample_weight * streak, MOST_FILLS)
             if timely
-            else max(shares[cls] * FILL_CUT**speaks, LEAST_FILLS)
+            else max(shares[class_index] * LATE_FILL_FACTOR**sample_weight, MIN_FILL_SHARE)
         )
         if not timely:
-            self.late_at[cls] = self.now
+            self.late_at[class_index] = self.now
 
-    def _limit(self, node: Node, cut: float | None, sure: bool = True) -> None:
-        speaks = min(node.seats, SPEAKS_FOR) if sure else 1
+    def _adapt_limit(self, node: Node, factor: float | None, representative: bool = True) -> None:
+        """Multiplies a cache's concurrency limit by `factor`, or raises the limit if `factor` is None.
+
+        A `representative` outcome also stands for the other routers that share the node.
+        """
+        sample_weight = min(node.sharing_routers, MAX_SAMPLE_WEIGHT) if representative else 1
         node.limit = (
-            node.limit + 1 / (node.limit * node.seats)
-            if cut is None
-            else max(node.limit * cut**speaks, LEAST_LIMIT / node.seats)
+            node.limit + 1 / (node.limit * node.sharing_routers)
+            if factor is None
+            else max(node.limit * factor**sample_weight, MIN_LIMIT / node.sharing_routers)
         )
 
-    def _of_source(self, end: w.AttemptEnded, held: Held, source: Node | None) -> bool:
-        """A failure of the fill: told, a refusal from further away than the cache, an error after the aim."""
-        lag = end.latency_ns or 0
-        far = {w.Status.FULL: QUICK_NS, w.Status.ERROR: held.aim}.get(end.status, math.inf)
-        return source is not None and (end.note.of_source or not end.note and lag > far)
+    def _is_source_failure(self, end: w.AttemptEnded, pending: PendingRequest, source: Node | None) -> bool:
+        """Returns whether the source of the fill failed, rather than the cache.
+
+        That is so if the outcome says so; without a note also if a refusal comes from further away than the
+        cache, or an error comes after the latency target.
+        """
+        latency = end.latency_ns or 0
+        min_latency = {w.Status.FULL: LOCAL_REFUSAL_NS, w.Status.ERROR: pending.aim}.get(end.status, math.inf)
+        return source is not None and (end.note.of_source or not end.note and latency > min_latency)
 
     def _pain(self, node: Node) -> float:
-        return float(node.pain * 0.5 ** (max(self.now - node.pain_at, 0) / PAIN_HALF_NS))
-
-    def _hurt(self, node: Node, amount: float, gain: float) -> None:
-        pain = self._pain(node)
-        gain = 1 - (1 - gain) ** min(node.seats, SPEAKS_FOR) if gain == GAIN else gain
-        gain, node.taught = max(gain, node.taught), node.taught / 2  # answers soon overrule a memory
-        # What a memory says of the node holds on until its time, or an answer that speaks against it.
-        node.pain_at = max(node.pain_at, self.now) if amount > SLACK else self.now
-        node.pain = pain + gain * (amount - pain)
-        if (node.pain > (SLACK if node.failing else DEAD)) != node.failing:
+        """Returns the node's current error score, which decays exponentially while no answer arrives."""
+        return float(node.pain * 0.5 ** (max(self.now - node.pain_at, 0) / SCORE_HALF_LIFE_NS))
+
+    def _update_error_score(self, node: Node, sample: float, weight: float) -> None:
+        """Moves a node's error score towards `sample`, from 0 (good) to 1 (failed); logs health changes."""
+        score = self._pain(node)
+        weight = (
+            1 - (1 - weight) ** min(node.sharing_routers, MAX_SAMPLE_WEIGHT)
+            if weight == ANSWER_WEIGHT
+            else weight
+        )
+        # Each answer halves the minimum weight, so that answers soon overrule a score restored from memory.
+        weight, node.taught = max(weight, node.taught), node.taught / 2
+        # A score restored from memory does not decay before its hold time ends, unless a good answer
+        # contradicts it.
+        node.pain_at = max(node.pain_at, self.now) if sample > SLACK else self.now
+        node.pain = score + weight * (sample - score)
+        if (node.pain > (SLACK if node.failing else FAILED_SCORE)) != node.failing:
             node.failing = not node.failing
-            self.acts.append(w.Log(f"cache {node.member.cache} {('serves again', 'fails')[node.failing]}"))
+            self.actions.append(w.Log(f"cache {node.member.cache} {('serves again', 'fails')[node.failing]}"))
 
     def _trust(self, node: Node, peers: list[Node]) -> float:
-        """The share of its own traffic that a node gets: what it hurts more than its best peer counts, as a
-        part of what that one leaves; else of two parents a dead one would pass beside one with slow fills."""
+        """Returns the share of its normal traffic that a node receives, from MIN_TRUST to 1.
+
+        Trust falls with the excess of the node's error score over its best peer's, relative to the remaining
+        range above that peer. Without this scaling a failed parent would keep its traffic next to a parent
+        with slow fills.
+        """
         best = min((self._pain(n) for n in peers), default=0.0)
-        more = (self._pain(node) - best) / max(1.0 - best, 0.1)
-        return max(TRIAL, 1.0 - STEEP * max(more - SLACK, 0.0))
+        excess = (self._pain(node) - best) / max(1.0 - best, 0.1)
+        return max(MIN_TRUST, 1.0 - STEEP * max(excess - SLACK, 0.0))
 
     # Time, discovery and purges ---------------------------------------------------------------------
 
-    def _timer(self, fired: w.TimerFired) -> None:
+    def _on_timer(self, fired: w.TimerFired) -> None:
+        """Handles a timer: a lost-response check, a request's deadline or the periodic tick (token 0)."""
         if fired.token in self.looks:
-            self._look(self.looks.pop(fired.token))
+            self._check_lost_response(self.looks.pop(fired.token))
             return
         if fired.token:
-            held = self.held.get(self.timers.pop(fired.token, ""))
-            if held is not None:
-                if any(self._only_lost(*self.attempts[held.ask.request, a]) for a in held.out):
-                    self.lost = min(self.lost + LOST_GRANT, MOST_LOST)
-                self._give_up(held)
+            pending = self.held.get(self.timers.pop(fired.token, ""))
+            if pending is not None:
+                if any(self._seems_lost(*self.attempts[pending.ask.request, a]) for a in pending.in_flight):
+                    self.lost = min(self.lost + CREDIT_PER_LOST_RESPONSE, MAX_LOST_RESPONSE_CREDIT)
+                self._give_up(pending)
             return
-        self.acts.append(w.SetTimer(TICK_NS, 0))
-        for cls, at in enumerate(self.late_at):
-            if self.now - at > QUIET_NS:
-                self.fills[cls] = min(self.fills[cls] * QUIET_GAIN, MOST_FILLS)
-                self.near[cls] = min(self.near[cls] * QUIET_GAIN, MOST_FILLS)
-        if (min(self.fills, default=1.0) < (1.0 if self.held_back else UP)) != self.held_back:
-            self.held_back = not self.held_back
-            self.acts.append(w.Log(f"fills {'held back' if self.held_back else 'free again'}"))
+        self.actions.append(w.SetTimer(TICK_NS, 0))
+        for class_index, at in enumerate(self.late_at):
+            if self.now - at > FILL_RECOVERY_DELAY_NS:
+                self.fills[class_index] = min(self.fills[class_index] * FILL_RECOVERY_FACTOR, MOST_FILLS)
+                self.near[class_index] = min(self.near[class_index] * FILL_RECOVERY_FACTOR, MOST_FILLS)
+        if (
+            min(self.fills, default=1.0) < (1.0 if self.fills_restricted else UP_THRESHOLD)
+        ) != self.fills_restricted:
+            self.fills_restricted = not self.fills_restricted
+            self.actions.append(w.Log(f"fills {'held back' if self.fills_restricted else 'free again'}"))
         if self.now >= self.retune_at:
             self._retune()
             self.purges.expire(self.now)
-        if self.now >= self.ask_at:
-            self.acts.append(w.Subscribe(True))
-            self.ask_at = float(self.now + ASK_AGAIN_NS)
-        for sent, held, _, source in self.attempts.values():
-            if source is not None and held.sized and not held.overdue and self.now - sent > held.aim:
-                held.overdue = True  # a slow source is seen while attempts hang; sizes not known mislead here
-                self._hurt(source, 1.0, GAIN)
-                self._fill(held, False)
-        # A cache that answers nothing at all while several wait is silent: call its attempts off.
-        quiet = max([0.0, *map(lambda c, s: c.aim_ns + c.aim_stretch * s, self.s.classes, self.size_ns)])
+        if self.now >= self.next_subscribe_at:
+            self.actions.append(w.Subscribe(True))
+            self.next_subscribe_at = float(self.now + RESUBSCRIBE_NS)
+        for sent_at, pending, _, source in self.attempts.values():
+            if (
+                source is not None
+                and pending.size_known
+                and not pending.overdue
+                and self.now - sent_at > pending.aim
+            ):
+                # A slow source is detected while attempts are still unanswered. Requests of unknown size are
+                # left out, because their latency target is unreliable.
+                pending.overdue = True
+                self._update_error_score(source, 1.0, ANSWER_WEIGHT)
+                self._adapt_fill_share(pending, False)
+        # A cache that answers nothing while several attempts wait beyond the longest latency target is
+        # silent: the router cancels those attempts.
+        silence_ns = max(
+            [
+                0.0,
+                *map(
+                    lambda request_class, sending_time: (
+                        request_class.aim_ns + request_class.aim_stretch * sending_time
+                    ),
+                    self.s.classes,
+                    self.size_ns,
+                ),
+            ]
+        )
         for node in self.caches:
-            late = [k for k, sent in node.out.items() if self.now - max(sent, node.heard) > quiet]
-            if len(late) > 1:
-                self._hurt(node, 1.0, FAIL_GAIN)
-                self.acts += [
-                    w.Cancel(*k)
-                    for k in late
+            unanswered = [
+                key
+                for key, sent_at in node.in_flight.items()
+                if self.now - max(sent_at, node.heard) > silence_ns
+            ]
+            if len(unanswered) > 1:
+                self._update_error_score(node, 1.0, FAILURE_WEIGHT)
+                self.actions += [
+                    w.Cancel(*key)
+                    for key in unanswered
                     if self.s.cancel
-                    and k[0] in self.held
-                    and not self.held[k[0]].write
-                    and k[1] + 1 < self.s.max_attempts
+                    and key[0] in self.held
+                    and not self.held[key[0]].write
+                    and key[1] + 1 < self.s.max_attempts
                 ]
 
-    def _look_later(self, key: tuple[str, int], held: Held, source: Node | None) -> None:
-        """Departure: while answers get lost, a read is looked at when a repeat would just be in time, and no
-        sooner than it usually takes."""
-        usual = held.size_ns + (0.0 if source is None else source.wait or 0.0)
-        last = held.aim - CALL * held.size_ns - CALL_NS
+    def _schedule_lost_check(
+        self, key: tuple[str, int], pending: PendingRequest, source: Node | None
+    ) -> None:
+        """Sets a timer to check whether the response to a first attempt was lost.
+
+        Departure: while responses are being lost, a read is checked at the last moment at which a repeat
+        would still be in time, but only if that is clearly later than the expected response.
+        """
+        expected_ns = pending.size_ns + (0.0 if source is None else source.wait or 0.0)
+        check_delay_ns = pending.aim - REPEAT_TIME_FACTOR * pending.size_ns - REPEAT_OVERHEAD_NS
         if (
             self.lost >= 1.0
             and self.s.cancel
-            and not held.write
-            and held.sent == 1
-            and held.sized
-            and held.cls.effect is w.Effect.IDEMPOTENT
-            and last > SURE * usual
+            and not pending.write
+            and pending.sent == 1
+            and pending.size_known
+            and pending.request_class.effect is w.Effect.IDEMPOTENT
+            and check_delay_ns > LOST_AFTER_FACTOR * expected_ns
         ):
-            self.serial += 1
-            self.looks[self.serial] = key
-            self.acts.append(w.SetTimer(int(last), self.serial))
-
-    def _look(self, key: tuple[str, int]) -> None:
-        """Asks again where nothing but a lost answer tells why it hangs; once for a request."""
-        found = self.attempts.get(key)
-        if found is not None and key[0] in self.held and self.lost >= 1.0 and self._only_lost(*found):
-            self.lost, found[1].again = self.lost - 1.0, True
-            self.acts.append(w.Cancel(*key))
-
-    def _only_lost(self, sent: int, held: Held, node: Node, source: Node | None) -> bool:
-        """Its cache has answered others meanwhile and has room, and its source is well."""
+            self.last_token += 1
+            self.looks[self.last_token] = key
+            self.actions.append(w.SetTimer(int(check_delay_ns), self.last_token))
+
+    def _check_lost_response(self, key: tuple[str, int]) -> None:
+        """Cancels the attempt, so that it is repeated once, if only a lost response explains the delay."""
+        attempt = self.attempts.get(key)
+        if attempt is not None and key[0] in self.held and self.lost >= 1.0 and self._seems_lost(*attempt):
+            self.lost, attempt[1].repeated_early = self.lost - 1.0, True
+            self.actions.append(w.Cancel(*key))
+
+    def _seems_lost(self, sent_at: int, pending: PendingRequest, node: Node, source: Node | None) -> bool:
+        """Returns whether only a lost response explains why an attempt is unanswered.
+
+        That is so if its cache has answered other requests since and has room, and its source is healthy.
+        """
         return (
-            node.heard > sent
-            and len(node.out) <= node.limit / 2
+            node.heard > sent_at
+            and len(node.in_flight) <= node.limit / 2
             and (source is None or self._pain(source) <= SLACK)
         )
 
-    def _list(self, news: w.CacheList) -> None:
-        self.ask_at = self.now + ASK_AGAIN_NS if news.kind is w.ListKind.FAILED else math.inf
+    def _on_cache_list(self, event: w.CacheList) -> None:
+        """Applies a list from discovery: updates the nodes and rebuilds the ring."""
+        self.next_subscribe_at = self.now + RESUBSCRIBE_NS if event.kind is w.ListKind.FAILED else math.inf
         old = self.nodes
-        self.nodes = {} if news.kind in (w.ListKind.FULL, w.ListKind.HELD) else dict(old)
-        for m in news.members:
-            was = old.get(m.cache)
-            if m.state is w.State.GONE:
-                self.nodes.pop(m.cache, None)
-            elif was is None or was.member.ready_at_ns != m.ready_at_ns:
-                # Nothing tells an origin's size: each router learns its limit by itself.
-                every = {self.s.origin_kind: 1, self.s.parent_kind: max(self.s.routers, 1)}
-                seats = self.seats if m.kind is None else every.get(m.kind, self.seats)
-                told = (m.weight or 1.0) if self.s.weights != "silent" else UNTOLD[m.kind in every]
-                first = max(FIRST_LIMIT * told / seats, LEAST_LIMIT)
-                self.nodes[m.cache] = Node(
-                    m,
-                    seats,
+        self.nodes = {} if event.kind in (w.ListKind.FULL, w.ListKind.HELD) else dict(old)
+        for entry in event.members:
+            known = old.get(entry.cache)
+            if entry.state is w.State.GONE:
+                self.nodes.pop(entry.cache, None)
+            elif known is None or known.member.ready_at_ns != entry.ready_at_ns:
+                # No setting gives an origin's capacity, so each router learns its own limit for the origin.
+                routers_by_kind = {self.s.origin_kind: 1, self.s.parent_kind: max(self.s.routers, 1)}
+                sharing_routers = (
+                    self.routers_in_zone
+                    if entry.kind is None
+                    else routers_by_kind.get(entry.kind, self.routers_in_zone)
+                )
+                start_weight = (
+                    (entry.weight or 1.0)
+                    if self.s.weights != "silent"
+                    else ASSUMED_WEIGHTS[entry.kind in routers_by_kind]
+                )
+                initial_limit = max(INITIAL_LIMIT * start_weight / sharing_routers, MIN_LIMIT)
+                self.nodes[entry.cache] = Node(
+                    entry,
+                    sharing_routers,
                     heard=self.now,
-                    limit=first,
+                    limit=initial_limit,
                     credit_at=self.now,
                     credit=self.random.random() * max(self.price_ns, default=0.0),
                 )
-                self.recall(self.nodes[m.cache])
+                self.recall(self.nodes[entry.cache])
             else:
-                was.member = m
-                self.nodes[m.cache] = was
+                known.member = entry
+                self.nodes[entry.cache] = known
         ready = [self.nodes[c] for c in sorted(self.nodes) if self.nodes[c].member.state is w.State.READY]
-        up, top = self.s.parent_kind, self.s.origin_kind
-        self.parents = [n for n in ready if n.member.kind == up and up >= 0]
-        self.origins = [n for n in ready if n.member.kind == top]
-        self.caches = [n for n in ready if n.member.kind not in (up, top) and n.member.zone == self.s.zone]
-        mean = sum(n.member.weight or 1.0 for n in self.caches) / max(len(self.caches), 1)
-        self.ring = Ring((n, max(1, round(POINTS * (n.member.weight or 1.0) / mean))) for n in self.caches)
-
-    def _purged(self, news: w.Purged) -> None:
-        key = news.group if news.object is None else news.object  # a number or a text
-        at, settles = self.now - (news.age_ns or 0), self.s.purge_settles_ns
+        kind_of_parents, kind_of_origins = self.s.parent_kind, self.s.origin_kind
+        self.parents = [n for n in ready if n.member.kind == kind_of_parents and kind_of_parents >= 0]
+        self.origins = [n for n in ready if n.member.kind == kind_of_origins]
+        self.caches = [
+            n
+            for n in ready
+            if n.member.kind not in (kind_of_parents, kind_of_origins) and n.member.zone == self.s.zone
+        ]
+        mean_weight = sum(n.member.weight or 1.0 for n in self.caches) / max(len(self.caches), 1)
+        self.ring = Ring(
+            (n, max(1, round(POINTS_PER_CACHE * (n.member.weight or 1.0) / mean_weight))) for n in self.caches
+        )
+
+    def _on_purged(self, event: w.Purged) -> None:
+        """Records a purge of an object or group, which bounds the age of usable copies until the purge
+        settles."""
+        key = event.group if event.object is None else event.object  # a group is a number, an object a string
+        at, settles = self.now - (event.age_ns or 0), self.s.purge_settles_ns
         self.purges.add(key, at, self.now + settles, self.now, 0 < settles <= self.now - at)
--- a/olivecourse/reports.py
+++ b/olivecourse/reports.py
@@ -1,7 +1,7 @@
-"""What load reports tell of a store. State of a router, without I/O.
+"""Estimates the capacity of stores from their load reports. State of a router, without I/O.
 
-Reports come late, repeat until they are refreshed and are noisy. Where settings promise none, nothing is
-told.
+Reports arrive late and noisy, and a store repeats a report until it takes the next measurement. Where the
+settings name no report fields, there are no estimates.
 """
 
 from __future__ import annotations
@@ -11,32 +11,46 @@
 from olivecourse.interface import Member
 from olivecourse.state import Node
 
-GAIN = 0.05  # weight of one report: the same is heard some twenty times before the next
-LEAST_ACTIVE, LEAST_BUSY = 2.0, 0.2  # below, a ratio of two small and noisy figures tells nothing
-SURE = 0.5  # part of what a store seems to bear that it surely does: what waits for a fill counts as held
+REPORT_WEIGHT = 0.05  # weight of one report: each measurement arrives some twenty times
+# Reports with fewer active transfers or a lower busy share are ignored: the ratio of two small, noisy figures
+# says nothing.
+MIN_ACTIVE, MIN_BUSY = 2.0, 0.2
+# Share of the estimated capacity that a store can safely handle; the reported active transfers include those
+# that wait for a fill.
+SAFE_SHARE = 0.5
 
 
-class Reports:
-    """Reads reports by the names of their fields, as the settings tell them in order."""
+class LoadReports:
+    """Reads load reports, whose fields come in the order that the settings give."""
 
-    __slots__ = ("_active", "_busy")
+    __slots__ = ("_active_index", "_busy_index")
 
     def __init__(self, fields: Sequence[str]) -> None:
-        place = {name: i for i, name in enumerate(fields)}
-        self._active, self._busy = place.get("active", -1), place.get("cpu", -1)
-
-    def heard(self, node: Node, report: Sequence[float | None] | None) -> None:
-        """With n transfers under way a store that is busy by a share u would be full at n / u."""
-        if not report or min(self._active, self._busy) < 0 or max(self._active, self._busy) >= len(report):
+        positions = {name: i for i, name in enumerate(fields)}
+        self._active_index, self._busy_index = positions.get("active", -1), positions.get("cpu", -1)
+
+    def observe(self, node: Node, report: Sequence[float | None] | None) -> None:
+        """Updates a node's capacity estimate: n active transfers at busy share u give a capacity of n / u."""
+        if (
+            not report
+            or min(self._active_index, self._busy_index) < 0
+            or max(self._active_index, self._busy_index) >= len(report)
+        ):
             return
-        active, busy = report[self._active], report[self._busy]
-        if active is None or busy is None or active < LEAST_ACTIVE or busy < LEAST_BUSY:
+        active, busy = report[self._active_index], report[self._busy_index]
+        if active is None or busy is None or active < MIN_ACTIVE or busy < MIN_BUSY:
             return
-        bears = SURE * active / busy / node.seats
-        node.bears += (GAIN if node.bears else 1.0) * (bears - node.bears)
-
-    def least(self, member: Member, peers: Iterable[Node]) -> float:
-        """Transfers that a store of untold weight surely bears once it is warm: what the least of its kind
-        does, by their reports; one where none tells."""
-        alike = [n.bears * n.seats for n in peers if n.bears and n.member.kind == member.kind]
-        return max(min(alike, default=1.0), 1.0)
+        capacity = SAFE_SHARE * active / busy / node.sharing_routers
+        node.bears += (REPORT_WEIGHT if node.bears else 1.0) * (capacity - node.bears)
+
+    def min_capacity(self, member: Member, peers: Iterable[Node]) -> float:
+        """Returns the transfers that a store of unknown weight can safely handle once it is warm.
+
+        The result is the smallest reported capacity among peers of the same kind, or one without reports.
+        """
+        capacities = [
+            peer.bears * peer.sharing_routers
+            for peer in peers
+            if peer.bears and peer.member.kind == member.kind
+        ]
+        return max(min(capacities, default=1.0), 1.0)
--- a/olivecourse/ring.py
+++ b/olivecourse/ring.py
@@ -1,4 +1,7 @@
-"""A consistent-hash ring; how many points each member has is the caller's."""
+"""A consistent-hash ring, rendezvous hashing and distances between zones.
+
+The caller chooses the number of ring points and the weight of each node.
+"""
 
 from __future__ import annotations
 
@@ -6,53 +9,59 @@
 from bisect import bisect_left
 from collections.abc import Iterable, Iterator
 
-from olivecourse.sketch import hash64, unit
+from olivecourse.sketch import hash64, unit_hash
 from olivecourse.state import Node
 
 
 class Ring:
-    """Nodes on a circle of 64-bit hashes. A node that leaves moves only its own keys."""
+    """A consistent-hash ring over 64-bit hashes: when a node leaves, only its own keys move."""
 
-    __slots__ = ("_places", "_nodes", "_size")
+    __slots__ = ("_positions", "_nodes", "_node_count")
 
     def __init__(self, points: Iterable[tuple[Node, int]] = ()) -> None:
-        placed = sorted(
+        points_on_ring = sorted(
             (
-                (hash64(f"{node.member.cache}/{i}"), node.member.cache, node)
+                (hash64(f"{node.member.cache}/{number}"), node.member.cache, node)
                 for node, count in points
-                for i in range(count)
+                for number in range(count)
             ),
-            key=lambda p: p[:2],
+            key=lambda entry: entry[:2],
         )
-        self._places = [place for place, _, _ in placed]
-        self._nodes = [node for _, _, node in placed]
-        self._size = len({cache for _, cache, _ in placed})
+        self._positions = [position for position, _, _ in points_on_ring]
+        self._nodes = [node for _, _, node in points_on_ring]
+        self._node_count = len({cache for _, cache, _ in points_on_ring})
 
     def walk(self, name: str) -> Iterator[Node]:
-        """Every node once, in ring order from the name's place."""
-        start = bisect_left(self._places, hash64(name))
-        seen: list[int] = []
-        while len(seen) < self._size:
-            node = self._nodes[start % len(self._nodes)]
-            start += 1
-            if node.member.cache not in seen:
-                seen.append(node.member.cache)
+        """Yields every node once, in ring order from the position of the name."""
+        index = bisect_left(self._positions, hash64(name))
+        visited: list[int] = []
+        while len(visited) < self._node_count:
+            node = self._nodes[index % len(self._nodes)]
+            index += 1
+            if node.member.cache not in visited:
+                visited.append(node.member.cache)
                 yield node
 
 
-def rendezvous(name: str, weighted: Iterable[tuple[Node, float]]) -> list[Node]:
-    """The nodes in the name's own order, each first for a share of names that follows its weight."""
-    places = [
-        (-math.log(unit(f"{name}@{node.member.cache}")) / weight, node.member.cache, node)
+def rendezvous_order(name: str, weighted: Iterable[tuple[Node, float]]) -> list[Node]:
+    """Returns the nodes in the name's rendezvous order.
+
+    Each node is first for a share of all names that is proportional to its weight.
+    """
+    scored = [
+        (-math.log(unit_hash(f"{name}@{node.member.cache}")) / weight, node.member.cache, node)
         for node, weight in weighted
         if weight > 0
     ]
-    return [node for _, _, node in sorted(places, key=lambda p: p[:2])]
+    return [node for _, _, node in sorted(scored, key=lambda entry: entry[:2])]
+
 
+def ring_distance(hub_positions: tuple[int, ...], zone_a: int | None, zone_b: int) -> int:
+    """Returns the number of steps between two zones, whose hubs stand in a circle at `hub_positions`.
 
-def steps(places: tuple[int, ...], a: int | None, b: int) -> int:
-    """Steps between the places of two zones whose hubs stand in a ring; 0 where a place is not known."""
-    if a is None or max(a, b) >= len(places):
+    The result is 0 if the position of a zone is unknown.
+    """
+    if zone_a is None or max(zone_a, zone_b) >= len(hub_positions):
         return 0
-    apart = abs(places[a] - places[b])
-    return min(apart, max(places) + 1 - apart)
+    distance = abs(hub_positions[zone_a] - hub_positions[zone_b])
+    return min(distance, max(hub_positions) + 1 - distance)
--- a/olivecourse/sizes.py
+++ b/olivecourse/sizes.py
@@ -1,36 +1,39 @@
-"""Sizes that nobody tells, learned from how long answers took. State of a router, without I/O."""
+"""Estimates unreported object sizes from the durations of answers. State of a router, without I/O."""
 
 from __future__ import annotations
 
-RISE = 0.05  # weight of an answer that took longer than thought: mostly it shared its way with others
-MOST = 4096  # objects; some 1 MB
+RISE_WEIGHT = 0.05  # weight of an answer slower than the estimate, which usually shared its link with others
+MOST = 4096  # objects; they take about 1 MB
 
 
 class Sizes:
-    """The sending time of one part of an object, as parts of one object are alike.
+    """Estimates the sending time of a part of an object; all parts of an object are taken to be of one size.
 
-    An answer takes its own sending time, and longer the more it shares a link: the least of what was seen is
-    the nearest to it, and rises slowly, for an object that was replaced by a larger one.
+    An answer takes at least its own sending time, and longer if it shares a link with others. The shortest
+    observed time is therefore the best estimate. The estimate rises slowly, so that it follows when a larger
+    object replaces the first one.
     """
 
-    __slots__ = ("_most", "_known")
+    __slots__ = ("_max_entries", "_known")
 
-    def __init__(self, most: int = MOST) -> None:
-        self._most = most
+    def __init__(self, max_entries: int = MOST) -> None:
+        self._max_entries = max_entries
         self._known: dict[str, float] = {}
 
     def __len__(self) -> int:
         return len(self._known)
 
     def saw(self, key: str, took_ns: float) -> None:
-        """An answer's time, less what its source was waited for."""
+        """Records the time of an answer, without the time it waited for the source of a fill."""
         if not key or took_ns <= 0:
             return
-        known = self._known.pop(key, took_ns)
-        self._known[key] = took_ns if took_ns < known else known + RISE * (took_ns - known)
-        if len(self._known) > self._most:
-            del self._known[next(iter(self._known))]  # the one not heard of for longest
-
-    def guess(self, key: str) -> float | None:
-        """Sending time in ns, or None where no answer has told of it."""
+        previous_ns = self._known.pop(key, took_ns)
+        self._known[key] = (
+            took_ns if took_ns < previous_ns else previous_ns + RISE_WEIGHT * (took_ns - previous_ns)
+        )
+        if len(self._known) > self._max_entries:
+            del self._known[next(iter(self._known))]  # least recently observed
+
+    def estimate(self, key: str) -> float | None:
+        """Returns the estimated sending time in ns, or None if no answer was observed for the object."""
         return self._known.get(key)
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -1,4 +1,4 @@
-"""The NetKV numbers: counter, distinct count, MaxBalls, T, ring."""
+"""Tests of the NetKV mechanism: counters, MaxBalls, threshold T, ring, and learned sizes and capacities."""
 
 import math
 import random
@@ -7,23 +7,23 @@
 
 from olivecourse import interface as w
 from olivecourse.choice import choose_t
-from olivecourse.ring import Ring, rendezvous
+from olivecourse.ring import Ring, rendezvous_order
 from olivecourse.sizes import Sizes
 from olivecourse.sketch import HyperLogLog, LossyCounter, max_balls
 from olivecourse.state import Node
 
 
-def test_lossy_counter_keeps_its_guarantees():
-    rng, counter, true = random.Random(3), LossyCounter(0.01), {}
+def test_lossy_counter_stays_within_its_error_bounds():
+    rng, counter, true_counts = random.Random(3), LossyCounter(0.01), {}
     for _ in range(20_000):
         key = f"k{min(int(rng.paretovariate(0.7)), 5000)}"
         counter.add(key)
-        true[key] = true.get(key, 0) + 1
+        true_counts[key] = true_counts.get(key, 0) + 1
     found = dict(counter.frequent(0.03))
-    assert all(k in found for k, f in true.items() if f >= 0.03 * counter.total)
-    assert all(true[k] >= 0.02 * counter.total for k in found)
-    assert all(0 <= true[k] - counter.count(k) <= 0.01 * counter.total for k in found)
-    assert len(counter) < len(true) / 2  # it forgets the rare ones
+    assert all(key in found for key, count in true_counts.items() if count >= 0.03 * counter.total)
+    assert all(true_counts[key] >= 0.02 * counter.total for key in found)
+    assert all(0 <= true_counts[key] - counter.count(key) <= 0.01 * counter.total for key in found)
+    assert len(counter) < len(true_counts) / 2  # rare keys are pruned
 
 
 def test_lossy_counter_weighs_amounts():
@@ -46,150 +46,157 @@
 def test_max_balls_regimes_and_caps():
     assert max_balls(0, 4, 1.0, 16) == 0
     assert max_balls(5, 1, 1.0, 16) == 5
-    n, m = 100, 1000
-    assert max_balls(m, n, 1.0, 16) == m / n + math.sqrt(2 * m / n * math.log(n))
-    assert max_balls(10, n, 1.0, 16) == math.log(n) / math.log(n * math.log(n) / 10)  # m < n / log n
-    assert max_balls(1, 4, 1.0, 16) == 1  # few caches: the second form, capped at m
+    bins, balls = 100, 1000
+    assert max_balls(balls, bins, 1.0, 16) == balls / bins + math.sqrt(2 * balls / bins * math.log(bins))
+    # The first form applies for fewer balls than bins / log(bins).
+    assert max_balls(10, bins, 1.0, 16) == math.log(bins) / math.log(bins * math.log(bins) / 10)
+    assert max_balls(1, 4, 1.0, 16) == 1  # few caches: the second form, capped at the number of balls
     assert max_balls(2, 4, 1.0, 16) == 0.5 + math.sqrt(math.log(4))
 
 
-def test_t_is_the_largest_that_meets_the_bound():
+def test_choose_t_returns_the_largest_threshold_that_meets_the_bound():
     counts, total = [50.0, 10.0, 5.0], 165.0
-    t = choose_t(counts, total, 103, 4, 2.0, 1.0)
-    assert t == 50.0  # the object at T keeps one name; the estimate already holds
-    tight = choose_t([300.0, 10.0], 410.0, 102, 4, 1.8, 1.0)
-    assert tight < 300.0
+    threshold = choose_t(counts, total, 103, 4, 2.0, 1.0)
+    assert threshold == 50.0  # an object at T keeps one name, and the estimate already meets the bound
+    tight_threshold = choose_t([300.0, 10.0], 410.0, 102, 4, 1.8, 1.0)
+    assert tight_threshold < 300.0
 
 
-def test_t_takes_the_lowest_estimate_where_no_bound_can_be_met():
-    t = choose_t([100.0], 200.0, 5, 10, 1.0001, 1.0)
-    assert 0 < t < 100.0 and t < math.inf
+def test_choose_t_returns_the_lowest_peak_estimate_if_no_threshold_meets_the_bound():
+    threshold = choose_t([100.0], 200.0, 5, 10, 1.0001, 1.0)
+    assert 0 < threshold < 100.0 and threshold < math.inf
 
 
-def test_all_hot_leaves_the_cold_term_without_a_division():
-    assert choose_t([10.0, 9.0], 19.0, 2, 3, 3.0, 0.5) > 0  # c < 1 for small T
+def test_choose_t_does_not_divide_by_zero_without_cold_objects():
+    assert choose_t([10.0, 9.0], 19.0, 2, 3, 3.0, 0.5) > 0  # fewer than one cold object for small T
     assert choose_t([], 5.0, 5, 3, 2.0, 1.0) == math.inf
 
 
 def test_ring_moves_only_the_keys_of_a_cache_that_leaves():
     nodes = [Node(m) for m in fleet(5)[:5]]
-    full, less = Ring((n, 64) for n in nodes), Ring((n, 64) for n in nodes[1:])
+    full_ring, smaller_ring = Ring((n, 64) for n in nodes), Ring((n, 64) for n in nodes[1:])
     for i in range(300):
-        home = next(full.walk(f"k{i}"))
+        home = next(full_ring.walk(f"k{i}"))
         if home is not nodes[0]:
-            assert next(less.walk(f"k{i}")) is home
-    shares = [sum(next(full.walk(f"k{i}")) is n for i in range(2000)) for n in nodes]
+            assert next(smaller_ring.walk(f"k{i}")) is home
+    shares = [sum(next(full_ring.walk(f"k{i}")) is n for i in range(2000)) for n in nodes]
     assert min(shares) > 200
-    assert [n.member.cache for n in full.walk("k1")].sort() is None and len(list(full.walk("k1"))) == 5
+    assert [n.member.cache for n in full_ring.walk("k1")].sort() is None and len(
+        list(full_ring.walk("k1"))
+    ) == 5
 
 
-def play(d, key, times, every=10 * MS):
-    homes = []
-    for _ in range(times):
-        homes.append(sends(d.ask(key, after=every))[0].cache)
-        d.end(w.Status.SERVED, note=w.Note.HIT)
-    return homes
+def play(driver, key, count, interval_ns=10 * MS):
+    caches = []
+    for _ in range(count):
+        caches.append(sends(driver.ask(key, after=interval_ns))[0].cache)
+        driver.end(w.Status.SERVED, note=w.Note.HIT)
+    return caches
 
 
-def test_a_plain_object_has_one_home_and_a_hot_one_several(drive):
-    d = drive()
-    assert len(set(play(d, "plain", 20))) == 1
+def test_ordinary_object_uses_one_cache_and_hot_object_several(drive):
+    driver = drive()
+    assert len(set(play(driver, "plain", 20))) == 1
     for i in range(60):
-        play(d, f"k{i}", 1)
-    play(d, "hot", 400)
-    d.event(w.TimerFired(0), after=5 * S)
-    assert d.router.counts["hot"] > d.router.t
-    picked = play(d, "hot", 40)
-    assert len(set(picked)) >= 2
-    assert len(set(play(d, "k3", 10))) == 1
+        play(driver, f"k{i}", 1)
+    play(driver, "hot", 400)
+    driver.event(w.TimerFired(0), after=5 * S)
+    assert driver.router.counts["hot"] > driver.router.t
+    caches = play(driver, "hot", 40)
+    assert len(set(caches)) >= 2
+    assert len(set(play(driver, "k3", 10))) == 1
 
 
-def test_popularity_that_jumps_inside_an_interval_acts_at_once(drive):
-    d = drive()
+def test_sudden_popularity_takes_effect_within_the_interval(drive):
+    driver = drive()
     for i in range(60):
-        play(d, f"k{i}", 1)
-    play(d, "old", 200)
-    d.event(w.TimerFired(0), after=5 * S)
-    assert len(set(play(d, "new", 300))) >= 2
+        play(driver, f"k{i}", 1)
+    play(driver, "old", 200)
+    driver.event(w.TimerFired(0), after=5 * S)
+    assert len(set(play(driver, "new", 300))) >= 2
 
 
-def test_repeats_writes_and_our_retries_are_not_counted(drive):
+def test_client_repeats_writes_and_retries_are_not_counted(drive):
     write = w.RequestClass("write", aim_ns=S, deadline_ns=3 * S, effect=w.Effect.IDEMPOTENT, write=True)
-    d = drive(classes=(make_settings().classes[0], write))
-    d.ask("a")
-    d.end(w.Status.ERROR, closed=False)  # our retry
-    d.ask("a", flags=w.Flag.REPEAT)  # the client's repeat
-    d.ask("a", flags=w.Flag.WRITE)
-    d.ask("a", cls=1)
-    assert d.router.counter.count("a") == 1
+    driver = drive(classes=(make_settings().classes[0], write))
+    driver.ask("a")
+    driver.end(w.Status.ERROR, closed=False)  # the router's retry
+    driver.ask("a", flags=w.Flag.REPEAT)  # the client's repeat
+    driver.ask("a", flags=w.Flag.WRITE)
+    driver.ask("a", cls=1)
+    assert driver.router.counter.count("a") == 1
 
 
-def test_sizes_weigh_where_they_are_told(drive):
-    d = drive()
-    d.ask("big", size_kb=5000.0)
-    d.ask("small", size_kb=50.0)
-    assert d.router.counter.count("big") == 100 * d.router.counter.count("small")
+def test_reported_sizes_weight_the_object_counts(drive):
+    driver = drive()
+    driver.ask("big", size_kb=5000.0)
+    driver.ask("small", size_kb=50.0)
+    assert driver.router.counter.count("big") == 100 * driver.router.counter.count("small")
 
 
-def test_parts_have_homes_of_their_own(drive):
-    d = drive(members=fleet(6))
-    homes = set()
+def test_parts_of_an_object_are_placed_separately(drive):
+    driver = drive(members=fleet(6))
+    caches = set()
     for part in range(12):
-        homes.add(sends(d.ask("video", part=part, after=S))[0].cache)
-        d.end(w.Status.SERVED)
-    assert len(homes) >= 3
+        caches.add(sends(driver.ask("video", part=part, after=S))[0].cache)
+        driver.end(w.Status.SERVED)
+    assert len(caches) >= 3
 
 
-def test_parents_are_first_for_a_share_of_objects_that_follows_their_weight():
+def test_share_of_objects_per_parent_is_proportional_to_its_weight():
     nodes = [Node(w.Member(i, weight)) for i, weight in ((1, 10.0), (2, 30.0))]
-    firsts = [rendezvous(f"k{i}", [(n, n.member.weight) for n in nodes])[0].member.cache for i in range(2000)]
+    firsts = [
+        rendezvous_order(f"k{i}", [(n, n.member.weight) for n in nodes])[0].member.cache for i in range(2000)
+    ]
     assert 0.7 < firsts.count(2) / 2000 < 0.8
 
 
-# Where nothing tells sizes and weights, they are learned from answers and reports ------------------------
+# Unreported sizes and weights are learned from answers and load reports ---------------------------------
 
 
-def hit(drive, key, took, **more):
-    drive.ask(key, 200 * MS)
-    drive.end(w.Status.SERVED, after=took, note=w.Note.HIT, **more)
+def hit(driver, key, latency_ns, **more):
+    driver.ask(key, 200 * MS)
+    driver.end(w.Status.SERVED, after=latency_ns, note=w.Note.HIT, **more)
 
 
-def test_sizes_that_nobody_tells_are_learned_of_each_object_and_large_ones_give_way_first(drive):
-    office = drive(weights="silent", classes=(make_class(worth=1.0),))
+def test_unreported_sizes_are_learned_per_object_and_large_objects_get_less_room(drive):
+    driver = drive(weights="silent", classes=(make_class(worth=1.0),))
     for _ in range(30):
-        hit(office, "small", 10 * MS)
-        hit(office, "large", 900 * MS)
-        hit(office, "large", 2_000 * MS)  # a crowded link: the least of what was seen stands
-    office.ask("large", part=7)
-    large = office.router.held[office.id]
-    assert 0.9 * S <= large.size_ns <= 1.1 * S and large.sized, "another part of it, never asked for"
-    office.ask("small")
-    small = office.router.held[office.id]
-    assert 9 * MS <= small.size_ns <= 11 * MS and small.rich > 1.0 > large.rich
-    office.ask("other")
-    assert not office.router.held[office.id].sized
-    hit(office, "small", 1 * MS, same=True)  # no bytes came: nothing is learned
-    hit(office, "small", 0)
-    office.ask("small")
-    assert office.router.held[office.id].size_ns >= 9 * MS
-
-
-def test_sizes_are_kept_for_so_many_objects_only():
-    sizes = Sizes(most=8)
+        hit(driver, "small", 10 * MS)
+        hit(driver, "large", 900 * MS)
+        hit(driver, "large", 2_000 * MS)  # on a busy link; the shortest time counts
+    driver.ask("large", part=7)
+    large = driver.router.held[driver.id]
+    assert 0.9 * S <= large.size_ns <= 1.1 * S and large.size_known, (
+        "another part of the object, never requested before"
+    )
+    driver.ask("small")
+    small = driver.router.held[driver.id]
+    assert 9 * MS <= small.size_ns <= 11 * MS and small.limit_factor > 1.0 > large.limit_factor
+    driver.ask("other")
+    assert not driver.router.held[driver.id].size_known
+    hit(driver, "small", 1 * MS, same=True)  # answered without bytes: nothing is learned
+    hit(driver, "small", 0)
+    driver.ask("small")
+    assert driver.router.held[driver.id].size_ns >= 9 * MS
+
+
+def test_number_of_learned_sizes_is_limited():
+    sizes = Sizes(max_entries=8)
     for i in range(100):
         sizes.saw(f"o{i}", 5.0)
         sizes.saw("known", 7.0)
-    assert len(sizes) == 8 and sizes.guess("known") == 7.0 and sizes.guess("o1") is None
+    assert len(sizes) == 8 and sizes.estimate("known") == 7.0 and sizes.estimate("o1") is None
 
 
-def test_a_store_whose_reports_show_that_it_bears_more_is_given_more_and_broken_reports_tell_nothing(drive):
-    """A limit that starts low, as weights tell nothing, would hold a large store back for long."""
-    office = drive(weights="silent", report_fields=("active", "cpu", "x0", "x1"), classes=(make_class(),))
-    first = max(n.limit for n in office.router.caches)
+def test_reported_capacity_raises_the_limit_of_a_store_and_broken_reports_are_ignored(drive):
+    """Guards against long underuse of a large store whose limit starts low because its weight is unknown."""
+    driver = drive(weights="silent", report_fields=("active", "cpu", "x0", "x1"), classes=(make_class(),))
+    initial_limit = max(n.limit for n in driver.router.caches)
     for report in ((None, 0.5), (40.0,), (), (1.0, 0.01), (40.0, None)):
-        hit(office, "a", 10 * MS, report=report)
-    assert not any(n.bears for n in office.router.caches)
-    hit(office, "a", 10 * MS, report=(40.0, 0.4, 0.0, 0.0))
-    assert max(n.bears for n in office.router.caches) == 50.0 > 2 * first
-    acts = [office.ask("a") for _ in range(40)]
-    assert sum(bool(sends(a)) for a in acts) == 40
+        hit(driver, "a", 10 * MS, report=report)
+    assert not any(n.bears for n in driver.router.caches)
+    hit(driver, "a", 10 * MS, report=(40.0, 0.4, 0.0, 0.0))
+    assert max(n.bears for n in driver.router.caches) == 50.0 > 2 * initial_limit
+    actions = [driver.ask("a") for _ in range(40)]
+    assert sum(bool(sends(a)) for a in actions) == 40
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Each rule at its boundaries, without the bench."""
+"""Tests of the router's rules at their boundaries, through its events and actions."""
 
 import pytest
 from conftest import MS, ORIGIN, PARENTS, S, finals, fleet, make_class, member, sends
@@ -6,170 +6,170 @@
 from olivecourse import interface as w
 
 
-def timers(acts):
-    return [a for a in acts if isinstance(a, w.SetTimer)]
+def timers(actions):
+    return [a for a in actions if isinstance(a, w.SetTimer)]
 
 
-def test_the_deadline_timer_answers_once_and_late_outcomes_change_nothing(drive):
-    d = drive()
-    acts = d.ask("a", budget_ns=400 * MS)
-    (timer,) = timers(acts)
+def test_deadline_timer_answers_once_and_late_outcomes_change_nothing(drive):
+    driver = drive()
+    actions = driver.ask("a", budget_ns=400 * MS)
+    (timer,) = timers(actions)
     assert timer.delay_ns <= 400 * MS
-    assert len(finals(d.event(w.TimerFired(timer.token), after=timer.delay_ns))) == 1
-    assert d.end(w.Status.TIMEOUT, closed=False) == []
-    assert d.event(w.TimerFired(timer.token)) == []
+    assert len(finals(driver.event(w.TimerFired(timer.token), after=timer.delay_ns))) == 1
+    assert driver.end(w.Status.TIMEOUT, closed=False) == []
+    assert driver.event(w.TimerFired(timer.token)) == []
 
 
 def test_a_request_without_time_is_answered_at_once(drive):
-    d = drive()
-    assert len(finals(d.ask("a", budget_ns=0))) == 1
+    driver = drive()
+    assert len(finals(driver.ask("a", budget_ns=0))) == 1
 
 
-def test_client_gone_in_the_batch_that_ended_it(drive):
-    d = drive()
-    d.ask("a")
-    d.end(w.Status.SERVED)
-    assert d.event(w.ClientLeft(d.id)) == []
-    d.ask("a")
-    d.event(w.ClientLeft(d.id))
-    assert d.end(w.Status.ERROR, closed=True) == []
+def test_client_may_leave_just_after_its_request_was_answered(drive):
+    driver = drive()
+    driver.ask("a")
+    driver.end(w.Status.SERVED)
+    assert driver.event(w.ClientLeft(driver.id)) == []
+    driver.ask("a")
+    driver.event(w.ClientLeft(driver.id))
+    assert driver.end(w.Status.ERROR, closed=True) == []
 
 
-def test_attempts_are_not_more_than_allowed(drive):
-    d = drive(max_attempts=3)
-    acts, made = d.ask("a"), 0
-    while sends(acts):
-        made += 1
-        acts = d.end(w.Status.ERROR, attempt=made - 1, closed=False)
-    assert made == 3 and len(finals(acts)) == 1
+def test_number_of_attempts_is_limited(drive):
+    driver = drive(max_attempts=3)
+    actions, attempts = driver.ask("a"), 0
+    while sends(actions):
+        attempts += 1
+        actions = driver.end(w.Status.ERROR, attempt=attempts - 1, closed=False)
+    assert attempts == 3 and len(finals(actions)) == 1
 
 
-def test_at_most_once_goes_again_only_when_nothing_ran(drive):
-    d = drive(classes=(make_class(w.Effect.AT_MOST_ONCE),))
-    d.ask("a")
-    assert sends(d.end(w.Status.CONNECT_FAILED, closed=False))
-    acts = d.end(w.Status.ERROR, attempt=1, closed=False)
-    assert not sends(acts) and isinstance(finals(acts)[0], w.Fail)
+def test_at_most_once_request_is_retried_only_if_no_attempt_ran(drive):
+    driver = drive(classes=(make_class(w.Effect.AT_MOST_ONCE),))
+    driver.ask("a")
+    assert sends(driver.end(w.Status.CONNECT_FAILED, closed=False))
+    actions = driver.end(w.Status.ERROR, attempt=1, closed=False)
+    assert not sends(actions) and isinstance(finals(actions)[0], w.Fail)
 
 
-def test_keyed_goes_again_only_inside_its_window(drive):
-    d = drive(classes=(make_class(w.Effect.DEDUPLICATED),))
-    d.ask("a")
-    assert sends(d.end(w.Status.ERROR, after=1900 * MS, closed=False))
-    d.ask("a")
-    acts = d.end(w.Status.ERROR, after=2 * S, closed=False)
-    assert not sends(acts) and isinstance(finals(acts)[0], w.Refuse)
+def test_deduplicated_request_is_retried_only_within_its_key_window(drive):
+    driver = drive(classes=(make_class(w.Effect.DEDUPLICATED),))
+    driver.ask("a")
+    assert sends(driver.end(w.Status.ERROR, after=1900 * MS, closed=False))
+    driver.ask("a")
+    actions = driver.end(w.Status.ERROR, after=2 * S, closed=False)
+    assert not sends(actions) and isinstance(finals(actions)[0], w.Refuse)
 
 
 @pytest.mark.parametrize("scope", [w.Scope.CELL, w.Scope.ZONE])
-def test_keyed_stays_in_its_scope_and_is_not_refused_outside_all(drive, scope):
+def test_deduplicated_request_stays_in_its_key_scope_and_fails_instead_of_being_refused(drive, scope):
     members = [member(1, cell=1), member(2, cell=2), *fleet()[4:]]
-    d = drive(members=members, classes=(make_class(w.Effect.DEDUPLICATED, key_scope=scope),))
-    first = sends(d.ask("a"))[0].cache
-    acts = d.end(w.Status.ERROR, closed=False)
+    driver = drive(members=members, classes=(make_class(w.Effect.DEDUPLICATED, key_scope=scope),))
+    first = sends(driver.ask("a"))[0].cache
+    actions = driver.end(w.Status.ERROR, closed=False)
     if scope is w.Scope.CELL:
-        assert {a.cache for a in sends(acts)} <= {first}
-    acts = d.event(w.TimerFired(max(d.router.timers)), after=S)
-    assert isinstance(finals(acts)[0], w.Fail)
+        assert {a.cache for a in sends(actions)} <= {first}
+    actions = driver.event(w.TimerFired(max(driver.router.timers)), after=S)
+    assert isinstance(finals(actions)[0], w.Fail)
 
 
-def test_never_two_attempts_at_once_where_that_is_forbidden(drive):
-    d = drive()
+def test_request_never_has_two_attempts_in_flight(drive):
+    driver = drive()
     for _ in range(20):
-        d.ask("a", after=10 * MS)
+        driver.ask("a", after=10 * MS)
     for _ in range(20):
-        d.event(w.TimerFired(0), after=100 * MS)
-    assert all(len(h.out) <= 1 for h in d.router.held.values())
+        driver.event(w.TimerFired(0), after=100 * MS)
+    assert all(len(h.in_flight) <= 1 for h in driver.router.held.values())
 
 
 @pytest.mark.parametrize("state", [w.State.DRAINING, w.State.GONE])
-def test_nothing_goes_to_or_fills_from_what_drains(drive, state):
-    d = drive()
-    d.list([member(1, state=state), member(PARENTS[0], 1, 0, state=state)])
+def test_draining_or_gone_nodes_get_no_attempts_and_no_fills(drive, state):
+    driver = drive()
+    driver.list([member(1, state=state), member(PARENTS[0], 1, 0, state=state)])
     for i in range(40):
-        for sent in sends(d.ask(f"k{i}", after=100 * MS)):
+        for sent in sends(driver.ask(f"k{i}", after=100 * MS)):
             assert sent.cache != 1 and sent.source != PARENTS[0]
-        d.end(w.Status.SERVED)
+        driver.end(w.Status.SERVED)
 
 
-def test_a_whole_list_removes_what_it_lacks(drive):
-    d = drive()
-    d.list(fleet(3)[1:], w.ListKind.FULL)
-    assert all(sends(d.ask(f"k{i}", after=S))[0].cache != 1 for i in range(20))
+def test_full_list_removes_missing_caches(drive):
+    driver = drive()
+    driver.list(fleet(3)[1:], w.ListKind.FULL)
+    assert all(sends(driver.ask(f"k{i}", after=S))[0].cache != 1 for i in range(20))
 
 
-def cold_work(d, pick, seconds, each):
-    total = 0.0
-    for i in range(int(seconds * 100)):
-        for sent in sends(d.ask(f"k{i}", after=10 * MS)):
-            total += each if pick(sent) else 0.0
-            d.end(w.Status.SERVED, note=w.Note.FILLED)
-    return total
+def cold_work(driver, is_counted, duration_s, sending_s):
+    total_s = 0.0
+    for i in range(int(duration_s * 100)):
+        for sent in sends(driver.ask(f"k{i}", after=10 * MS)):
+            total_s += sending_s if is_counted(sent) else 0.0
+            driver.end(w.Status.SERVED, note=w.Note.FILLED)
+    return total_s
 
 
-def test_a_cold_cache_gets_less_than_its_budget_also_after_a_restart(drive):
-    d = drive()
-    d.list([member(1, ready_at_ns=d.now)])
-    each = d.router.size_ns[0] / S
-    work = cold_work(d, lambda a: a.cache == 1, 2, each)
-    assert 0 < work <= 2.0 * 8.0 * (0.2 + 0.8 * 0.2) * 2
+def test_cold_cache_gets_less_work_than_its_budget(drive):
+    driver = drive()
+    driver.list([member(1, ready_at_ns=driver.now)])
+    sending_s = driver.router.size_ns[0] / S
+    work_s = cold_work(driver, lambda a: a.cache == 1, 2, sending_s)
+    assert 0 < work_s <= 2.0 * 8.0 * (0.2 + 0.8 * 0.2) * 2
 
 
-def test_a_cold_parent_gets_less_than_its_share_of_the_budget(drive):
-    d = drive()
-    d.list([member(p, 1, 0, ready_at_ns=d.now, weight=20.0) for p in PARENTS])
-    each = d.router.size_ns[0] / S
-    work = cold_work(d, lambda a: a.source == PARENTS[0], 2, each)
-    assert 0 < work <= 2.0 * 20.0 * (0.1 + 0.9 * 0.1) * 2 / 3
+def test_cold_parent_gets_less_work_than_this_routers_share_of_its_budget(drive):
+    driver = drive()
+    driver.list([member(p, 1, 0, ready_at_ns=driver.now, weight=20.0) for p in PARENTS])
+    sending_s = driver.router.size_ns[0] / S
+    work_s = cold_work(driver, lambda a: a.source == PARENTS[0], 2, sending_s)
+    assert 0 < work_s <= 2.0 * 20.0 * (0.1 + 0.9 * 0.1) * 2 / 3
 
 
-def test_a_purged_object_is_answered_by_newer_copies_until_settled(drive):
-    d = drive()
-    d.event(w.Purged("a", None, 80 * MS))
-    d.event(w.Purged(None, 5, 10 * MS))
-    (sent,) = sends(d.ask("a", after=300 * MS))
-    assert sent.max_age_ns == 380 * MS and not sent.how & 1  # a fill under way may be older
-    (sent,) = sends(d.ask("b", group=5))
+def test_purge_bounds_the_age_of_copies_until_it_settles(drive):
+    driver = drive()
+    driver.event(w.Purged("a", None, 80 * MS))
+    driver.event(w.Purged(None, 5, 10 * MS))
+    (sent,) = sends(driver.ask("a", after=300 * MS))
+    assert sent.max_age_ns == 380 * MS and not sent.how & 1  # a fill in progress may carry an older copy
+    (sent,) = sends(driver.ask("b", group=5))
     assert sent.max_age_ns == 310 * MS
-    (sent,) = sends(d.ask("c", group=6))
+    (sent,) = sends(driver.ask("c", group=6))
     assert sent.max_age_ns == 0 and sent.how & 1
-    d.event(w.TimerFired(0), after=6 * S)
-    assert sends(d.ask("a"))[0].max_age_ns == 0
+    driver.event(w.TimerFired(0), after=6 * S)
+    assert sends(driver.ask("a"))[0].max_age_ns == 0
 
 
-def test_a_purge_bounds_fresh_copies_too(drive):
-    d = drive(classes=(make_class(fresh_ns=200 * MS),))
-    d.event(w.Purged("a", None, 80 * MS))
-    assert sends(d.ask("a"))[0].max_age_ns == 80 * MS
-    assert sends(d.ask("a", after=1 * S))[0].max_age_ns == 200 * MS
+def test_purge_and_freshness_bounds_are_combined(drive):
+    driver = drive(classes=(make_class(fresh_ns=200 * MS),))
+    driver.event(w.Purged("a", None, 80 * MS))
+    assert sends(driver.ask("a"))[0].max_age_ns == 80 * MS
+    assert sends(driver.ask("a", after=1 * S))[0].max_age_ns == 200 * MS
 
 
-def test_a_purge_told_again_does_not_forget_the_later_one(drive):
-    d = drive()
-    d.event(w.Purged("a", None, 0))
-    d.event(w.Purged("a", None, 900 * MS), after=100 * MS)
-    assert sends(d.ask("a"))[0].max_age_ns == 100 * MS
+def test_repeated_notice_of_an_older_purge_keeps_the_later_bound(drive):
+    driver = drive()
+    driver.event(w.Purged("a", None, 0))
+    driver.event(w.Purged("a", None, 900 * MS), after=100 * MS)
+    assert sends(driver.ask("a"))[0].max_age_ns == 100 * MS
 
 
-def test_empty_lists_and_zones_end_in_a_refusal(drive):
-    d = drive(members=())
-    assert isinstance(finals(d.ask("a"))[0], w.Refuse)
-    d = drive(members=fleet()[4:])
-    assert isinstance(finals(d.ask("a"))[0], w.Refuse)
+def test_request_is_refused_without_caches_in_the_zone(drive):
+    driver = drive(members=())
+    assert isinstance(finals(driver.ask("a"))[0], w.Refuse)
+    driver = drive(members=fleet()[4:])
+    assert isinstance(finals(driver.ask("a"))[0], w.Refuse)
 
 
-def test_a_zone_without_caches_asks_a_parent_that_fills_from_the_origin(drive):
-    d = drive(members=fleet()[4:], direct=True)
-    (sent,) = sends(d.ask("a"))
+def test_zone_without_caches_uses_a_parent_that_fills_from_the_origin(drive):
+    driver = drive(members=fleet()[4:], direct=True)
+    (sent,) = sends(driver.ask("a"))
     assert sent.cache in PARENTS and sent.source == ORIGIN
 
 
-def test_no_parent_up_fills_from_the_origin(drive):
-    d = drive(members=[*fleet()[:4], fleet()[-1]])
-    assert sends(d.ask("a"))[0].source == ORIGIN
+def test_without_parents_fills_come_from_the_origin(drive):
+    driver = drive(members=[*fleet()[:4], fleet()[-1]])
+    assert sends(driver.ask("a"))[0].source == ORIGIN
 
 
-def test_writes_reach_the_origin_by_a_permitted_way(drive):
+def test_writes_reach_the_origin_through_a_cache_or_directly(drive):
     write = make_class(w.Effect.DEDUPLICATED, write=True)
     (sent,) = sends(drive(classes=(write,)).ask("a"))
     assert sent.cache in (1, 2, 3, 4) and sent.source == ORIGIN and sent.rank == 0
@@ -177,178 +177,180 @@
     assert sent.cache == ORIGIN
 
 
-# Defences ------------------------------------------------------------------------------------------
+# Overload and failures ---------------------------------------------------------------------------
 
 
-def busy_hour(d, status, note, lag, n=60):
-    for i in range(n):
-        if sends(d.ask(f"k{i}", after=50 * MS)):
-            d.end(status, after=lag, note=note, closed=status is w.Status.SERVED)
+def busy_hour(driver, status, note, latency, count=60):
+    for i in range(count):
+        if sends(driver.ask(f"k{i}", after=50 * MS)):
+            driver.end(status, after=latency, note=note, closed=status is w.Status.SERVED)
 
 
-def test_late_fills_make_some_requests_take_a_hit_or_a_refusal(drive):
-    d = drive()
-    busy_hour(d, w.Status.SERVED, w.Note.FILLED, 2 * S)
-    assert d.router.fills[0] < 0.5
-    looks = [a for i in range(40) for a in sends(d.ask(f"n{i}", after=S)) if a.source == a.cache]
-    assert looks
-    last = d.id
+def test_after_late_fills_some_requests_get_only_a_hit_or_a_refusal(drive):
+    driver = drive()
+    busy_hour(driver, w.Status.SERVED, w.Note.FILLED, 2 * S)
+    assert driver.router.fills[0] < 0.5
+    hit_only = [a for i in range(40) for a in sends(driver.ask(f"n{i}", after=S)) if a.source == a.cache]
+    assert hit_only
+    last_id = driver.id
     for i in range(40):
-        (sent,) = sends(d.ask(f"m{i}", after=S)) or [None]
+        (sent,) = sends(driver.ask(f"m{i}", after=S)) or [None]
         if sent and sent.source == sent.cache:
             break
-        d.end(w.Status.SERVED, note=w.Note.HIT)
-    assert d.id != last and isinstance(finals(d.end(w.Status.MISS, closed=False))[0], w.Refuse)
-
-
-def test_late_fills_leave_the_limits_of_caches_alone_and_timely_ones_restore_filling(drive):
-    d = drive()
-    before = [n.limit for n in d.router.caches]
-    busy_hour(d, w.Status.SERVED, w.Note.FILLED, 2 * S)
-    assert all(n.limit >= b for n, b in zip(d.router.caches, before, strict=True))
-    busy_hour(d, w.Status.SERVED, w.Note.FILLED, 20 * MS, 400)
-    assert d.router.fills[0] >= 1.0
-
-
-def test_a_refusal_from_afar_is_the_sources_and_a_near_one_the_caches(drive):
-    d = drive()
-    sent = sends(d.ask("a"))[0]
-    acts = d.end(w.Status.FULL, after=60 * MS, closed=False)
-    assert sends(acts)[0].source != sent.source and d.router.nodes[sent.cache].pain == 0
-    d.ask("b")
-    node = d.router.attempts[(d.id, 0)][2]
-    d.end(w.Status.FULL, after=1 * MS, closed=False)
+        driver.end(w.Status.SERVED, note=w.Note.HIT)
+    assert driver.id != last_id and isinstance(finals(driver.end(w.Status.MISS, closed=False))[0], w.Refuse)
+
+
+def test_late_fills_do_not_lower_cache_limits_and_timely_fills_restore_the_share(drive):
+    driver = drive()
+    limits_before = [n.limit for n in driver.router.caches]
+    busy_hour(driver, w.Status.SERVED, w.Note.FILLED, 2 * S)
+    assert all(n.limit >= before for n, before in zip(driver.router.caches, limits_before, strict=True))
+    busy_hour(driver, w.Status.SERVED, w.Note.FILLED, 20 * MS, 400)
+    assert driver.router.fills[0] >= 1.0
+
+
+def test_slow_refusal_counts_against_the_source_and_fast_one_against_the_cache(drive):
+    driver = drive()
+    sent = sends(driver.ask("a"))[0]
+    actions = driver.end(w.Status.FULL, after=60 * MS, closed=False)
+    assert sends(actions)[0].source != sent.source and driver.router.nodes[sent.cache].pain == 0
+    driver.ask("b")
+    node = driver.router.attempts[(driver.id, 0)][2]
+    driver.end(w.Status.FULL, after=1 * MS, closed=False)
     assert node.pain > 0
 
 
-def test_a_failing_cache_loses_its_share_and_gets_it_back_by_and_by(drive):
-    d = drive()
-    bad = sends(d.ask("a"))[0].cache
-    d.end(w.Status.SERVED)
+def test_failing_cache_loses_traffic_and_regains_it_gradually(drive):
+    driver = drive()
+    failing_cache = sends(driver.ask("a"))[0].cache
+    driver.end(w.Status.SERVED)
     for i in range(150):
-        for sent in sends(d.ask(f"k{i}", after=20 * MS)):
-            ok = sent.cache != bad
-            d.end(w.Status.SERVED if ok else w.Status.ERROR, closed=ok, note=w.Note(int(ok)))
-            if not ok:
-                d.end(w.Status.SERVED, attempt=1, note=w.Note.HIT)
-    node = d.router.nodes[bad]
-    low = d.router._trust(node, d.router.caches)
-    assert low < 0.5
-    d.now += 4 * S
-    d.event(w.TimerFired(0))
-    assert low < d.router._trust(node, d.router.caches) <= 1.0
-
-
-def test_a_silent_cache_has_its_attempts_called_off_and_a_busy_one_not(drive):
-    d = drive()
+        for sent in sends(driver.ask(f"k{i}", after=20 * MS)):
+            served = sent.cache != failing_cache
+            driver.end(w.Status.SERVED if served else w.Status.ERROR, closed=served, note=w.Note(int(served)))
+            if not served:
+                driver.end(w.Status.SERVED, attempt=1, note=w.Note.HIT)
+    node = driver.router.nodes[failing_cache]
+    low_trust = driver.router._trust(node, driver.router.caches)
+    assert low_trust < 0.5
+    driver.now += 4 * S
+    driver.event(w.TimerFired(0))
+    assert low_trust < driver.router._trust(node, driver.router.caches) <= 1.0
+
+
+def test_attempts_at_a_silent_cache_are_cancelled_after_the_latency_target(drive):
+    driver = drive()
     for i in range(12):
-        d.ask(f"k{i}", after=10 * MS)
-    assert not [a for a in d.event(w.TimerFired(0), after=500 * MS) if isinstance(a, w.Cancel)]
-    assert [a for a in d.event(w.TimerFired(0), after=1500 * MS) if isinstance(a, w.Cancel)]
+        driver.ask(f"k{i}", after=10 * MS)
+    assert not [a for a in driver.event(w.TimerFired(0), after=500 * MS) if isinstance(a, w.Cancel)]
+    assert [a for a in driver.event(w.TimerFired(0), after=1500 * MS) if isinstance(a, w.Cancel)]
 
 
-def test_full_limits_are_refused_at_once_with_advice(drive):
-    d = drive()
-    acts = []
+def test_request_beyond_all_limits_is_refused_at_once_with_a_retry_delay(drive):
+    driver = drive()
+    actions = []
     for i in range(400):
-        acts = d.ask(f"k{i}", after=1 * MS)
-        if finals(acts):
+        actions = driver.ask(f"k{i}", after=1 * MS)
+        if finals(actions):
             break
-    (refusal,) = finals(acts)
-    assert refusal.retry_after_ns > 0 and not sends(acts)
+    (refusal,) = finals(actions)
+    assert refusal.retry_after_ns > 0 and not sends(actions)
 
 
-def test_a_dead_zone_is_passed_by_where_that_is_allowed(drive):
-    d = drive(direct=True)
+def test_zone_of_failed_caches_is_bypassed_if_allowed(drive):
+    driver = drive(direct=True)
     for i in range(60):
-        acts, n = d.ask(f"k{i}", after=5 * MS), 0
-        while sends(acts) and sends(acts)[0].cache < 50:
-            acts, n = d.end(w.Status.CONNECT_FAILED, attempt=n, closed=False), n + 1
-        last = acts
-        d.end(w.Status.SERVED, attempt=n) if sends(acts) else None
-    acts = last
-    assert sends(acts)[0].cache in PARENTS and sends(acts)[0].source == ORIGIN
-
-
-def test_discovery_that_must_be_asked_is_asked_again_after_a_pause(drive):
-    d = drive(ask_discovery=True)
-    assert w.Subscribe(True) in d.started
-    assert d.event(w.CacheList(0, w.ListKind.FAILED)) == []
-    assert w.Subscribe(True) not in d.event(w.TimerFired(0), after=100 * MS)
-    assert w.Subscribe(True) in d.event(w.TimerFired(0), after=S)
-    assert len(d.router.nodes) == 7  # the earlier list remains
-
-
-def test_changes_of_health_are_logged_once_each(drive):
-    d = drive()
+        actions, attempt = driver.ask(f"k{i}", after=5 * MS), 0
+        while sends(actions) and sends(actions)[0].cache < 50:
+            actions, attempt = driver.end(w.Status.CONNECT_FAILED, attempt=attempt, closed=False), attempt + 1
+        last_actions = actions
+        driver.end(w.Status.SERVED, attempt=attempt) if sends(actions) else None
+    actions = last_actions
+    assert sends(actions)[0].cache in PARENTS and sends(actions)[0].source == ORIGIN
+
+
+def test_failed_subscription_is_repeated_after_a_delay(drive):
+    driver = drive(ask_discovery=True)
+    assert w.Subscribe(True) in driver.started
+    assert driver.event(w.CacheList(0, w.ListKind.FAILED)) == []
+    assert w.Subscribe(True) not in driver.event(w.TimerFired(0), after=100 * MS)
+    assert w.Subscribe(True) in driver.event(w.TimerFired(0), after=S)
+    assert len(driver.router.nodes) == 7  # the earlier list stays in use
+
+
+def test_each_health_change_is_logged_once(drive):
+    driver = drive()
     logs = []
     for i in range(300):
-        for sent in sends(d.ask(f"k{i}", after=20 * MS)):
-            bad, n, acts = sent.cache == 1 and i < 100, 0, []
-            acts = d.end(w.Status.CONNECT_FAILED if bad else w.Status.SERVED, closed=not bad, note=w.Note.HIT)
-            while sends(acts):
-                logs += [a.text for a in acts if isinstance(a, w.Log)]
-                n += 1
-                acts = d.end(w.Status.SERVED, attempt=n, note=w.Note.HIT)
-            logs += [a.text for a in acts if isinstance(a, w.Log)]
+        for sent in sends(driver.ask(f"k{i}", after=20 * MS)):
+            fails, attempt, actions = sent.cache == 1 and i < 100, 0, []
+            actions = driver.end(
+                w.Status.CONNECT_FAILED if fails else w.Status.SERVED, closed=not fails, note=w.Note.HIT
+            )
+            while sends(actions):
+                logs += [a.text for a in actions if isinstance(a, w.Log)]
+                attempt += 1
+                actions = driver.end(w.Status.SERVED, attempt=attempt, note=w.Note.HIT)
+            logs += [a.text for a in actions if isinstance(a, w.Log)]
     assert logs[0] == "cache 1 fails" and logs[-1] == "cache 1 serves again" and len(logs) < 12
 
 
-def test_a_clients_repeat_gets_less_room_than_a_first_try(drive):
-    d, room = drive(), {}
+def test_client_repeats_get_a_smaller_share_of_the_limits(drive):
+    driver, accepted = drive(), {}
     for flag in (w.Flag(0), w.Flag.REPEAT):
-        d = drive(members=[member(1), *fleet()[4:]])
-        room[flag] = 0
-        while sends(d.ask(f"k{room[flag]}", flags=flag)):
-            room[flag] += 1
-    assert 0 < room[w.Flag.REPEAT] <= room[w.Flag(0)] * 0.6
-
-
-def test_a_source_hurts_while_its_attempts_hang_where_sizes_are_told(drive):
-    for size, hurts in ((100.0, True), (None, False)):
-        d = drive()
-        source = d.router.nodes[sends(d.ask("a", size_kb=size))[0].source]
-        d.event(w.TimerFired(0), after=500 * MS)
+        driver = drive(members=[member(1), *fleet()[4:]])
+        accepted[flag] = 0
+        while sends(driver.ask(f"k{accepted[flag]}", flags=flag)):
+            accepted[flag] += 1
+    assert 0 < accepted[w.Flag.REPEAT] <= accepted[w.Flag(0)] * 0.6
+
+
+def test_slow_source_is_detected_while_attempts_are_unanswered_if_sizes_are_reported(drive):
+    for size, detected in ((100.0, True), (None, False)):
+        driver = drive()
+        source = driver.router.nodes[sends(driver.ask("a", size_kb=size))[0].source]
+        driver.event(w.TimerFired(0), after=500 * MS)
         assert source.pain == 0
-        d.event(w.TimerFired(0), after=700 * MS)
-        assert (source.pain > 0) == hurts
+        driver.event(w.TimerFired(0), after=700 * MS)
+        assert (source.pain > 0) == detected
 
 
-def test_where_notes_are_silent_late_answers_lower_the_share_that_fills(drive):
-    d = drive(notes="silent")
-    busy_hour(d, w.Status.SERVED, w.Note.NONE, 2 * S)
-    assert d.router.fills[0] < 0.5
-    busy_hour(d, w.Status.SERVED, w.Note.NONE, 20 * MS, 400)
-    assert d.router.fills[0] >= 1.0
+def test_without_notes_late_answers_lower_the_fill_share(drive):
+    driver = drive(notes="silent")
+    busy_hour(driver, w.Status.SERVED, w.Note.NONE, 2 * S)
+    assert driver.router.fills[0] < 0.5
+    busy_hour(driver, w.Status.SERVED, w.Note.NONE, 20 * MS, 400)
+    assert driver.router.fills[0] >= 1.0
 
 
-def test_large_objects_of_untold_size_do_not_hold_fills_back(drive):
-    d = drive()
+def test_large_objects_of_unreported_size_do_not_restrict_fills(drive):
+    driver = drive()
     for i in range(400):
-        d.ask(f"k{i}", after=20 * MS)
-        d.end(w.Status.SERVED, after=(4000 if i % 12 == 0 else 200) * MS, note=w.Note.HIT)
+        driver.ask(f"k{i}", after=20 * MS)
+        driver.end(w.Status.SERVED, after=(4000 if i % 12 == 0 else 200) * MS, note=w.Note.HIT)
     for i in range(60):
-        d.ask(f"m{i}", after=20 * MS)
-        d.end(w.Status.SERVED, after=(3500 if i % 12 == 0 else 200) * MS, note=w.Note.FILLED)
-    assert d.router.fills[0] >= 1.0
+        driver.ask(f"m{i}", after=20 * MS)
+        driver.end(w.Status.SERVED, after=(3500 if i % 12 == 0 else 200) * MS, note=w.Note.FILLED)
+    assert driver.router.fills[0] >= 1.0
 
 
 @pytest.mark.parametrize("status", [w.Status.RESET, w.Status.ERROR])
-def test_a_lost_answer_is_asked_for_again_where_its_copy_is(drive, status):
-    d = drive()
-    first = sends(d.ask("a"))[0].cache
-    again = sends(d.end(status, after=20 * MS, closed=False))[0].cache
+def test_retry_after_a_lost_response_uses_the_same_cache(drive, status):
+    driver = drive()
+    first = sends(driver.ask("a"))[0].cache
+    again = sends(driver.end(status, after=20 * MS, closed=False))[0].cache
     assert (again == first) == (status is w.Status.RESET)
 
 
-def test_a_cache_that_loses_some_answers_keeps_its_traffic_and_a_dead_one_does_not(drive):
-    d = drive()
+def test_cache_that_loses_some_responses_keeps_its_traffic_and_a_failed_one_does_not(drive):
+    driver = drive()
     for i in range(200):
-        sent, n = sends(d.ask(f"k{i}", after=50 * MS)), 0
+        sent, n = sends(driver.ask(f"k{i}", after=50 * MS)), 0
         while sent and n < 2:
             lost = n == 0 and i % 5 == 0
             sent = sends(
-                d.end(
+                driver.end(
                     w.Status.RESET if lost else w.Status.SERVED,
                     attempt=n,
                     after=50 * MS,
@@ -356,130 +358,142 @@
                 )
             )
             n += 1
-    assert all(d.router._trust(n, d.router.caches) > 0.9 for n in d.router.caches)
-    dead = d.router.caches[0]
+    assert all(driver.router._trust(n, driver.router.caches) > 0.9 for n in driver.router.caches)
+    dead_node = driver.router.caches[0]
     for i in range(100):
-        acts, n = d.ask(f"d{i}", after=50 * MS), 0
-        while sends(acts):
-            gone = sends(acts)[0].cache == dead.member.cache
-            status = w.Status.CONNECT_FAILED if gone else w.Status.SERVED
-            acts = d.end(status, attempt=n, note=w.Note(int(not gone)))
+        actions, n = driver.ask(f"d{i}", after=50 * MS), 0
+        while sends(actions):
+            to_dead = sends(actions)[0].cache == dead_node.member.cache
+            status = w.Status.CONNECT_FAILED if to_dead else w.Status.SERVED
+            actions = driver.end(status, attempt=n, note=w.Note(int(not to_dead)))
             n += 1
-    assert d.router._trust(dead, d.router.caches) < 0.5
+    assert driver.router._trust(dead_node, driver.router.caches) < 0.5
 
 
 def side_by_side(drive, parent, seconds, routers=120):
-    """Sending time that many routers together ask of one cold node, and the budget of that span."""
-    many = [drive(routers=routers, zone_routers=(0, routers), seed=i) for i in range(routers)]
-    total, count = 0.0, 0
-    for i, d in enumerate(many):
+    """Returns the work and attempts that many routers send to one cold node, and the node's budget."""
+    drivers = [drive(routers=routers, zone_routers=(0, routers), seed=i) for i in range(routers)]
+    total_s, sends_count = 0.0, 0
+    for i, driver in enumerate(drivers):
         weight = 20.0 if parent else 8.0
-        ids = PARENTS[:1] if parent else (1,)
-        d.list([member(n, int(parent), int(not parent), ready_at_ns=d.now, weight=weight) for n in ids])
-        for k in range(seconds * 4):
-            for sent in sends(d.ask(f"k{i}.{k}", after=250 * MS)):
-                if ids[0] in (sent.cache, sent.source):
-                    total, count = total + d.router.size_ns[0] / S, count + 1
-                d.end(w.Status.SERVED, note=w.Note.FILLED)
+        cold_ids = PARENTS[:1] if parent else (1,)
+        driver.list(
+            [
+                member(cache, int(parent), int(not parent), ready_at_ns=driver.now, weight=weight)
+                for cache in cold_ids
+            ]
+        )
+        for number in range(seconds * 4):
+            for sent in sends(driver.ask(f"k{i}.{number}", after=250 * MS)):
+                if cold_ids[0] in (sent.cache, sent.source):
+                    total_s, sends_count = total_s + driver.router.size_ns[0] / S, sends_count + 1
+                driver.end(w.Status.SERVED, note=w.Note.FILLED)
     floor, ramp = (0.1, 20) if parent else (0.2, 10)
-    return total, count, 2.0 * weight * (floor + (1 - floor) * seconds / ramp) * seconds
+    return total_s, sends_count, 2.0 * weight * (floor + (1 - floor) * seconds / ramp) * seconds
 
 
 @pytest.mark.parametrize("parent", [False, True])
-def test_many_routers_keep_a_cold_nodes_budget_together_and_still_warm_it(drive, parent):
-    total, count, budget = side_by_side(drive, parent, 2)
-    assert count >= 4 and total <= budget
+def test_many_routers_together_stay_within_a_cold_nodes_budget_but_use_it(drive, parent):
+    total_s, count, budget = side_by_side(drive, parent, 2)
+    assert count >= 4 and total_s <= budget
 
 
-def test_limits_far_below_one_attempt_shed_most_but_not_all(drive):
-    d = drive(zone_routers=(0, 20), routers=20)
-    for node in d.router.caches:
+def test_limits_far_below_one_admit_some_requests(drive):
+    driver = drive(zone_routers=(0, 20), routers=20)
+    for node in driver.router.caches:
         node.limit = 0.1
     served = 0
     for i in range(200):
-        if sends(d.ask(f"k{i}", after=S)):
+        if sends(driver.ask(f"k{i}", after=S)):
             served += 1
-            d.router.attempts.clear()
-            for node in d.router.caches:
-                node.out.clear()
+            driver.router.attempts.clear()
+            for node in driver.router.caches:
+                node.in_flight.clear()
     assert 20 < served < 140
 
 
-def test_a_dead_parent_is_passed_by_although_the_fills_of_the_other_are_slow(drive):
-    d = drive()
+def test_failed_parent_is_avoided_even_if_the_other_parent_has_slow_fills(drive):
+    driver = drive()
     first, second = PARENTS
-    for cache, pain in ((first, 0.95), (second, 0.45)):
-        d.router.nodes[cache].pain, d.router.nodes[cache].pain_at = pain, d.now
+    for cache, score in ((first, 0.95), (second, 0.45)):
+        driver.router.nodes[cache].pain, driver.router.nodes[cache].pain_at = score, driver.now
     used = set()
     for i in range(40):
-        used.add(sends(d.ask(f"{i:016x}"))[0].source)
-        d.event(w.ClientLeft(d.id))
-        d.end(w.Status.CANCELLED)
+        used.add(sends(driver.ask(f"{i:016x}"))[0].source)
+        driver.event(w.ClientLeft(driver.id))
+        driver.end(w.Status.CANCELLED)
     assert used == {second}
 
 
 @pytest.mark.parametrize("status", [w.Status.CANCELLED, w.Status.TIMEOUT])
-def test_answers_that_never_come_do_not_hold_fills_back(drive, status):
-    d = drive()
+def test_missing_answers_do_not_restrict_fills(drive, status):
+    driver = drive()
     for i in range(40):
-        d.ask(f"{i:016x}")
-        d.event(w.ClientLeft(d.id))
-        d.end(status, after=2 * S)
-    assert min(d.router.fills) > 1.0
+        driver.ask(f"{i:016x}")
+        driver.event(w.ClientLeft(driver.id))
+        driver.end(status, after=2 * S)
+    assert min(driver.router.fills) > 1.0
 
 
-def test_a_request_that_nobody_can_use_hurts_no_store_and_is_given_up(drive):
-    d = drive()
+def test_request_that_every_store_rejects_is_refused_without_charging_the_stores(drive):
+    driver = drive()
     for i in range(8):
-        acts, made = d.ask(f"{i:016x}"), 0
-        while sends(acts):
-            acts, made = d.end(w.Status.ERROR, attempt=made, closed=False), made + 1
-        assert made == 3 and isinstance(finals(acts)[0], w.Refuse)
-    assert not any(n.pain for n in d.router.nodes.values())
-
-
-def test_an_error_counts_once_the_request_was_served_elsewhere(drive):
-    d = drive()
-    d.ask()
-    (first,) = [n for n in d.router.nodes.values() if n.out]
-    d.end(w.Status.ERROR, closed=False)
+        actions, attempts = driver.ask(f"{i:016x}"), 0
+        while sends(actions):
+            actions, attempts = driver.end(w.Status.ERROR, attempt=attempts, closed=False), attempts + 1
+        assert attempts == 3 and isinstance(finals(actions)[0], w.Refuse)
+    assert not any(n.pain for n in driver.router.nodes.values())
+
+
+def test_error_is_charged_once_another_cache_has_served_the_request(drive):
+    driver = drive()
+    driver.ask()
+    (first,) = [n for n in driver.router.nodes.values() if n.in_flight]
+    driver.end(w.Status.ERROR, closed=False)
     assert not first.pain
-    d.end(w.Status.SERVED, attempt=1)
+    driver.end(w.Status.SERVED, attempt=1)
     assert first.pain
 
 
-def test_a_cold_store_of_untold_weight_is_budgeted_by_the_least_that_its_kind_reports_to_bear(drive):
-    """Where weights are not told, one transfer was taken for the weight of each: an office of two cold stores
-    refused a third of its requests."""
+def test_cold_store_without_weight_is_budgeted_by_the_smallest_reported_capacity_of_its_kind(drive):
+    """Guards against assuming a capacity of one transfer for every store of unknown weight.
+
+    With that assumption a zone with two cold stores refused a third of its requests.
+    """
     cold, others = member(9, ready_at_ns=100 * S - MS), fleet()
-    mute, telling = (
+    without_reports, with_reports = (
         drive(members=(*others, cold), weights="silent", report_fields=("active", "cpu")) for _ in range(2)
     )
-    for office in (mute, telling):
+    for driver in (without_reports, with_reports):
         for i in range(60):
-            office.ask(f"k{i}", 20 * MS)
-            cache = office.router.attempts[(office.id, 0)][2].member.cache
-            report = (16.0 + cache, 0.5) if office is telling and cache != 9 else None
-            office.end(w.Status.SERVED, after=5 * MS, note=w.Note.HIT, report=report)
-        for n in office.router.nodes.values():
-            n.credit, n.credit_at = 0.0, office.now
-    weights = [office.router.reports.least(cold, office.router.caches) for office in (mute, telling)]
-    assert weights[0] == 1.0 and 16.0 <= weights[1] <= 20.0, "half of what the least of them seems to bear"
-    assert telling.router.reports.least(member(8, kind=7), telling.router.caches) == 1.0, "of another kind"
-
-
-def test_what_finds_its_caches_full_passes_them_by_only_as_far_as_hub_caches_have_much_room(drive):
-    """On a busy day the office's link was jammed by what passed full caches by."""
-
-    def passed(full):
-        office = drive(direct=True, weights="silent")
-        for n in office.router.caches:
+            driver.ask(f"k{i}", 20 * MS)
+            cache = driver.router.attempts[(driver.id, 0)][2].member.cache
+            report = (16.0 + cache, 0.5) if driver is with_reports and cache != 9 else None
+            driver.end(w.Status.SERVED, after=5 * MS, note=w.Note.HIT, report=report)
+        for n in driver.router.nodes.values():
+            n.credit, n.credit_at = 0.0, driver.now
+    weights = [
+        driver.router.reports.min_capacity(cold, driver.router.caches)
+        for driver in (without_reports, with_reports)
+    ]
+    assert weights[0] == 1.0 and 16.0 <= weights[1] <= 20.0, "half of the smallest estimated capacity"
+    assert with_reports.router.reports.min_capacity(member(8, kind=7), with_reports.router.caches) == 1.0, (
+        "no reports for this kind"
+    )
+
+
+def test_requests_bypass_full_caches_less_often_than_failed_ones(drive):
+    """Guards against overload of the zone's link by requests that bypass full caches on a busy day."""
+
+    def bypass_count(full):
+        driver = drive(direct=True, weights="silent")
+        for n in driver.router.caches:
             n.limit = 0.0 if full else n.limit
-            n.pain, n.pain_at = (0.0, 0) if full else (1.0, office.now)
+            n.pain, n.pain_at = (0.0, 0) if full else (1.0, driver.now)
         return sum(
             isinstance(a, w.ReadThrough) and a.cache in PARENTS
             for i in range(60)
-            for a in office.ask(f"k{i}")
+            for a in driver.ask(f"k{i}")
         )
 
-    assert 0 < passed(full=True) < passed(full=False) / 2
+    assert 0 < bypass_count(full=True) < bypass_count(full=False) / 2
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The adapter through text lines."""
+"""Tests of the wire adapter through its text lines."""
 
 import io
 
@@ -31,7 +31,7 @@
     assert any(x.startswith("AFTER gateway/3 ") for x in reply)
 
 
-def test_list_numbers_may_be_used_again_in_a_batch():
+def test_list_numbers_may_be_reused_within_a_batch():
     code, reply = run(
         "CLOCK 1000",
         f"INIT gateway/3 5 {CONF}",
@@ -49,7 +49,7 @@
     assert code == 0 and any(x.startswith("READ_THROUGH gateway/3 06365a895d3a91c4 13 ") for x in reply)
 
 
-def test_a_kill_and_a_start_in_one_batch_forget_everything():
+def test_restart_within_a_batch_discards_all_state():
     code, reply = run(
         *START,
         ASK,
@@ -61,7 +61,7 @@
     assert code == 0 and sum(x.startswith("READ_THROUGH") for x in reply) == 1
 
 
-def test_unknown_events_settings_and_ids_are_passed_over():
+def test_unknown_events_settings_and_ids_are_ignored():
     code, reply = run(
         "CLOCK 1",
         f"INIT gateway/3 5 {CONF} shoe.size=9",
@@ -89,13 +89,13 @@
         ("INIT gateway/3 5 profiles.count=1 profiles.0.effect=maybe", "effect"),
     ],
 )
-def test_malformed_lines_end_with_one_plain_message(line, field, capsys):
+def test_malformed_line_ends_the_run_with_one_line_naming_the_field(line, field, capsys):
     code, _ = run("CLOCK 1", line, "FLUSH")
     err = capsys.readouterr().err
     assert code == 2 and err.startswith("line 2: ") and field in err and err.count("\n") == 1
 
 
-def test_an_exception_in_one_instance_is_reported_and_spares_the_others(monkeypatch):
+def test_exception_in_one_instance_is_reported_and_does_not_affect_the_others(monkeypatch):
     plain = wirehost.Router.handle
 
     def fail(self, event, now):
@@ -116,7 +116,7 @@
     assert any(x.startswith("READ_THROUGH gateway/4") for x in reply)
 
 
-def test_settings_are_typed_and_absent_ones_keep_their_meaning():
+def test_settings_are_converted_and_absent_ones_keep_their_defaults():
     s = read_settings(
         9,
         [
