--- a/olivecourse/__init__.py
+++ b/olivecourse/__init__.py
@@ -1,4 +1,4 @@
-"""olivecourse: the decisions of a request router for caches that fill from parents and an origin."""
+"""Routing decisions for a request router in front of caches that fill from parents and an origin."""
 
 from olivecourse.choice import Router
 
--- a/olivecourse/choice.py
+++ b/olivecourse/choice.py
@@ -236,13 +236,13 @@
         if known_time := reported_time or self.sizes.estimate(ask.object or ""):
             self._learn_sending_time(ask.cls, known_time)
         sending_time = known_time or self.size_ns[ask.cls]
-        budget_ns = request_class.deadline_ns if ask.budget_ns is None else ask.budget_ns
+        time_budget = request_class.deadline_ns if ask.budget_ns is None else ask.budget_ns
         # Departure: a cache stores each part of an object separately, so each part is an object of its own on
         # the ring.
         key = ask.object or ask.request
         key = f"{key}/{ask.part}" if ask.part else key
         pending = self.held[ask.request] = PendingRequest(
-            ask, request_class, self.now + budget_ns, sending_time, write, key, size_known=bool(known_time)
+            ask, request_class, self.now + time_budget, sending_time, write, key, size_known=bool(known_time)
         )
         limit_factor = min(
             max(
@@ -258,7 +258,7 @@
         self.timers[self.last_token] = ask.request
         # The timer fires just before the deadline, so that the router's own answer arrives before the request
         # is overdue.
-        self.actions.append(w.SetTimer(max(budget_ns - self.s.tick_ns, 0), self.last_token))
+        self.actions.append(w.SetTimer(max(time_budget - self.s.tick_ns, 0), self.last_token))
         if ask.object is not None and not write and not flags & w.Flag.REPEAT:
             # Departure: where sizes are reported, load is measured in sending time, because the number of
             # requests does not show that a large object fills a link.
@@ -266,7 +266,7 @@
             self.distinct.add(key)
         self.retry_budget = min(self.retry_budget + RETRIES_PER_REQUEST, MAX_SAVED_RETRIES)
         admitted = self.limits is None or self.limits.admit(
-            ask, sending_time, float(budget_ns), len(self.held) - 1
+            ask, sending_time, float(time_budget), len(self.held) - 1
         )
         (self._send if admitted else self._give_up)(pending)
 
@@ -297,8 +297,8 @@
         Departure: a count that exceeds T within the current interval takes effect at once, because popularity
         can rise suddenly.
         """
-        count = max(self.counts.get(key, 0.0), self.counter.count(key))
-        return math.ceil(count / self.t) if count > self.t else 1
+        load = max(self.counts.get(key, 0.0), self.counter.count(key))
+        return math.ceil(load / self.t) if load > self.t else 1
 
     def _pick_cache(self, pending: PendingRequest) -> Node | None:
         """Returns the first suitable cache on the ring from the position of a random name of the object.
@@ -811,12 +811,14 @@
             and (source is None or self._pain(source) <= SLACK)
         )
 
-    def _on_cache_list(self, event: w.CacheList) -> None:
+    def _on_cache_list(self, cache_list: w.CacheList) -> None:
         """Applies a list from discovery: updates the nodes and rebuilds the ring."""
-        self.next_subscribe_at = self.now + RESUBSCRIBE_NS if event.kind is w.ListKind.FAILED else math.inf
+        self.next_subscribe_at = (
+            self.now + RESUBSCRIBE_NS if cache_list.kind is w.ListKind.FAILED else math.inf
+        )
         old = self.nodes
-        self.nodes = {} if event.kind in (w.ListKind.FULL, w.ListKind.HELD) else dict(old)
-        for entry in event.members:
+        self.nodes = {} if cache_list.kind in (w.ListKind.FULL, w.ListKind.HELD) else dict(old)
+        for entry in cache_list.members:
             known = old.get(entry.cache)
             if entry.state is w.State.GONE:
                 self.nodes.pop(entry.cache, None)
@@ -860,9 +862,9 @@
             (n, max(1, round(POINTS_PER_CACHE * (n.member.weight or 1.0) / mean_weight))) for n in self.caches
         )
 
-    def _on_purged(self, event: w.Purged) -> None:
+    def _on_purged(self, purge: w.Purged) -> None:
         """Records a purge of an object or group, which bounds the age of usable copies until the purge
         settles."""
-        key = event.group if event.object is None else event.object  # a group is a number, an object a string
-        at, settles = self.now - (event.age_ns or 0), self.s.purge_settles_ns
+        key = purge.group if purge.object is None else purge.object  # a group is a number, an object a string
+        at, settles = self.now - (purge.age_ns or 0), self.s.purge_settles_ns
         self.purges.add(key, at, self.now + settles, self.now, 0 < settles <= self.now - at)
--- a/olivecourse/sketch.py
+++ b/olivecourse/sketch.py
@@ -57,7 +57,7 @@
     def frequent(self, support: float) -> list[tuple[str, float]]:
         """Returns all keys whose true count is at least support x total, with their counts, largest first."""
         floor = (support - self.error) * self.total
-        found = [(key, entry[0]) for key, entry in self._entries.items() if entry[0] >= floor]
+        found = [(item, entry[0]) for item, entry in self._entries.items() if entry[0] >= floor]
         return sorted(found, key=lambda pair: (-pair[1], pair[0]))
 
 
--- a/olivecourse/wirehost.py
+++ b/olivecourse/wirehost.py
@@ -1,5 +1,7 @@
-"""The wire adapter: reads batches from standard input, hands each event to its instance's Router, writes
-the actions. Nothing is decided here."""
+"""Wire adapter: passes events from standard input to Routers and writes their actions to standard output.
+
+Input comes in batches of lines, each batch closed by FLUSH. The adapter makes no routing decisions.
+"""
 
 from __future__ import annotations
 
@@ -11,37 +13,37 @@
 from olivecourse import interface as w
 from olivecourse.choice import Router
 from olivecourse.config.settings import Convert, Malformed, read_settings
-from olivecourse.config.settings import read_flag as _flag
+from olivecourse.config.settings import read_flag as _read_flag
 
 
-def _flags(text: str) -> w.Flag:
+def _read_flags(text: str) -> w.Flag:
     return w.Flag(int(text))
 
 
-def _note(text: str) -> w.Note:
-    known = int(text)
-    return w.Note(known) if known in list(w.Note) else w.Note.NONE
+def _read_note(text: str) -> w.Note:
+    number = int(text)
+    return w.Note(number) if number in list(w.Note) else w.Note.NONE
 
 
-def _object(text: str) -> str | None:
+def _read_object(text: str) -> str | None:
     return None if text == "0" else text
 
 
-def _report(text: str) -> tuple[float | None, ...]:
-    return tuple(None if v in ("-", "") else float(v) for v in text.split(","))
+def _read_report(text: str) -> tuple[float | None, ...]:
+    return tuple(None if value in ("-", "") else float(value) for value in text.split(","))
 
 
-def _request_id(text: str) -> str:
+def _read_request_id(text: str) -> str:
     int(text, 16)
     return text
 
 
-# The fields of each event after the instance, in the wire's order; they match the event's own order.
+# Fields of each event after the instance, in the order of the wire, which is also that of the event type.
 EVENTS: dict[str, tuple[type, tuple[tuple[str, Convert], ...]]] = {
     "INGRESS": (
         w.Request,
         (
-            ("msg_id", _request_id),
+            ("msg_id", _read_request_id),
             ("tier_class", int),
             ("client_group", int),
             ("content_id", str),
@@ -49,29 +51,29 @@
             ("length_kb", float),
             ("tag", int),
             ("part", int),
-            ("opts", _flags),
+            ("opts", _read_flags),
         ),
     ),
-    "BEGUN": (w.StreamBegan, (("msg_id", _request_id), ("lag_ns", int), ("cache", int), ("leg", int))),
+    "BEGUN": (w.StreamBegan, (("msg_id", _read_request_id), ("lag_ns", int), ("cache", int), ("leg", int))),
     "ATTEMPT_END": (
         w.AttemptEnded,
         (
-            ("msg_id", _request_id),
+            ("msg_id", _read_request_id),
             ("leg", int),
             ("cache", int),
             ("reason", w.Status),
             ("lag_ns", int),
-            ("no_more", _flag),
-            ("remark", _note),
+            ("no_more", _read_flag),
+            ("remark", _read_note),
             ("source_wait_ns", int),
-            ("feedback", _report),
+            ("feedback", _read_report),
         ),
     ),
-    "LEFT": (w.ClientLeft, (("msg_id", _request_id),)),
+    "LEFT": (w.ClientLeft, (("msg_id", _read_request_id),)),
     "RING": (w.TimerFired, (("handle", int),)),
-    "PONG": (w.Probed, (("cache", int), ("reason", w.Status), ("lag_ns", int), ("feedback", _report))),
+    "PONG": (w.Probed, (("cache", int), ("reason", w.Status), ("lag_ns", int), ("feedback", _read_report))),
     "MEMO": (w.PeerMessage, (("from", int), ("content", b64decode))),
-    "OUTDATED": (w.Purged, (("content_id", _object), ("bucket", int), ("oldness_ns", int))),
+    "OUTDATED": (w.Purged, (("content_id", _read_object), ("bucket", int), ("oldness_ns", int))),
 }
 CACHE: tuple[tuple[str, Convert], ...] = (
     ("cache", int),
@@ -97,14 +99,14 @@
     w.TellPeer: "POST",
     w.Log: "NOTE_DOWN",
 }
-NAMES = {kind: tuple(f.name for f in fields(kind)) for kind in ACTIONS}
+ACTION_FIELDS = {kind: tuple(f.name for f in fields(kind)) for kind in ACTIONS}
 
 
-def _read(parts: list[str], layout: tuple[tuple[str, Convert], ...]) -> list[Any]:
-    """Converts the parts by their layout; absent ones become None, further ones are passed over."""
+def _read_fields(texts: list[str], layout: tuple[tuple[str, Convert], ...]) -> list[Any]:
+    """Converts the texts of a line by its layout; absent values become None, surplus texts are ignored."""
     values: list[Any] = []
-    for i, (name, convert) in enumerate(layout):
-        text = parts[i] if i < len(parts) else "-"
+    for index, (name, convert) in enumerate(layout):
+        text = texts[index] if index < len(texts) else "-"
         try:
             values.append(None if text in ("-", "") else convert(text))
         except ValueError:
@@ -112,110 +114,117 @@
     return values
 
 
-def _typed(kind: type, values: list[Any]) -> Any:
-    """Builds the event; None stays only where the type has a default."""
-    slots = fields(kind)
-    for field, value in zip(slots, values, strict=True):
+def _build(event_type: type, values: list[Any]) -> Any:
+    """Builds an event or member; a missing value takes the field's default, or is an error without one."""
+    event_fields = fields(event_type)
+    for field, value in zip(event_fields, values, strict=True):
         if value is None and field.type in ("str", "int", "Status", "ListKind"):
             raise Malformed(f"{field.name}: missing")
-    return kind(*(f.default if v is None else v for f, v in zip(slots, values, strict=True)))
+    return event_type(
+        *(f.default if value is None else value for f, value in zip(event_fields, values, strict=True))
+    )
 
 
 class Host:
-    """One Router per running instance, and the lists that events refer to."""
+    """Holds one Router per running instance, and the member lists that events refer to by number."""
 
     def __init__(self) -> None:
         self.now = 0
         self.routers: dict[str, Router] = {}
         self.lists: dict[int, list[w.Member]] = {}
-        self.filling: list[w.Member] = []
-        self.due = 0
-
-    def line(self, text: str) -> list[str]:
-        """The reply lines for one line of a batch."""
-        head, *parts = text.split(" ")
-        if self.due and head == "CACHE":
-            self.filling.append(_typed(w.Member, [*_read(parts, CACHE), ""]))  # no address is told here
-            self.due -= 1
-        elif self.due:
-            raise Malformed(f"members: {self.due} more CACHE lines expected")
-        elif head == "REGISTER":
-            page, self.due = _read(parts, (("page", int), ("members", int)))
-            if page is None or self.due is None:
+        self.current_list: list[w.Member] = []
+        self.members_due = 0
+
+    def handle_line(self, text: str) -> list[str]:
+        """Processes one line of a batch and returns the reply lines."""
+        command, *parts = text.split(" ")
+        if self.members_due and command == "CACHE":
+            # The wire carries no address, so `Member.life` stays empty.
+            self.current_list.append(_build(w.Member, [*_read_fields(parts, CACHE), ""]))
+            self.members_due -= 1
+        elif self.members_due:
+            raise Malformed(f"members: {self.members_due} more CACHE lines expected")
+        elif command == "REGISTER":
+            list_number, self.members_due = _read_fields(parts, (("page", int), ("members", int)))
+            if list_number is None or self.members_due is None:
                 raise Malformed("page or members: missing")
-            self.lists[page] = self.filling = []
-        elif head == "CLOCK":
-            self.now = _read(parts, (("clock", int),))[0]
+            self.lists[list_number] = self.current_list = []
+        elif command == "CLOCK":
+            self.now = _read_fields(parts, (("clock", int),))[0]
             if self.now is None:
                 raise Malformed("clock: missing")
-        elif head == "INIT":
+        elif command == "INIT":
             return self._start(parts)
-        elif head == "CRASH_NOW":
+        elif command == "CRASH_NOW":
             self.routers.pop(parts[0] if parts else "", None)
-        elif head == "ENDPOINTS":
-            version, kind, page = _read(parts[1:], ENDPOINTS)
+        elif command == "ENDPOINTS":
+            version, kind, list_number = _read_fields(parts[1:], ENDPOINTS)
             if kind is None:
                 raise Malformed("form: missing")
-            members = () if kind is w.ListKind.FAILED else tuple(self.lists.get(page, ()))
+            members = () if kind is w.ListKind.FAILED else tuple(self.lists.get(list_number, ()))
             return self._handle(parts[0], w.CacheList(version or 0, kind, members))
-        elif head in EVENTS:
-            kind, layout = EVENTS[head]
+        elif command in EVENTS:
+            kind, layout = EVENTS[command]
             if not parts:
                 raise Malformed("i: missing")
-            untold = [None] * (len(fields(kind)) - len(layout))
-            return self._handle(parts[0], _typed(kind, [*_read(parts[1:], layout), *untold]))
+            missing_values = [None] * (len(fields(kind)) - len(layout))
+            return self._handle(parts[0], _build(kind, [*_read_fields(parts[1:], layout), *missing_values]))
         return []
 
-    def _start(self, parts: list[str]) -> list[str]:
-        if len(parts) < 2:
+    def _start(self, arguments: list[str]) -> list[str]:
+        """Starts an instance: its name, its random seed and its settings as path=value pairs."""
+        if len(arguments) < 2:
             raise Malformed("rng_seed: missing")
-        seed = _read(parts[1:2], (("rng_seed", int),))[0] or 0
-        settings = read_settings(seed, parts[2:])
+        seed = _read_fields(arguments[1:2], (("rng_seed", int),))[0] or 0
+        settings = read_settings(seed, arguments[2:])
         try:
-            self.routers[parts[0]] = router = Router(settings, self.now)
-            return [self._write(parts[0], a) for a in router.start()]
-        except Exception as error:  # one instance's fault must not take the others down
-            return self._die(parts[0], error)
+            self.routers[arguments[0]] = router = Router(settings, self.now)
+            return [self._write(arguments[0], action) for action in router.start()]
+        except Exception as error:  # a fault in one instance must not stop the others
+            return self._drop_instance(arguments[0], error)
 
     def _handle(self, instance: str, event: w.Event) -> list[str]:
+        """Passes an event to an instance's Router and returns the reply lines; ignores unknown instances."""
         router = self.routers.get(instance)
         if router is None:
             return []
         try:
-            return [self._write(instance, a) for a in router.handle(event, self.now)]
-        except Exception as error:  # one instance's fault must not take the others down
-            return self._die(instance, error)
+            return [self._write(instance, action) for action in router.handle(event, self.now)]
+        except Exception as error:  # a fault in one instance must not stop the others
+            return self._drop_instance(instance, error)
 
-    def _die(self, instance: str, error: Exception) -> list[str]:
+    def _drop_instance(self, instance: str, error: Exception) -> list[str]:
+        """Removes an instance after a fault and returns the reply line that reports the fault."""
         self.routers.pop(instance, None)
         return [f"DIE {instance} {type(error).__name__}: {' '.join(str(error).split())}"]
 
     @staticmethod
     def _write(instance: str, action: w.Action) -> str:
-        parts = [ACTIONS[type(action)], instance]
-        for name in NAMES[type(action)]:
+        """Returns the reply line of an action."""
+        words = [ACTIONS[type(action)], instance]
+        for name in ACTION_FIELDS[type(action)]:
             value = getattr(action, name)
             if isinstance(value, int):
                 value = int(value)
             elif isinstance(value, bytes):
                 value = b64encode(value).decode() or "-"
-            parts.append(str(value))
-        return " ".join(parts)
+            words.append(str(value))
+        return " ".join(words)
 
 
-def serve(source: TextIO, sink: TextIO) -> int:
-    """Plays batches until the input ends; returns the exit code."""
+def serve(input_lines: TextIO, output: TextIO) -> int:
+    """Processes batches until the input ends, and returns the exit code."""
     host = Host()
     reply: list[str] = []
-    for number, raw in enumerate(source, 1):
-        text = raw.rstrip("\r\n")
+    for number, line in enumerate(input_lines, 1):
+        text = line.rstrip("\r\n")
         if text == "FLUSH":
-            sink.write("\n".join([*reply, "YIELD\n"]))
-            sink.flush()
+            output.write("\n".join([*reply, "YIELD\n"]))
+            output.flush()
             reply = []
         elif text:
             try:
-                reply += host.line(text)
+                reply += host.handle_line(text)
             except Malformed as error:
                 print(f"line {number}: {text.split(' ', 1)[0]}: {error}", file=sys.stderr)
                 return 2
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -20,9 +20,11 @@
         counter.add(key)
         true_counts[key] = true_counts.get(key, 0) + 1
     found = dict(counter.frequent(0.03))
-    assert all(key in found for key, count in true_counts.items() if count >= 0.03 * counter.total)
-    assert all(true_counts[key] >= 0.02 * counter.total for key in found)
-    assert all(0 <= true_counts[key] - counter.count(key) <= 0.01 * counter.total for key in found)
+    assert all(
+        item in found for item, true_count in true_counts.items() if true_count >= 0.03 * counter.total
+    )
+    assert all(true_counts[item] >= 0.02 * counter.total for item in found)
+    assert all(0 <= true_counts[item] - counter.count(item) <= 0.01 * counter.total for item in found)
     assert len(counter) < len(true_counts) / 2  # rare keys are pruned
 
 
@@ -86,7 +88,7 @@
     ) == 5
 
 
-def play(driver, key, count, interval_ns=10 * MS):
+def request_repeatedly(driver, key, count, interval_ns=10 * MS):
     caches = []
     for _ in range(count):
         caches.append(sends(driver.ask(key, after=interval_ns))[0].cache)
@@ -96,24 +98,24 @@
 
 def test_ordinary_object_uses_one_cache_and_hot_object_several(drive):
     driver = drive()
-    assert len(set(play(driver, "plain", 20))) == 1
+    assert len(set(request_repeatedly(driver, "plain", 20))) == 1
     for i in range(60):
-        play(driver, f"k{i}", 1)
-    play(driver, "hot", 400)
+        request_repeatedly(driver, f"k{i}", 1)
+    request_repeatedly(driver, "hot", 400)
     driver.event(w.TimerFired(0), after=5 * S)
     assert driver.router.counts["hot"] > driver.router.t
-    caches = play(driver, "hot", 40)
+    caches = request_repeatedly(driver, "hot", 40)
     assert len(set(caches)) >= 2
-    assert len(set(play(driver, "k3", 10))) == 1
+    assert len(set(request_repeatedly(driver, "k3", 10))) == 1
 
 
 def test_sudden_popularity_takes_effect_within_the_interval(drive):
     driver = drive()
     for i in range(60):
-        play(driver, f"k{i}", 1)
-    play(driver, "old", 200)
+        request_repeatedly(driver, f"k{i}", 1)
+    request_repeatedly(driver, "old", 200)
     driver.event(w.TimerFired(0), after=5 * S)
-    assert len(set(play(driver, "new", 300))) >= 2
+    assert len(set(request_repeatedly(driver, "new", 300))) >= 2
 
 
 def test_client_repeats_writes_and_retries_are_not_counted(drive):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -180,7 +180,7 @@
 # Overload and failures ---------------------------------------------------------------------------
 
 
-def busy_hour(driver, status, note, latency, count=60):
+def run_requests(driver, status, note, latency, count=60):
     for i in range(count):
         if sends(driver.ask(f"k{i}", after=50 * MS)):
             driver.end(status, after=latency, note=note, closed=status is w.Status.SERVED)
@@ -188,7 +188,7 @@
 
 def test_after_late_fills_some_requests_get_only_a_hit_or_a_refusal(drive):
     driver = drive()
-    busy_hour(driver, w.Status.SERVED, w.Note.FILLED, 2 * S)
+    run_requests(driver, w.Status.SERVED, w.Note.FILLED, 2 * S)
     assert driver.router.fills[0] < 0.5
     hit_only = [a for i in range(40) for a in sends(driver.ask(f"n{i}", after=S)) if a.source == a.cache]
     assert hit_only
@@ -204,9 +204,9 @@
 def test_late_fills_do_not_lower_cache_limits_and_timely_fills_restore_the_share(drive):
     driver = drive()
     limits_before = [n.limit for n in driver.router.caches]
-    busy_hour(driver, w.Status.SERVED, w.Note.FILLED, 2 * S)
+    run_requests(driver, w.Status.SERVED, w.Note.FILLED, 2 * S)
     assert all(n.limit >= before for n, before in zip(driver.router.caches, limits_before, strict=True))
-    busy_hour(driver, w.Status.SERVED, w.Note.FILLED, 20 * MS, 400)
+    run_requests(driver, w.Status.SERVED, w.Note.FILLED, 20 * MS, 400)
     assert driver.router.fills[0] >= 1.0
 
 
@@ -261,11 +261,14 @@
 def test_zone_of_failed_caches_is_bypassed_if_allowed(drive):
     driver = drive(direct=True)
     for i in range(60):
-        actions, attempt = driver.ask(f"k{i}", after=5 * MS), 0
+        actions, attempt_index = driver.ask(f"k{i}", after=5 * MS), 0
         while sends(actions) and sends(actions)[0].cache < 50:
-            actions, attempt = driver.end(w.Status.CONNECT_FAILED, attempt=attempt, closed=False), attempt + 1
+            actions, attempt_index = (
+                driver.end(w.Status.CONNECT_FAILED, attempt=attempt_index, closed=False),
+                attempt_index + 1,
+            )
         last_actions = actions
-        driver.end(w.Status.SERVED, attempt=attempt) if sends(actions) else None
+        driver.end(w.Status.SERVED, attempt=attempt_index) if sends(actions) else None
     actions = last_actions
     assert sends(actions)[0].cache in PARENTS and sends(actions)[0].source == ORIGIN
 
@@ -284,14 +287,14 @@
     logs = []
     for i in range(300):
         for sent in sends(driver.ask(f"k{i}", after=20 * MS)):
-            fails, attempt, actions = sent.cache == 1 and i < 100, 0, []
+            fails, attempt_index, actions = sent.cache == 1 and i < 100, 0, []
             actions = driver.end(
                 w.Status.CONNECT_FAILED if fails else w.Status.SERVED, closed=not fails, note=w.Note.HIT
             )
             while sends(actions):
                 logs += [a.text for a in actions if isinstance(a, w.Log)]
-                attempt += 1
-                actions = driver.end(w.Status.SERVED, attempt=attempt, note=w.Note.HIT)
+                attempt_index += 1
+                actions = driver.end(w.Status.SERVED, attempt=attempt_index, note=w.Note.HIT)
             logs += [a.text for a in actions if isinstance(a, w.Log)]
     assert logs[0] == "cache 1 fails" and logs[-1] == "cache 1 serves again" and len(logs) < 12
 
@@ -318,9 +321,9 @@
 
 def test_without_notes_late_answers_lower_the_fill_share(drive):
     driver = drive(notes="silent")
-    busy_hour(driver, w.Status.SERVED, w.Note.NONE, 2 * S)
+    run_requests(driver, w.Status.SERVED, w.Note.NONE, 2 * S)
     assert driver.router.fills[0] < 0.5
-    busy_hour(driver, w.Status.SERVED, w.Note.NONE, 20 * MS, 400)
+    run_requests(driver, w.Status.SERVED, w.Note.NONE, 20 * MS, 400)
     assert driver.router.fills[0] >= 1.0
 
 
@@ -370,7 +373,7 @@
     assert driver.router._trust(dead_node, driver.router.caches) < 0.5
 
 
-def side_by_side(drive, parent, seconds, routers=120):
+def cold_work_of_many_routers(drive, parent, seconds, routers=120):
     """Returns the work and attempts that many routers send to one cold node, and the node's budget."""
     drivers = [drive(routers=routers, zone_routers=(0, routers), seed=i) for i in range(routers)]
     total_s, sends_count = 0.0, 0
@@ -379,8 +382,8 @@
         cold_ids = PARENTS[:1] if parent else (1,)
         driver.list(
             [
-                member(cache, int(parent), int(not parent), ready_at_ns=driver.now, weight=weight)
-                for cache in cold_ids
+                member(cache_id, int(parent), int(not parent), ready_at_ns=driver.now, weight=weight)
+                for cache_id in cold_ids
             ]
         )
         for number in range(seconds * 4):
@@ -394,7 +397,7 @@
 
 @pytest.mark.parametrize("parent", [False, True])
 def test_many_routers_together_stay_within_a_cold_nodes_budget_but_use_it(drive, parent):
-    total_s, count, budget = side_by_side(drive, parent, 2)
+    total_s, count, budget = cold_work_of_many_routers(drive, parent, 2)
     assert count >= 4 and total_s <= budget
 
 
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -11,12 +11,12 @@
 
 
 def run(*lines):
-    out = io.StringIO()
-    return serve(io.StringIO("\n".join(lines) + "\n"), out), out.getvalue().splitlines()
+    output = io.StringIO()
+    return serve(io.StringIO("\n".join(lines) + "\n"), output), output.getvalue().splitlines()
 
 
 START = ("CLOCK 1000", f"INIT gateway/3 5 {CONF}", *LIST.split("\n"), "ENDPOINTS gateway/3 1 warm_copy 0")
-ASK = "INGRESS gateway/3 06365a895d3a91c4 0 0 c/a 240000000 640 11 3 1"
+REQUEST_LINE = "INGRESS gateway/3 06365a895d3a91c4 0 0 c/a 240000000 640 11 3 1"
 
 
 def test_an_empty_batch_gets_an_empty_reply():
@@ -24,7 +24,7 @@
 
 
 def test_a_request_becomes_a_read_through():
-    code, reply = run(*START, ASK, "FLUSH")
+    code, reply = run(*START, REQUEST_LINE, "FLUSH")
     assert code == 0
     (sent,) = [x.split() for x in reply if x.startswith("READ_THROUGH")]
     assert sent[1:3] == ["gateway/3", "06365a895d3a91c4"] and sent[3][0] == "1" and sent[5] == "21"
@@ -43,7 +43,7 @@
         "REGISTER 0 1",
         "CACHE 12 1 0 1 gone 0 0",
         "ENDPOINTS gateway/3 3 incr 0",
-        ASK,
+        REQUEST_LINE,
         "FLUSH",
     )
     assert code == 0 and any(x.startswith("READ_THROUGH gateway/3 06365a895d3a91c4 13 ") for x in reply)
@@ -52,7 +52,7 @@
 def test_restart_within_a_batch_discards_all_state():
     code, reply = run(
         *START,
-        ASK,
+        REQUEST_LINE,
         "CRASH_NOW gateway/3",
         f"INIT gateway/3 6 {CONF}",
         "ATTEMPT_END gateway/3 06365a895d3a91c4 0 11 server_error 5 0 - - -",
@@ -96,12 +96,12 @@
 
 
 def test_exception_in_one_instance_is_reported_and_does_not_affect_the_others(monkeypatch):
-    plain = wirehost.Router.handle
+    original_handle = wirehost.Router.handle
 
     def fail(self, event, now):
         if isinstance(event, w.TimerFired):
             raise RuntimeError("broken\nbadly")
-        return plain(self, event, now)
+        return original_handle(self, event, now)
 
     monkeypatch.setattr(wirehost.Router, "handle", fail)
     code, reply = run(
@@ -109,7 +109,7 @@
         f"INIT gateway/4 5 {CONF}",
         "ENDPOINTS gateway/4 1 warm_copy 0",
         "RING gateway/3 0",
-        ASK.replace("/3", "/4"),
+        REQUEST_LINE.replace("/3", "/4"),
         "FLUSH",
     )
     assert code == 0 and "DIE gateway/3 RuntimeError: broken badly" in reply
@@ -117,7 +117,7 @@
 
 
 def test_settings_are_converted_and_absent_ones_keep_their_defaults():
-    s = read_settings(
+    settings = read_settings(
         9,
         [
             "az=4",
@@ -128,6 +128,8 @@
             "profiles.1.key_scope=zone",
         ],
     )
-    assert (s.seed, s.zone, s.cold_from, s.parent_kind) == (9, 4, 0.19, -1)
-    assert [c.write for c in s.classes] == [False, True]
-    assert s.classes[1].key_scope is w.Scope.ZONE and s.classes[0].effect is w.Effect.AT_MOST_ONCE
+    assert (settings.seed, settings.zone, settings.cold_from, settings.parent_kind) == (9, 4, 0.19, -1)
+    assert [request_class.write for request_class in settings.classes] == [False, True]
+    assert (
+        settings.classes[1].key_scope is w.Scope.ZONE and settings.classes[0].effect is w.Effect.AT_MOST_ONCE
+    )
