--- a/olivecourse/wirehost.py
+++ b/olivecourse/wirehost.py
@@ -121,7 +121,7 @@
         if value is None and field.type in ("str", "int", "Status", "ListKind"):
             raise Malformed(f"{field.name}: missing")
     return event_type(
-        *(f.default if value is None else value for f, value in zip(event_fields, values, strict=True))
+        *(f.default if given is None else given for f, given in zip(event_fields, values, strict=True))
     )
 
 
