--- a/olivecourse/choice.py
+++ b/olivecourse/choice.py
@@ -55,10 +55,11 @@
 # STEEP: trust lost per unit of excess beyond SLACK.
 SLACK, STEEP = 0.4, 3.0
 MIN_TRUST = 0.02  # trust of the worst node: enough trial traffic to notice its recovery
-UP_THRESHOLD = 0.5  # a source whose trust is above this counts as up
+# A source whose trust is above this counts as up; fills count as held back when a fill share is below it.
+UP_THRESHOLD = 0.5
 TICK_NS = 100 * MS  # period of the health check; short compared with any latency target
 
-# Attempts.
+# Attempts, limits and fill shares.
 
 LEARNING_RATE = 0.02  # weight of one request in the learned mean sending times and mean worth density
 # Retries that each request adds to the retry budget, and the most retries the budget can hold.
@@ -67,10 +68,10 @@
 # difference may be noise, as a router sees few misses.
 CLEARLY_FASTER = 0.5
 # REFERENCE_ROUTERS: number of routers for which the step sizes for the shared origin were tuned.
-# MAX_ORIGIN_SAMPLE_WEIGHT: highest weight of one event at a source that all routers share.
+# MAX_ORIGIN_SAMPLE_WEIGHT: one event at the origin counts for at most this many events.
 REFERENCE_ROUTERS, MAX_ORIGIN_SAMPLE_WEIGHT = 4, 10
-# Highest number of events in the zone that one local event represents: the routers of a zone see the same
-# troubles, so one router's event tells about the others' events.
+# One event at this router counts for at most this many events, because the routers of a zone meet the same
+# troubles.
 MAX_SAMPLE_WEIGHT = 6
 # Share of the cold-start budget that is spent; weights are rough estimates and traffic is bursty.
 COLD_SAFETY = 0.5
@@ -162,7 +163,8 @@
         self.routers_in_zone = max(
             zone_routers_here[0] if zone_routers_here and zone_routers_here[0] else settings.routers, 1
         )
-        # Weight of one local event at a source: in this zone, and at the origin that all routers share.
+        # Number of events that one event here counts for: at a cache of the zone, and at the origin
+        # that all routers share.
         self.sample_weight = min(self.routers_in_zone, MAX_SAMPLE_WEIGHT)
         self.origin_sample_weight = min(
             max(self.sample_weight, settings.routers // REFERENCE_ROUTERS), MAX_ORIGIN_SAMPLE_WEIGHT
@@ -387,8 +389,8 @@
             if node is not None and not (pending.near and draw >= self.near[class_index]):
                 source = self._pick_source(pending)
                 if pending.near and source not in self.parents:
-                    # Only a fill with an object that a parent holds is allowed. The origin holds every
-                    # object, and it is the server that must be relieved.
+                    # This request may be filled only with a copy that a parent holds. The origin is no source
+                    # for it, because the origin must be relieved.
                     source = None
             # Departure: a request without a usable cache bypasses the caches where the settings allow it.
             elif node is None and self.s.direct:
@@ -556,8 +558,8 @@
         note, latency, busy = end.note, end.latency_ns or 0, len(node.in_flight) + 1 >= node.limit / 2
         if self._parent_lacks_object(end, pending):
             return
-        # An attempt whose response was lost says nothing about fills, and an unreachable source says nothing
-        # about overload.
+        # The fill share is lowered only if the source failed. A lost response says nothing about fills, and a
+        # source that is found unreachable quickly says nothing about overload.
         if self._is_source_failure(end, pending, source) and (
             note is not w.Note.SOURCE_UNREACHED or latency > pending.aim
         ):
@@ -863,8 +865,7 @@
         )
 
     def _on_purged(self, purge: w.Purged) -> None:
-        """Records a purge of an object or group, which bounds the age of usable copies until the purge
-        settles."""
+        """Records a purge, which bounds the age of usable copies until the purge settles."""
         key = purge.group if purge.object is None else purge.object  # a group is a number, an object a string
         at, settles = self.now - (purge.age_ns or 0), self.s.purge_settles_ns
         self.purges.add(key, at, self.now + settles, self.now, 0 < settles <= self.now - at)
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -166,7 +166,7 @@
     for _ in range(30):
         hit(driver, "small", 10 * MS)
         hit(driver, "large", 900 * MS)
-        hit(driver, "large", 2_000 * MS)  # on a busy link; the shortest time counts
+        hit(driver, "large", 2_000 * MS)  # the link is busy, so only the shortest time counts
     driver.ask("large", part=7)
     large = driver.router.held[driver.id]
     assert 0.9 * S <= large.size_ns <= 1.1 * S and large.size_known, (
@@ -177,7 +177,7 @@
     assert 9 * MS <= small.size_ns <= 11 * MS and small.limit_factor > 1.0 > large.limit_factor
     driver.ask("other")
     assert not driver.router.held[driver.id].size_known
-    hit(driver, "small", 1 * MS, same=True)  # answered without bytes: nothing is learned
+    hit(driver, "small", 1 * MS, same=True)  # answered without content, so nothing is learned
     hit(driver, "small", 0)
     driver.ask("small")
     assert driver.router.held[driver.id].size_ns >= 9 * MS
