--- a/olivecourse/control_plane.py
+++ b/olivecourse/control_plane.py
@@ -1,6 +1,6 @@
-"""The control side of a gateway: discovery, the directory of servers and purges, without the request path.
+"""The control plane of a gateway: discovery, the server directory and purges, without the request path.
 
-A gateway owns one, and so does a gateway that serves nobody and is there to be measured.
+Each gateway has one. The benchmark gateway that serves no requests has one as well.
 """
 
 from __future__ import annotations
@@ -20,12 +20,14 @@
 
 
 def _graces_ns(settings: w.Settings) -> tuple[int, ...]:
-    """The times within which the settings want news of each kind heeded; 0 where they do not tell."""
+    """Returns the times in nanoseconds within which the settings require purges and drains to be obeyed; 0
+    means not set.
+    """
     return settings.purge_grace_ns, settings.drain_grace_ns
 
 
 class ControlPlane:
-    """Takes discovery events, keeps what they tell and passes it on to the planner."""
+    """Receives discovery events, records their content and forwards it to the planner."""
 
     def __init__(
         self,
@@ -36,8 +38,9 @@
         server_terminated: Callable[[int, int], None],
         log: Callable[..., None],
     ) -> None:
-        """`emit` takes events for the planner; `server_terminated` the number of a server whose process has
-        ended and when that was at the latest, in ns on the loop's clock."""
+        """`emit` receives events for the planner. `server_terminated` receives the number of a server whose
+        process has ended and the latest time at which it ended, in nanoseconds on the loop's clock.
+        """
         self.loop, self.log = loop, log
         self._config, self._tracker, self._emit = config, tracker, emit
         self._server_terminated = server_terminated
@@ -46,23 +49,26 @@
             config.zones, config.kinds, config.settings, clock.from_unix_ms, clock.now
         )
         self.discovery: DiscoveryClient | None = None
-        # By name too: gateways that share a seed must not come back to a lost address as one.
+        # The name is part of the seed, so that gateways with the same seed do not reconnect to a restarted
+        # discovery server at the same moment.
         self._random = Random(f"{config.settings.seed} {config.name}").random
         self._pacer = PollPacer(_graces_ns(config.settings))
-        self._rev = config.rev  # the last event taken while nothing is polled
-        self.purges = PurgeTable(keep=0)  # kept for planners in processes of their own only
-        self._purges_folded = 0  # of the tracker's table, as far as the log has told
+        # the revision of the last event received, kept while there is no discovery client
+        self._revision = config.rev
+        self.purges = PurgeTable(keep=0)  # used only with a planner in a separate process
+        self._purges_folded = 0  # number of the tracker's merged purges that has already been logged
 
     def start(self) -> None:
-        """Begins to poll, where the configuration names an address."""
+        """Starts polling if the configuration names a discovery address."""
         if self._config.board is not None:
             self._poll(self._config.board)
 
     def _poll(self, address: tuple[str, int]) -> None:
+        """Creates the discovery client, which polls from the last event received."""
         self.discovery = DiscoveryClient(
             self.loop,
             address,
-            self._rev,
+            self._revision,
             self.on_events,
             self.log,
             random=self._random,
@@ -71,60 +77,67 @@
             grace_ns=self._pacer.grace_ns,
         )
 
-    def reload(self, old: Config, fresh: Config) -> None:
-        """Goes by a new configuration: another address is polled from the last event that was taken."""
-        self._config = fresh
-        self._pacer.apply_settings(_graces_ns(fresh.settings))
-        if fresh.board is None:
+    def reload(self, old: Config, new_config: Config) -> None:
+        """Applies a new configuration. A new discovery address is polled from the last event received."""
+        self._config = new_config
+        self._pacer.apply_settings(_graces_ns(new_config.settings))
+        if new_config.board is None:
             self.stop()
         elif self.discovery is None:
-            self._poll(fresh.board)
+            self._poll(new_config.board)
         else:
-            self.discovery.move(fresh.board, fresh.boards)
+            self.discovery.move(new_config.board, new_config.boards)
 
     def stop(self) -> None:
-        """Ends the polls; the number of the last event is kept for an address to come."""
+        """Stops polling. The revision of the last event is kept for a later address."""
         if self.discovery is not None:
             self.discovery.stop()
-            self._rev = self.discovery.rev
+            self._revision = self.discovery.rev
             self.discovery = None
 
     def on_events(self, events: list[Any], first: bool = False) -> None:
-        """Takes discovery events in their order; `first` marks those of the start."""
+        """Processes discovery events in order. `first` marks the events known at startup."""
         for raw in events:
             try:
                 for event in self.directory.events(raw, first):
                     if isinstance(event, w.Purged):
                         self._tracker.purge(event)
-                        self._remember(event)
+                        self._record_purge(event)
                     self._emit(event)
-            except InvalidEvent as bad:
-                self.log("discovery_event_invalid", why=str(bad))
+            except InvalidEvent as error:
+                self.log("discovery_event_invalid", why=str(error))
         terminated, self.directory.terminated_at = self.directory.terminated_at, {}
-        for server, when in terminated.items():
-            self._server_terminated(server, when)
+        for server, time_ns in terminated.items():
+            self._server_terminated(server, time_ns)
         self._report_folded()
 
     def _report_folded(self) -> None:
-        """Logs that not all purges are kept one by one: objects that were not purged are filled anew."""
+        """Logs that some purges were merged into one bound, so that objects that were not purged are filled
+        again.
+        """
         folded = self._tracker.purged.folded
         if folded > self._purges_folded:
             self._purges_folded = folded
             self.log("purges_folded", since_start=folded)
 
-    def _remember(self, news: w.Purged) -> None:
-        key = news.group if news.object is None else news.object
-        now, settles = self.loop.clock.now(), self._config.settings.purge_settles_ns
-        if key is not None and self._config.planner is not None:
-            age = news.age_ns or 0
-            self.purges.add(key, now - age, now + settles, now, 0 < settles <= age)
+    def _record_purge(self, purge: w.Purged) -> None:
+        """Records a purge for a planner that connects later."""
+        object_or_group = purge.group if purge.object is None else purge.object
+        now, settling_ns = self.loop.clock.now(), self._config.settings.purge_settles_ns
+        if object_or_group is not None and self._config.planner is not None:
+            age = purge.age_ns or 0
+            self.purges.add(object_or_group, now - age, now + settling_ns, now, 0 < settling_ns <= age)
 
     def sync_planner(self) -> None:
-        """Tells a planner that knows nothing of the servers and of the purges that bind."""
+        """Sends a planner without state the list of servers and the purges still in effect."""
         now = self.loop.clock.now()
         members = map(self.directory.effective_member, self.directory.members.values())
         self._emit(w.CacheList(0, w.ListKind.HELD, tuple(members)))
         self.purges.expire(now)
-        for key, (at, _) in self.purges.items():
-            age = now - at
-            self._emit(w.Purged(key, None, age) if isinstance(key, str) else w.Purged(None, key, age))
+        for object_or_group, (valid_from, _) in self.purges.items():
+            age = now - valid_from
+            self._emit(
+                w.Purged(object_or_group, None, age)
+                if isinstance(object_or_group, str)
+                else w.Purged(None, object_or_group, age)
+            )
--- a/olivecourse/core/descriptors.py
+++ b/olivecourse/core/descriptors.py
@@ -1,39 +1,53 @@
-"""How a process's descriptors are divided among clients, stores, operators and its own files. No I/O."""
+"""Divides a process's file descriptors among clients, stores, operators and its own files. No I/O."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-PER_STORE = 24  # connections to one store, as far as the descriptors allow
-OWN = 24  # loop, log, listener, board, peers, planner, files that are read
-DOOR = 18  # callers of one operators' door, its listener, and one just accepted
-SPARED = 32  # of the half that stores may have
-LEAST = 16  # connections to stores, however few descriptors there are
-SCANT, SCANT_STORES = 192, 8  # below so many a process with a door keeps to so few, as it may be one of two
+PER_STORE = 24  # maximum connections to one store, where the descriptor limit allows them
+PROCESS_DESCRIPTORS = 24  # event loop, log, listener, notice board, peers, planner, and files being read
+DOOR = 18  # for one operators' endpoint: its callers, its listener, and one newly accepted connection
+STORE_CONNECTIONS_MARGIN = (
+    32  # subtracted from the half of the descriptors that is given to store connections
+)
+MIN_STORE_CONNECTIONS = 16  # minimum number of store connections, even with very few descriptors
+# A process with an operators' endpoint may be one of two processes of the same gateway. Below 192 descriptors
+# it therefore limits itself to 8 store connections.
+SCARCE_DESCRIPTORS, SCARCE_STORE_CONNECTIONS = 192, 8
 
 
 @dataclass(frozen=True)
 class Split:
-    """Descriptors: `stores` connections in all and `per_store` more at a pinch, and `clients`."""
+    """Descriptor limits of one process.
+
+    `stores` is the limit for all store connections together, `per_store` the number of further store
+    connections that may be opened in an emergency, and `clients` the limit for client connections.
+    """
 
     stores: int
     per_store: int
     clients: int
 
-    def total(self, doors: int) -> int:
-        """All that can be open at once."""
-        return self.stores + self.per_store + self.clients + OWN + DOOR * doors
+    def total(self, endpoints: int) -> int:
+        """Returns the maximum number of descriptors open at once, with `endpoints` operators' endpoints."""
+        return self.stores + self.per_store + self.clients + PROCESS_DESCRIPTORS + DOOR * endpoints
+
 
+def split(sockets: int, endpoints: int) -> Split:
+    """Divides `sockets` descriptors for a process with `endpoints` operators' endpoints.
 
-def split(sockets: int, doors: int) -> Split:
-    """Of so many descriptors. Usual clients take a third at most; what stores and our own files leave besides
-    is room for those who connect and say nothing, so that fewer have to be closed for a newcomer.
+    Normal clients use at most a third of the descriptors. Descriptors left over by stores and by the
+    process's own files are also given to clients, so that fewer idle connections must be closed to accept a
+    new one.
 
-    With a door, clients and stores together cannot take what operators need, from 96 descriptors on (with
-    each further door, 18 more).
+    With one operators' endpoint and at least 96 descriptors, clients and stores together cannot use up the
+    descriptors reserved for operators. Each further endpoint raises that minimum by 18.
     """
-    own = OWN + DOOR * doors
-    scant = doors > 0 and sockets < SCANT
-    per_store = SCANT_STORES if scant else PER_STORE
-    stores = max(sockets // 2 - SPARED - DOOR * doors, SCANT_STORES if scant else LEAST)
-    return Split(stores, per_store, max(sockets // 3, sockets - stores - per_store - own))
+    process_descriptors = PROCESS_DESCRIPTORS + DOOR * endpoints
+    scarce = endpoints > 0 and sockets < SCARCE_DESCRIPTORS
+    per_store = SCARCE_STORE_CONNECTIONS if scarce else PER_STORE
+    stores = max(
+        sockets // 2 - STORE_CONNECTIONS_MARGIN - DOOR * endpoints,
+        SCARCE_STORE_CONNECTIONS if scarce else MIN_STORE_CONNECTIONS,
+    )
+    return Split(stores, per_store, max(sockets // 3, sockets - stores - per_store - process_descriptors))
--- a/olivecourse/core/planner.py
+++ b/olivecourse/core/planner.py
@@ -1,4 +1,6 @@
-"""Drives the Router: a batch of events in, the actions out. Holds no socket and knows no wire."""
+"""Runs the Router: takes a batch of events and returns the resulting actions. Uses no socket and no wire
+format.
+"""
 
 from __future__ import annotations
 
@@ -10,58 +12,69 @@
 
 
 class Guard(w.Limits, Protocol):
-    """Limits that watch what comes and goes. Either may tell something for the log."""
+    """Limits that also observe all events and actions of the Router."""
 
     def settle(self, settings: w.Settings) -> None:
-        """New settings, in which each class has the place it had."""
+        """Applies new settings, in which each class keeps its index."""
         ...
 
-    def came(self, event: w.Event, now: int) -> None: ...
+    def came(self, event: w.Event, now: int) -> None:
+        """Observes an event before the Router handles it."""
+        ...
 
-    def went(self, actions: list[w.Action], now: int) -> list[w.Action]: ...
+    def went(self, actions: list[w.Action], now: int) -> list[w.Action]:
+        """Observes the Router's actions and returns the actions to execute, which may include further log
+        actions.
+        """
+        ...
 
 
 class Planner:
-    """One Router and its clock, which never runs backwards."""
+    """A Router with its clock, which never runs backwards."""
 
     def __init__(self, settings: w.Settings, now: int, log: Callable[..., None]) -> None:
         self._now, self._log = now, log
         self.router = Router(settings, now)
-        self._guard: Guard | None = None
+        self._limiter: Guard | None = None
 
-    def watch(self, guard: Guard) -> None:
-        """From now on the Router asks these limits."""
-        self._guard = self.router.limits = guard
+    def watch(self, limiter: Guard) -> None:
+        """Makes the Router consult this limiter."""
+        self._limiter = self.router.limits = limiter
 
     def start(self) -> list[w.Action]:
+        """Returns the Router's actions at the start."""
         return self.router.start()
 
     def settle(self, settings: w.Settings) -> None:
-        """From now on the Router goes by these; each class has the place it had, and new ones follow, of
-        which it knows no more than of any class at a start."""
-        router, known = self.router, len(self.router.s.classes)
-        fresh = Router(settings, self._now)
-        router.s, router.reports = settings, fresh.reports
-        for have, start in (
-            (router.size_ns, fresh.size_ns),
-            (router.price_ns, fresh.price_ns),
-            (router.fills, fresh.fills),
-            (router.near, fresh.near),
+        """Makes the Router use new settings. Existing classes keep their index; new classes follow them and
+        start without any learned values, as all classes do at startup.
+        """
+        router, known_classes = self.router, len(self.router.s.classes)
+        fresh_router = Router(settings, self._now)
+        router.s, router.reports = settings, fresh_router.reports
+        for current, initial in (
+            (router.size_ns, fresh_router.size_ns),
+            (router.price_ns, fresh_router.price_ns),
+            (router.fills, fresh_router.fills),
+            (router.near, fresh_router.near),
         ):
-            have += start[known:]
-        router.late_at += fresh.late_at[known:]
-        if self._guard is not None:
-            self._guard.settle(settings)
+            current += initial[known_classes:]
+        router.late_at += fresh_router.late_at[known_classes:]
+        if self._limiter is not None:
+            self._limiter.settle(settings)
 
     def decide(self, events: Iterable[w.Event], now: int) -> list[w.Action]:
+        """Handles a batch of events and returns the resulting actions."""
         self._now = max(self._now, now)
         actions: list[w.Action] = []
         for event in events:
             try:
-                if self._guard is not None:
-                    self._guard.came(event, self._now)
-                made = self.router.handle(event, self._now)
-                actions += made if self._guard is None else self._guard.went(made, self._now)
-            except Exception as error:  # one event's fault must not take the gateway down; guards answer
+                if self._limiter is not None:
+                    self._limiter.came(event, self._now)
+                produced = self.router.handle(event, self._now)
+                actions += produced if self._limiter is None else self._limiter.went(produced, self._now)
+            # An exception for one event must not stop the gateway; the deadline timers answer the affected
+            # requests.
+            except Exception as error:
                 self._log("router_fault", event_type=type(event).__name__, error=repr(error))
         return actions
--- a/olivecourse/purge_table.py
+++ b/olivecourse/purge_table.py
@@ -1,23 +1,26 @@
-"""The purges that still bind: constant work for each, and a bounded number of them. No I/O, no clock."""
+"""A bounded table of the purges still in effect, with constant work for each purge. No I/O, no clock."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 
-Key = str | int | None  # an object or a group
-# A purge that had settled before it was told needs no guard: it is kept, out of caution, among so many.
+Key = str | int | None  # an object id or a group number
+# A purge is settled once every store has dropped the older copies; one that was settled before it was
+# received needs no check. Up to this many entries it is kept as a precaution.
 MAX_WITH_SETTLED = 16_384
-# Unsettled ones beyond this are folded into one bound: 2,700 purges a second for 6 s, a few MB in each table.
+# Unsettled purges beyond this are merged into one bound for all objects. The limit covers 2,700 purges a
+# second for 6 s and takes a few MB in each table.
 MAX_UNSETTLED = 16_384
-GROUPS = 256  # groups of objects that there are
+GROUPS = 256  # number of object groups
 
 
 class PurgeTable:
-    """By object or group: from when on copies are good, and until when that binds, both in ns.
+    """For each purged object or group, the time from which copies are valid and the time until which the
+    purge applies, both in nanoseconds.
 
-    The oldest leave first: those that bind no more, then those that settled before they were told, and then
-    unsettled ones, each folded into one bound for every object. A fold costs fills and never serves a
-    purged copy.
+    The oldest entries are evicted first: expired ones, then those that were settled when they were received,
+    and then unsettled ones, each of which is merged into one bound for all objects. Merging causes additional
+    fills, but never lets a purged copy be served.
     """
 
     def __init__(
@@ -26,13 +29,17 @@
         max_with_settled: int = MAX_WITH_SETTLED,
         max_unsettled: int = MAX_UNSETTLED,
     ) -> None:
-        """Among up to `keep` entries none leaves by `add`, however old it is."""
-        self._keep, self._max_with_settled, self._max_unsettled = keep, max_with_settled, max_unsettled
+        """`add` evicts no entry, not even an expired one, while the table has at most `keep` entries."""
+        self._min_retained, self._max_with_settled, self._max_unsettled = (
+            keep,
+            max_with_settled,
+            max_unsettled,
+        )
         self._unsettled: OrderedDict[Key, tuple[int, int]] = OrderedDict()
         self._settled: OrderedDict[Key, tuple[int, int]] = OrderedDict()
-        self.floor: tuple[int, int] | None = None  # the bound for every object, where there is one
-        self.settled_dropped = 0  # left early, having settled before they were told
-        self.folded = 0  # left early and unsettled: the floor has them
+        self.floor: tuple[int, int] | None = None  # the bound for all objects, or None
+        self.settled_dropped = 0  # entries evicted early that were settled when received
+        self.folded = 0  # unsettled entries evicted early and merged into `floor`
 
     def __len__(self) -> int:
         return len(self._unsettled) + len(self._settled)
@@ -41,68 +48,73 @@
         return key in self._unsettled or key in self._settled
 
     def get(self, key: Key, default: tuple[int, int] = (0, 0)) -> tuple[int, int]:
+        """Returns the bound of an object or group, or `default` if it has none."""
         return self._unsettled.get(key) or self._settled.get(key, default)
 
     def __getitem__(self, key: Key) -> tuple[int, int]:
         return self._unsettled[key] if key in self._unsettled else self._settled[key]
 
     def __setitem__(self, key: Key, bound: tuple[int, int]) -> None:
-        """Takes an unsettled bound as it is; `add` also keeps the limits."""
+        """Stores an unsettled bound as given. `add` also merges bounds and enforces the limits."""
         self._settled.pop(key, None)
         self._unsettled[key] = bound
         self._unsettled.move_to_end(key)
 
     def items(self) -> list[tuple[Key, tuple[int, int]]]:
-        """Every entry; a bound for every object is given as one of each group."""
-        every = [] if self.floor is None else [(group, self.floor) for group in range(GROUPS)]
-        return [*self._settled.items(), *self._unsettled.items(), *every]
+        """Returns every entry. A bound for all objects is returned as one entry for each group."""
+        for_all_groups = [] if self.floor is None else [(group, self.floor) for group in range(GROUPS)]
+        return [*self._settled.items(), *self._unsettled.items(), *for_all_groups]
 
     def find(self, object_id: str | None, group: int | None) -> list[int]:
-        """From when on copies of an object in a group are good, by each entry that binds it."""
-        found = []
+        """Returns the times from which copies of an object in a group are valid, one for each entry that
+        applies.
+        """
+        bounds = []
         for key in (object_id, group):
             bound = self._unsettled.get(key) or self._settled.get(key)
             if bound is not None:
-                found.append(bound[0])
+                bounds.append(bound[0])
         if self.floor is not None:
-            found.append(self.floor[0])
-        return found
+            bounds.append(self.floor[0])
+        return bounds
 
-    def add(self, key: Key, at: int, until: int, now: int, settled: bool = False) -> None:
-        """Copies from before `at` are void, and that binds until `until`; a later bound is not forgotten.
+    def add(self, key: Key, valid_from: int, expires_at: int, now: int, settled: bool = False) -> None:
+        """Invalidates copies made before `valid_from`, until the time `expires_at`. An existing later bound
+        is kept.
 
-        `settled`: stores had dropped all older copies before this was told.
+        `settled` means that stores had dropped all older copies before this purge was received.
         """
-        known_at, known_until = self.get(key)
-        bound = max(at, known_at), max(until, known_until)
+        known_from, known_expires_at = self.get(key)
+        bound = max(valid_from, known_from), max(expires_at, known_expires_at)
         if settled and key not in self._unsettled:
             self._settled[key] = bound
             self._settled.move_to_end(key)
         else:
             self[key] = bound
-        if len(self) > self._keep:
+        if len(self) > self._min_retained:
             self.expire(now)
         if len(self) > self._max_with_settled and self._settled:
             self._settled.popitem(last=False)
             self.settled_dropped += 1
         if len(self._unsettled) > self._max_unsettled:
-            self._fold(now)
+            self._merge_oldest(now)
 
     def expire(self, now: int) -> None:
-        """Lets go of what binds no more, from the oldest on."""
-        for held in (self._settled, self._unsettled):
-            while held:
-                key = next(iter(held))
-                if held[key][1] > now:
+        """Removes expired entries, starting with the oldest."""
+        for entries in (self._settled, self._unsettled):
+            while entries:
+                key = next(iter(entries))
+                if entries[key][1] > now:
                     break
-                del held[key]
+                del entries[key]
         if self.floor is not None and self.floor[1] <= now:
             self.floor = None
 
-    def _fold(self, now: int) -> None:
-        _, (at, until) = self._unsettled.popitem(last=False)
-        if until <= now:
+    def _merge_oldest(self, now: int) -> None:
+        """Merges the oldest unsettled entry into the bound for all objects."""
+        _, (valid_from, expires_at) = self._unsettled.popitem(last=False)
+        if expires_at <= now:
             return
-        floor_at, floor_until = self.floor or (0, 0)
-        self.floor = max(at, floor_at), max(until, floor_until)
+        floor_from, floor_expires_at = self.floor or (0, 0)
+        self.floor = max(valid_from, floor_from), max(expires_at, floor_expires_at)
         self.folded += 1
