--- a/olivecourse/cli.py
+++ b/olivecourse/cli.py
@@ -1,4 +1,4 @@
-"""The command line. Without a sub-command it serves, as the platform starts it."""
+"""The command line. Without a subcommand the program serves, which is how the platform starts it."""
 
 from __future__ import annotations
 
@@ -21,6 +21,7 @@
 
 
 def _load(path: str | None, operator: str | None) -> Config:
+    """Loads the configuration, or exits with status 2 and one line on standard error if it is invalid."""
     try:
         return load_operator(operator, os.environ) if operator else load_config(os.environ, path)
     except BadConfig as error:
@@ -29,32 +30,36 @@
 
 
 class Signals:
-    """SIGTERM, SIGINT and SIGHUP, noted as they come: a handler that did more could run in the midst of a
-    decision. `woken` is readable once there are some."""
+    """Collects SIGTERM, SIGINT and SIGHUP for the event loop, because a signal handler that did more could
+    interrupt the planner in the middle of a decision. `readable` becomes readable once a signal has arrived.
+    """
 
     def __init__(self) -> None:
-        self._came: set[int] = set()
-        self._waker, self.woken = socket.socketpair()
+        self._arrived: set[int] = set()
+        self._waker, self.readable = socket.socketpair()
         self._waker.setblocking(False)
-        self.woken.setblocking(False)
-        # Full, it has woken the loop already: which signals came is told by the set alone.
+        self.readable.setblocking(False)
+        # A full buffer needs no warning: the loop has been woken already, and the set alone records which
+        # signals arrived.
         signal.set_wakeup_fd(self._waker.fileno(), warn_on_full_buffer=False)
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-            signal.signal(number, lambda came, frame: self._came.add(came))
+            signal.signal(number, lambda came, frame: self._arrived.add(came))
 
     def take(self) -> set[int]:
-        """The numbers of those that came since the last call, each once."""
+        """Returns the numbers of the signals that arrived since the last call, each once."""
         with suppress(BlockingIOError):
-            while self.woken.recv(4096):
+            while self.readable.recv(4096):
                 pass
-        came, self._came = self._came, set()
-        return came
+        arrived, self._arrived = self._arrived, set()
+        return arrived
 
 
-class Lazy(click.Group):
-    """Finds operators' commands only when they are called: their libraries are not for a gateway's start."""
+class LazyGroup(click.Group):
+    """A command group that imports the operators' commands only when they are called, so that a gateway's
+    start does not load their libraries.
+    """
 
-    FOUND = {
+    COMMAND_MODULES = {
         "memory": "olivecourse.memory.commands",
         "storms": "olivecourse.storm.commands",
         "ops": "olivecourse.ops.commands",
@@ -66,25 +71,31 @@
     }
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        return sorted([*super().list_commands(ctx), *self.FOUND])
+        """Returns the names of all commands, without importing those that are loaded on demand."""
+        return sorted([*super().list_commands(ctx), *self.COMMAND_MODULES])
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        if cmd_name in self.FOUND:
-            found: click.Command = getattr(import_module(self.FOUND[cmd_name]), cmd_name)
+        """Returns a command, importing its module if necessary."""
+        if cmd_name in self.COMMAND_MODULES:
+            found: click.Command = getattr(import_module(self.COMMAND_MODULES[cmd_name]), cmd_name)
             return found
         return super().get_command(ctx, cmd_name)
 
 
-@click.group(cls=Lazy, invoke_without_command=True)
+@click.group(cls=LazyGroup, invoke_without_command=True)
 @click.pass_context
 def main(context: click.Context) -> None:
-    """The gateway for cache boxes that fill from hub caches and an archive."""
+    """Gateway in front of cache boxes, which fill from hub caches and an archive."""
     if context.invoked_subcommand is None:
         context.invoke(serve)
 
 
-CONFIG = click.option("--config", "path", type=click.Path(), help="JSON as in EDGE_CONFIG, in its place.")
-OPERATOR = click.option("--operator", type=click.Path(), help="An operator's file (YAML) instead.")
+CONFIG = click.option(
+    "--config", "path", type=click.Path(), help="JSON configuration file, used instead of EDGE_CONFIG."
+)
+OPERATOR = click.option(
+    "--operator", type=click.Path(), help="Operator's file (YAML), used instead of a JSON file."
+)
 
 
 @main.command()
@@ -94,19 +105,23 @@
     "--role",
     type=click.Choice(["gateway", "forwarder", "planner", "relay"]),
     default="gateway",
-    help="gateway: all in one process; forwarder and planner need `planner` in the operator's file,"
+    help="gateway: everything in one process; forwarder and planner need `planner` in the operator's file,"
     " relay needs `relay`.",
 )
 def serve(path: str | None = None, operator: str | None = None, role: str = "gateway") -> None:
-    """Run one gateway, or one of its two halves, until SIGTERM; SIGHUP reads the configuration again."""
-    # From the first moment: a signal that comes while this process starts must neither end it nor be lost.
+    """Run a gateway, its forwarder, its planner or a relay until SIGTERM. SIGHUP reloads the
+    configuration.
+    """
+    # Signals are handled from the start, because a signal that arrives during startup must neither end this
+    # process nor be lost.
     signals = Signals()
     if role == "relay":
         _serve_relay(operator, signals)
         return
     config = _load(path, operator)
     logs.set_up()
-    from olivecourse.gateway import Gateway  # only here: the other commands start faster without it
+    # imported here because the other commands start faster without it
+    from olivecourse.gateway import Gateway
     from olivecourse.service import PlannerService
 
     log = logs.logger(gateway=config.name)
@@ -122,28 +137,32 @@
         sys.exit(2)
 
     def wake(mask: int) -> None:
-        came = signals.take()
-        if signal.SIGHUP in came:  # also before the end, which may take seconds in which drains are told
+        """Handles the signals that have arrived."""
+        arrived = signals.take()
+        # also before a stop, which may take seconds in which discovery still announces drains
+        if signal.SIGHUP in arrived:
             reload()
-        if came & {signal.SIGTERM, signal.SIGINT}:
+        if arrived & {signal.SIGTERM, signal.SIGINT}:
             gateway.stop()
 
     def reload() -> None:
-        """Reads the files again with the code of the start; whatever is wrong with them changes nothing."""
+        """Reads the configuration again in the same way as at the start. An invalid configuration changes
+        nothing.
+        """
         try:
-            fresh = load_operator(operator, os.environ) if operator else load_config(os.environ, path)
-            gateway.reload(fresh if role == "forwarder" else replace(fresh, planner=None))
+            new_config = load_operator(operator, os.environ) if operator else load_config(os.environ, path)
+            gateway.reload(new_config if role == "forwarder" else replace(new_config, planner=None))
         except (BadConfig, OSError, ValueError) as error:
             if not isinstance(gateway, PlannerService):
                 gateway.conf_invalid += 1
             log("reload_refused", why=str(error))
 
-    gateway.loop.watch(signals.woken, 1, wake)
+    gateway.loop.watch(signals.readable, 1, wake)
     gateway.run()
 
 
 def _serve_relay(operator: str | None, signals: Signals) -> None:
-    """A process that hands discovery's events on to many gateways."""
+    """Runs a relay: a process that distributes discovery events to many gateways."""
     from olivecourse.config.sections import BadSection
     from olivecourse.relay.commands import most_descriptors
     from olivecourse.relay.section import read_relay
@@ -162,22 +181,23 @@
         sys.exit(2)
 
     def wake(mask: int) -> None:
-        came = signals.take()
-        if signal.SIGHUP in came:
+        """Handles the signals that have arrived."""
+        arrived = signals.take()
+        if signal.SIGHUP in arrived:
             try:
                 relay.reload(read_relay(operator))
             except (BadSection, ValueError) as error:
                 log("reload_refused", why=str(error))
-        if came & {signal.SIGTERM, signal.SIGINT}:
+        if arrived & {signal.SIGTERM, signal.SIGINT}:
             relay.stop()
 
-    relay.loop.watch(signals.woken, 1, wake)
+    relay.loop.watch(signals.readable, 1, wake)
     relay.run()
 
 
 @main.command()
 def version() -> None:
-    """Print the versions of the program and of the libraries it stands on."""
+    """Print the versions of the program and of the libraries it uses."""
     click.echo(f"olivecourse {VERSION}")
     for name in (
         "thrift",
@@ -198,7 +218,7 @@
 @CONFIG
 @OPERATOR
 def check_config(path: str | None, operator: str | None) -> None:
-    """Read the configuration and say what is wrong with it, if anything."""
+    """Check the configuration and report what is wrong with it, if anything."""
     config = _load(path, operator)
     if config.signed is not None:
         from olivecourse.fronts import tokens
@@ -215,27 +235,35 @@
 @click.argument("uri")
 @click.option("--keys", required=True, type=click.Path(), help="The key file.")
 @click.option("--kid", required=True, help="The key to sign with.")
-@click.option("--ttl", default=300, show_default=True, type=click.IntRange(1), help="Seconds it lives.")
-@click.option("--container", help="hash:... or regex:..., in place of the hash of URI.")
-@click.option("--order", "gateway", help="A Bearer token for one order, for the gateway of this name.")
+@click.option(
+    "--ttl", default=300, show_default=True, type=click.IntRange(1), help="Validity of the token in seconds."
+)
+@click.option("--container", help="hash:... or regex:..., used instead of the hash of URI.")
+@click.option("--order", "gateway", help="Issue a Bearer token for one order at the gateway of this name.")
 def sign(uri: str, keys: str, kid: str, ttl: int, container: str | None, gateway: str | None) -> None:
-    """Sign the link URI, or issue an order token for it, and print it."""
+    """Sign the link URI, or issue an order token for it, and print the result."""
     from olivecourse.fronts import tokens
 
     try:
-        known = tokens.read_keys(keys)
+        known_keys = tokens.read_keys(keys)
     except tokens.BadKeys as error:
         click.echo(f"olivecourse: {error}", err=True)
         sys.exit(2)
-    if kid not in known:
+    if kid not in known_keys:
         click.echo(f"olivecourse: {keys}: no key {kid}", err=True)
         sys.exit(2)
     if gateway is not None:
         click.echo(
             tokens.issue(
-                known[kid], uri, ttl, time.time(), container=container, aud=gateway, jti=secrets.token_hex(16)
+                known_keys[kid],
+                uri,
+                ttl,
+                time.time(),
+                container=container,
+                aud=gateway,
+                jti=secrets.token_hex(16),
             )
         )
     else:
-        token = tokens.issue(known[kid], uri, ttl, time.time(), container=container)
+        token = tokens.issue(known_keys[kid], uri, ttl, time.time(), container=container)
         click.echo(tokens.signed_uri(uri, token))
--- a/olivecourse/demo.py
+++ b/olivecourse/demo.py
@@ -1,5 +1,8 @@
-"""`olivecourse demo`: one office with its hub and archive as stand-ins, and a gateway before them, on free
-loopback ports; a signed link and an order to try, and one line for each thing that happens."""
+"""`olivecourse demo` runs a gateway with emulated stores on free loopback ports.
+
+The emulated stores are those of one office, its hub and its archive. The command prints a signed link and an
+order to try, and one line for each event.
+"""
 
 from __future__ import annotations
 
@@ -30,24 +33,26 @@
     ("pages", 2500, "idempotent", False),
     ("commande", 3000, "at_most_once", True),
 ]
-KINDS = {"box": "petit", "hub": "parent", "archive": "origin"}
-TOLD = {"HIT": "held it", "MISS": "did not hold it and filled it from"}
+KIND_BY_NAME = {"box": "petit", "hub": "parent", "archive": "origin"}
+RESULT_TEXTS = {"HIT": "held it", "MISS": "did not hold it and filled it from"}
 
 
 def _free_port() -> int:
+    """Returns a loopback port that is currently free."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return int(sock.getsockname()[1])
 
 
-def _files(folder: Path, stores: list[Store], public: str, port: int) -> Path:
+def _write_files(folder: Path, stores: list[Store], public: str, port: int) -> Path:
+    """Writes the configuration files of the demo and returns the path of the operator's file."""
     (folder / "settings.json").write_text(json.dumps(settings(CLASSES)))
-    rows = [
-        f"{s.name},{s.address},{'praia' if s.name.startswith('box') else 'hub-nord'},"
-        f"{KINDS[s.name.split('-')[0]]},8"
-        for s in stores
+    inventory_rows = [
+        f"{store.name},{store.address},{'praia' if store.name.startswith('box') else 'hub-nord'},"
+        f"{KIND_BY_NAME[store.name.split('-')[0]]},8"
+        for store in stores
     ]
-    (folder / "stores.csv").write_text("\n".join(["name,address,zone,kind,size", *rows]) + "\n")
+    (folder / "stores.csv").write_text("\n".join(["name,address,zone,kind,size", *inventory_rows]) + "\n")
     secret = secrets.token_urlsafe(32)
     (folder / "keys.json").write_text(
         json.dumps({"demo": {"keys": [{"kty": "oct", "kid": "demo", "alg": "HS256", "k": secret}]}})
@@ -61,51 +66,56 @@
     return path
 
 
-def _narrate(store: Store, request: str, word: str, fields: dict[str, str]) -> None:
-    what = f"{fields.get('sort', '?')} {fields.get('asset', '?')}"
+def _print_store_event(store: Store, request: str, word: str, fields: dict[str, str]) -> None:
+    """Prints what a store did with a request."""
+    target = f"{fields.get('sort', '?')} {fields.get('asset', '?')}"
     if word == "data" and fields.get("sort") == "commande":
         click.echo(f"  {store.name}: passed the order {request} on to {fields.get('fetch', 'the archive')}")
     elif word == "data":
         source = fields.get("fetch", "") if fields["n"] == "MISS" else ""
-        click.echo(f"  {store.name}: {what}: {TOLD.get(fields['n'], fields['n'])} {source}".rstrip())
+        click.echo(
+            f"  {store.name}: {target}: {RESULT_TEXTS.get(fields['n'], fields['n'])} {source}".rstrip()
+        )
     else:
-        click.echo(f"  {store.name}: {what}: {word}")
+        click.echo(f"  {store.name}: {target}: {word}")
 
 
-def _said(line: dict[str, Any]) -> str:
-    hidden = ("event", "level", "timestamp", "gateway")
-    rest = " ".join(f"{k}={v}" for k, v in line.items() if k not in hidden)
-    return f"  gateway: {line['event']} {rest}"
+def _format_log_line(line: dict[str, Any]) -> str:
+    """Formats a log line of the gateway for the terminal."""
+    omitted = ("event", "level", "timestamp", "gateway")
+    fields = " ".join(f"{key}={value}" for key, value in line.items() if key not in omitted)
+    return f"  gateway: {line['event']} {fields}"
 
 
 @click.command()
-@click.option("--seconds", type=click.FloatRange(0), default=None, help="End by itself after so long.")
+@click.option("--seconds", type=click.FloatRange(0), default=None, help="Stop after this many seconds.")
 def demo(seconds: float | None) -> None:
-    """Start one office of stand-ins with a gateway, and print a link and an order to try with curl."""
-    stores = [Store(name, holds_all=False) for name in ("box-1", "box-2", "box-3", "hub-1", "archive-1")]
-    world, port = World(stores, _narrate), _free_port()
+    """Start a gateway with one office of emulated stores, and print a link and an order to try with curl."""
+    stores = [Store(folder, holds_all=False) for folder in ("box-1", "box-2", "box-3", "hub-1", "archive-1")]
+    world, port = World(stores, _print_store_event), _free_port()
     public = f"http://127.0.0.1:{port}"
-    lines: deque[dict[str, Any]] = deque(maxlen=1000)
-    ended: list[int] = []
-    for number in (signal.SIGINT, signal.SIGTERM):
-        signal.signal(number, lambda got, _: ended.append(got))
-    with tempfile.TemporaryDirectory() as name:
-        operator = _files(Path(name), stores, public, port)
-        words = [sys.executable, "-m", "olivecourse", "serve", "--operator", str(operator)]
+    log_lines: deque[dict[str, Any]] = deque(maxlen=1000)
+    stop_signals: list[int] = []
+    for signal_number in (signal.SIGINT, signal.SIGTERM):
+        signal.signal(signal_number, lambda received, _: stop_signals.append(received))
+    with tempfile.TemporaryDirectory() as folder:
+        operator = _write_files(Path(folder), stores, public, port)
+        command = [sys.executable, "-m", "olivecourse", "serve", "--operator", str(operator)]
         gateway = subprocess.Popen(
-            words, stderr=subprocess.PIPE, text=True, start_new_session=True, env={**os.environ}
+            command, stderr=subprocess.PIPE, text=True, start_new_session=True, env={**os.environ}
         )
 
         def listen() -> None:
+            """Collects the gateway's log lines until it ends."""
             assert gateway.stderr is not None
-            for raw in gateway.stderr:
+            for line in gateway.stderr:
                 with contextlib.suppress(ValueError):
-                    lines.append(json.loads(raw))
+                    log_lines.append(json.loads(line))
 
         threading.Thread(target=listen, daemon=True).start()
         try:
-            key = tokens.read_keys(str(Path(name) / "keys.json"))["demo"]
-            _serve(world, lines, ended, gateway, public, key, seconds)
+            signing_key = tokens.read_keys(str(Path(folder) / "keys.json"))["demo"]
+            _serve(world, log_lines, stop_signals, gateway, public, signing_key, seconds)
         finally:
             if gateway.poll() is None:
                 gateway.terminate()
@@ -116,39 +126,45 @@
 
 def _serve(
     world: World,
-    lines: deque[dict[str, Any]],
-    ended: list[int],
+    log_lines: deque[dict[str, Any]],
+    stop_signals: list[int],
     gateway: subprocess.Popen[str],
     public: str,
-    key: tokens.Key,
+    signing_key: tokens.Key,
     seconds: float | None,
 ) -> None:
-    started, ready_at, shown = time.monotonic(), 0.0, False
-    while not ended and gateway.poll() is None:
+    """Runs the emulated stores and prints events until the demo is stopped or `seconds` have passed."""
+    started, ready_at, link_printed = time.monotonic(), 0.0, False
+    while not stop_signals and gateway.poll() is None:
         world.turn(time.monotonic() + 0.1)
-        while lines:
-            line = lines.popleft()
-            ready_at = ready_at or (time.monotonic() if line["event"] == "ready" else 0.0)
-            click.echo(_said(line))
-        if ready_at and not shown and time.monotonic() - ready_at > 1.1:
-            shown = True  # not sooner: order tokens of a gateway's first second are void
-            _offer(public, key)
+        while log_lines:
+            log_line = log_lines.popleft()
+            ready_at = ready_at or (time.monotonic() if log_line["event"] == "ready" else 0.0)
+            click.echo(_format_log_line(log_line))
+        if ready_at and not link_printed and time.monotonic() - ready_at > 1.1:
+            # the gateway rejects order tokens that were issued within the first second after its start
+            link_printed = True
+            _print_examples(public, signing_key)
         if seconds is not None and time.monotonic() - started > seconds:
             return
 
 
-def _offer(public: str, key: tokens.Key) -> None:
-    read, order = f"{public}/fichiers/{OBJECT}/0?shard=17&kb=41.5", f"{public}/commande/{OBJECT}/0?shard=17"
+def _print_examples(public: str, signing_key: tokens.Key) -> None:
+    """Prints a signed link and a signed order as curl commands."""
+    read_uri, order_uri = (
+        f"{public}/fichiers/{OBJECT}/0?shard=17&kb=41.5",
+        f"{public}/commande/{OBJECT}/0?shard=17",
+    )
     now = time.time()
-    token = tokens.issue(key, order, 900, now, aud="demo", jti=secrets.token_hex(16))
+    token = tokens.issue(signing_key, order_uri, 900, now, aud="demo", jti=secrets.token_hex(16))
     click.echo(f"""
-A signed link, good for an hour; the second time a box holds it:
+A signed link, valid for an hour; the second request is a hit at a box:
 
-  curl -i '{tokens.signed_uri(read, tokens.issue(key, read, 3600, now))}'
+  curl -i '{tokens.signed_uri(read_uri, tokens.issue(signing_key, read_uri, 3600, now))}'
 
-An order, good for 15 minutes and for one use; the second time it is turned away:
+An order, valid for 15 minutes and for one use; a second use is rejected:
 
-  curl -i -X POST -d '12 wall calendars' -H 'Authorization: Bearer {token}' '{order}'
+  curl -i -X POST -d '12 wall calendars' -H 'Authorization: Bearer {token}' '{order_uri}'
 
 Ctrl-C ends it.
 """)
--- a/olivecourse/logs.py
+++ b/olivecourse/logs.py
@@ -1,4 +1,6 @@
-"""structlog, set up once: one JSON line an event on standard error, repeated ones thinned out."""
+"""Configures structlog: each event is one JSON line on standard error, and repeated events are
+rate-limited.
+"""
 
 from __future__ import annotations
 
@@ -11,72 +13,82 @@
 from contextlib import suppress
 from typing import Any
 
-# structlog takes rich wherever it is installed, for a console output that is not used here: 5 MB and 60 ms
-# of every start, which a gateway of 32 MB cannot spare. The command line imports it when it prints tables.
-_unloaded = "rich" not in sys.modules
-if _unloaded:
+# structlog imports rich wherever it is installed, for a console renderer that is not used here. That costs 5
+# MB and 60 ms at every start, which a gateway with 32 MB cannot spare. The command line imports rich when it
+# prints tables.
+_hide_rich = "rich" not in sys.modules
+if _hide_rich:
     sys.modules["rich"] = None  # type: ignore[assignment]
 import structlog  # noqa: E402
 
-if _unloaded:
+if _hide_rich:
     del sys.modules["rich"]
 
-MOST_LINE = 4096  # PIPE_BUF: what a pipe takes whole once it says that it takes anything
-BURST, SPAN_S = 20, 10.0  # lines of one name in a span; more are counted and left out
+MAX_LINE_BYTES = 4096  # PIPE_BUF: the size up to which a pipe that is writable accepts a write as a whole
+MAX_LINES_PER_WINDOW, WINDOW_S = (
+    20,
+    10.0,
+)  # lines of one event name within 10 s; further lines are counted and dropped
 
 
-class Thin:
-    """Guards against a fault that would fill the log, or block on it, when clients or stores repeat it."""
+class RateLimiter:
+    """A structlog processor that limits how often each event name is logged, so that a fault repeated by
+    clients or stores can neither fill the log nor block on it.
+    """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self._clock = clock
-        self._seen: dict[str, tuple[float, int]] = {}
+        self._windows: dict[str, tuple[float, int]] = {}
 
     def __call__(self, logger: Any, method: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
+        """Passes the event on, or drops it if its name has reached the limit."""
         name, now = str(event.get("event")), self._clock()
-        since, count = self._seen.get(name, (now, 0))
-        if now - since >= SPAN_S:
-            if count > BURST:
-                event["left_out"] = count - BURST
-            since, count = now, 0
-        self._seen[name] = (since, count + 1)
-        if count >= BURST:
+        window_start, count = self._windows.get(name, (now, 0))
+        if now - window_start >= WINDOW_S:
+            if count > MAX_LINES_PER_WINDOW:
+                event["left_out"] = count - MAX_LINES_PER_WINDOW
+            window_start, count = now, 0
+        self._windows[name] = (window_start, count + 1)
+        if count >= MAX_LINES_PER_WINDOW:
             raise structlog.DropEvent
         return event
 
 
 class Sink:
-    """Lines to a descriptor, each whole or not at all.
+    """Writes lines to a file descriptor, each as a whole or not at all.
 
-    Guards against a reader of the log that has stopped: a full pipe must not stop the loop. What finds no
-    room is left out, and the next line that does carries `lost`, how many.
+    Guards against a log reader that has stopped: a full pipe must not block the event loop. Lines that do not
+    fit are dropped, and the next line that fits carries their number in `lost`.
     """
 
     def __init__(self, fd: int) -> None:
         self._fd, self._lost = fd, 0
-        self._room = select.poll()
-        self._room.register(fd, select.POLLOUT)
+        self._poll = select.poll()
+        self._poll.register(fd, select.POLLOUT)
 
     def msg(self, line: str) -> None:
+        """Writes one line, or drops it if the descriptor is not writable."""
         data = line.encode("utf-8", "replace")
-        if len(data) > MOST_LINE - 64:
+        if len(data) > MAX_LINE_BYTES - 64:
             data = json.dumps({"event": "line_too_long", "bytes": len(data), "begins": line[:500]}).encode()
-        if not any(events & select.POLLOUT for _, events in self._room.poll(0)):
-            self._lost += 1  # a pipe that is writable has room for MOST_LINE, so that the write can't block
+        if not any(events & select.POLLOUT for _, events in self._poll.poll(0)):
+            # a writable pipe has room for MAX_LINE_BYTES bytes, so that the write below cannot block
+            self._lost += 1
             return
         if self._lost:
             data, self._lost = data.rstrip(b"}") + b', "lost": %d}' % self._lost, 0
-        with suppress(OSError):  # nobody reads any more
+        with suppress(OSError):  # the log reader has closed its end
             os.write(self._fd, data + b"\n")
 
     warning = info = error = msg
 
 
 def set_up() -> None:
+    """Configures structlog for the process."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
-            Thin(),
+            RateLimiter(),
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.JSONRenderer(),
         ],
@@ -86,7 +98,7 @@
 
 
 def logger(**bound: Any) -> Callable[..., None]:
-    """A function that writes one warning line: its name and its values."""
+    """Returns a function that logs one warning line with an event name and its fields."""
     log = structlog.get_logger().bind(**bound)
 
     def write(event: str, **values: Any) -> None:
--- a/olivecourse/parts.py
+++ b/olivecourse/parts.py
@@ -1,6 +1,7 @@
-"""What a gateway may have besides the path of its requests: a list made from the configuration, in one place.
+"""Optional components of a gateway, besides its request path, and the list of those that a configuration
+enables.
 
-Each part is told what it needs, and loads its own modules only when it is made: what is off costs nothing.
+Each component imports its own modules only when it is created, so that a disabled one costs nothing.
 """
 
 from __future__ import annotations
@@ -26,12 +27,12 @@
     from olivecourse.net.stores import Pool
 
 MS = 1_000_000
-FILES_NS = 1_000 * MS  # between two looks at the operator's files
-P = TypeVar("P", bound="Part")
+FILE_CHECK_INTERVAL_NS = 1_000 * MS  # interval between checks of the operator's files for changes
+ComponentT = TypeVar("ComponentT", bound="Part")
 
 
 class Host(Protocol):
-    """The gateway, as its parts see it."""
+    """The gateway as its components see it."""
 
     config: Config
     loop: Loop
@@ -42,73 +43,100 @@
     conf_loaded: int
     conf_invalid: int
 
-    def emit(self, event: w.Event) -> None: ...
+    def emit(self, event: w.Event) -> None:
+        """Adds an event to the batch for the planner."""
+        ...
 
-    def on_events(self, events: list[Any], first: bool = False) -> None: ...
+    def on_events(self, events: list[Any], first: bool = False) -> None:
+        """Processes discovery events in order. `first` marks the events known at startup."""
+        ...
 
-    def share(self, shared: bool) -> None: ...
+    def share(self, shared: bool) -> None:
+        """Halves the descriptor limits while another process of the same gateway runs, or restores them."""
+        ...
 
-    def part(self, kind: type[P]) -> P | None: ...
+    def part(self, kind: type[ComponentT]) -> ComponentT | None:
+        """Returns the component of that class if it is enabled and already created, else None."""
+        ...
 
-    def why_not_ready(self) -> str: ...
+    def why_not_ready(self) -> str:
+        """Returns the reason why the gateway is not ready to serve requests, or an empty string if it is
+        ready.
+        """
+        ...
 
-    def drain(self, draining: bool) -> None: ...
+    def drain(self, draining: bool) -> None:
+        """Starts or ends the drain of all client listeners."""
+        ...
 
-    def avoided(self) -> set[int]: ...
+    def avoided(self) -> set[int]:
+        """Returns the stores that the local planner avoids."""
+        ...
 
-    def longest_turn_s(self) -> float: ...
+    def longest_turn_s(self) -> float:
+        """Returns the duration of the longest turn of the event loop in seconds."""
+        ...
 
-    def new_keys(self) -> bool: ...
+    def new_keys(self) -> bool:
+        """Reads the key file again and returns whether there is a signed listener. Raises ValueError if the
+        file is invalid.
+        """
+        ...
 
 
 class Part:
-    """What a part may do; each does nothing unless it says otherwise. Made before the planner."""
+    """Base class of the optional components. Every method does nothing unless a component overrides it.
+    Components are created before the planner.
+    """
 
     def __init__(self, host: Host) -> None:
         self.host = host
 
     def teach(self, planner: Planner) -> None:
-        """A planner in this process, before its first event."""
+        """Configures a planner in this process before its first event."""
 
     def start(self, front: Listener) -> None:
-        """Clients can come from now on."""
+        """Starts the component; clients can connect from now on."""
 
     def listener(self) -> socket.socket | None:
-        """A socket that clients come to already."""
+        """Returns a socket that already accepts clients, taken over from another process, or None."""
         return None
 
     def reloaded(self, old: Config) -> None:
-        """The host's configuration is another now."""
+        """Called after a reload has replaced the gateway's configuration; `old` is the previous one."""
 
     def act(self, action: w.TellPeer) -> None:
-        """An action of the module that is for parts."""
+        """Executes a planner action that is meant for components."""
 
     def settle(self, classes: Sequence[str]) -> None:
-        """The names of classes are these now."""
+        """Applies the new list of class names after a reload."""
 
     def takes_work(self) -> bool:
+        """Returns whether this component allows the gateway to accept requests."""
         return True
 
     def serves(self) -> None:
-        """This process is about to say that it is ready."""
+        """Called when this process is about to report that it is ready."""
 
     def retire(self) -> bool:
-        """SIGTERM: whether clients have been handed to another process."""
+        """Called at SIGTERM. Returns whether this component has handed the clients over to another
+        process.
+        """
         return False
 
     def retired(self) -> None:
-        """They have, by whichever part."""
+        """Called at SIGTERM after any component has handed the clients over to another process."""
 
     def flushed(self) -> bool:
-        """Whether nothing is owed any more by this part."""
+        """Returns whether this component has sent all answers that it owes."""
         return True
 
     def stop(self) -> None:
-        """The loop has ended."""
+        """Releases resources after the event loop has ended."""
 
 
 class DoorPart(Part):
-    """The operators' door and its desk: `docs/design/daily.md`."""
+    """Serves the operators' HTTP endpoint, described in `docs/design/daily.md`."""
 
     def __init__(self, host: Host) -> None:
         super().__init__(host)
@@ -143,20 +171,22 @@
 
 
 class UpgradePart(Part):
-    """Two processes of one gateway; after the door, whose bans they hold together."""
+    """Hands clients over between an old and a new process of one gateway. It is created after the operators'
+    endpoint, because both processes share the list of stores that operators took out of service.
+    """
 
     def __init__(self, host: Host) -> None:
         super().__init__(host)
         from olivecourse.ops.succession import open_succession
 
-        door = host.part(DoorPart)
-        assert door is not None
+        door_part = host.part(DoorPart)
+        assert door_part is not None
         config = host.config
         self.succession = open_succession(
-            host.loop, config.tmpdir, config.name, door.desk, host.share, host.log
+            host.loop, config.tmpdir, config.name, door_part.desk, host.share, host.log
         )
         if self.succession is not None:
-            door.desk.spoken = self.succession.say
+            door_part.desk.spoken = self.succession.say
 
     def teach(self, planner: Planner) -> None:
         if self.succession is not None:
@@ -185,7 +215,7 @@
 
 
 class PeersPart(Part):
-    """Datagrams of the module's, where the platform allows them."""
+    """Exchanges the Router's datagrams with peer gateways, where the platform allows them."""
 
     def __init__(self, host: Host) -> None:
         super().__init__(host)
@@ -210,7 +240,9 @@
             self.peers.tell(action)
 
     def retired(self) -> None:
-        """The system would go on giving us a part of the datagrams."""
+        """Closes the socket, since otherwise the operating system would still deliver some of the new
+        process's datagrams to this one.
+        """
         self.stop()
 
     def stop(self) -> None:
@@ -220,7 +252,9 @@
 
 
 class MemoryPart(Part):
-    """What was learned, across restarts: `docs/design/memory.md`. The platform's gateway has no disk."""
+    """Keeps learned values across restarts, as described in `docs/design/memory.md`. The platform's gateway
+    has no disk and does not use it.
+    """
 
     def __init__(self, host: Host) -> None:
         super().__init__(host)
@@ -237,21 +271,23 @@
 
 
 class StormsPart(Part):
-    """Limits while a retry storm is on: `docs/design/storms.md`."""
+    """Limits traffic during a retry storm, as described in `docs/design/storms.md`."""
 
     def teach(self, planner: Planner) -> None:
         from olivecourse.storm.guard import Guard
 
-        s = self.host.config.settings
+        settings = self.host.config.settings
         section = self.host.config.sections["storms"]
-        planner.watch(Guard(section.policy(), s, self.host.loop.clock.now(), Random(s.seed).random))
+        planner.watch(
+            Guard(section.policy(), settings, self.host.loop.clock.now(), Random(settings.seed).random)
+        )
 
     def start(self, front: Listener) -> None:
         front.names = True
 
 
-def stamp(path: str | None) -> int:
-    """When a file was changed last; 0 where that can't be seen."""
+def modification_time_ns(path: str | None) -> int:
+    """Returns the time of a file's last change in nanoseconds, or 0 if it cannot be determined."""
     try:
         return os.stat(path).st_mtime_ns if path else 0
     except OSError:
@@ -259,56 +295,61 @@
 
 
 class FilesPart(Part):
-    """The inventory and the key file of an operator's configuration, looked at every second; one that can't
-    be used changes nothing."""
+    """Checks the inventory and the key file of an operator's configuration for changes every second. An
+    invalid file changes nothing.
+    """
 
     def __init__(self, host: Host) -> None:
         super().__init__(host)
-        self.inventory_seen = stamp(host.config.inventory)
-        self.keys_seen = stamp(self._keys())
+        self.inventory_seen = modification_time_ns(host.config.inventory)
+        self.keys_seen = modification_time_ns(self._key_file())
 
-    def _keys(self) -> str | None:
+    def _key_file(self) -> str | None:
         return self.host.config.signed.keys if self.host.config.signed else None
 
     def start(self, front: Listener) -> None:
-        self.host.loop.after(FILES_NS, self.look)
+        self.host.loop.after(FILE_CHECK_INTERVAL_NS, self.look)
 
     def reloaded(self, old: Config) -> None:
         if self.host.config.inventory != old.inventory:
-            self.inventory_seen = -1  # read within a second, as after any change
+            self.inventory_seen = -1  # forces the next check, within a second, to read the file
 
     def look(self) -> None:
+        """Reads the files that have changed, then schedules the next check."""
         host, config = self.host, self.host.config
         try:
-            seen = stamp(config.inventory)
-            if config.inventory is not None and seen != self.inventory_seen:
-                self.inventory_seen = seen
+            changed_at = modification_time_ns(config.inventory)
+            if config.inventory is not None and changed_at != self.inventory_seen:
+                self.inventory_seen = changed_at
                 host.on_events([read_inventory(config.inventory, config.zones, config.kinds)])
                 host.log("inventory_read", stores=len(host.directory.members))
-            seen = stamp(self._keys())
-            if seen != self.keys_seen:
-                self.keys_seen = seen
+            changed_at = modification_time_ns(self._key_file())
+            if changed_at != self.keys_seen:
+                self.keys_seen = changed_at
                 host.new_keys()
         except (BadInventory, ValueError) as error:
             host.log("file_unusable", why=str(error))
-        host.loop.after(FILES_NS, self.look)
+        host.loop.after(FILE_CHECK_INTERVAL_NS, self.look)
 
 
-def _rollout() -> type[Part]:
+def _rollout_component() -> type[Part]:
+    """Imports the rollout component only when it is enabled."""
     from olivecourse.rollout.part import RolloutPart
 
     return RolloutPart
 
 
 def parts_of(config: Config) -> list[type[Part]]:
-    """The parts that a configuration switches on, in the order in which they are made."""
-    local = config.planner is None
-    wanted: tuple[tuple[bool, type[Part]], ...] = (
+    """Returns the component classes that a configuration enables, in the order of their creation."""
+    planner_is_local = config.planner is None
+    candidates: tuple[tuple[bool, type[Part]], ...] = (
         (bool(config.doors), DoorPart),
         (bool(config.doors), UpgradePart),
         (config.peer_listen is not None, PeersPart),
-        (local and "memory" in config.sections, MemoryPart),
+        (planner_is_local and "memory" in config.sections, MemoryPart),
         ("storms" in config.sections, StormsPart),
         (config.inventory is not None, FilesPart),
     )
-    return [kind for on, kind in wanted if on] + ([_rollout()] if "rollout" in config.sections else [])
+    return [component_class for enabled, component_class in candidates if enabled] + (
+        [_rollout_component()] if "rollout" in config.sections else []
+    )
--- a/olivecourse/service.py
+++ b/olivecourse/service.py
@@ -1,4 +1,4 @@
-"""A planner as a process of its own: a loop, and a Router for each forwarder that connects."""
+"""A planner in a process of its own: an event loop, and one Router for each connected forwarder."""
 
 from __future__ import annotations
 
@@ -16,6 +16,8 @@
 
 
 class PlannerService:
+    """The planner process. It serves forwarders on a Unix socket until it is stopped."""
+
     def __init__(self, config: Config, log: Callable[..., None]) -> None:
         if config.planner is None:
             raise ValueError("no planner socket")
@@ -26,9 +28,12 @@
 
             self._keeper = Keeper(self.loop, config.sections["memory"], config.name, log)
             self._keeper.start()
-        self._server = PlannerServer(self.loop, config.planner, config.settings, log, self._made, self._gone)
+        self._server = PlannerServer(
+            self.loop, config.planner, config.settings, log, self._on_planner_created, self._on_planner_gone
+        )
 
-    def _made(self, planner: Planner) -> None:
+    def _on_planner_created(self, planner: Planner) -> None:
+        """Sets up the planner of a forwarder that has just connected."""
         if "storms" in self._config.sections:
             from olivecourse.storm.guard import Guard
 
@@ -44,21 +49,26 @@
         if self._keeper is not None:
             self._keeper.adopt(planner.router)
 
-    def _gone(self, planner: Planner) -> None:
+    def _on_planner_gone(self, planner: Planner) -> None:
+        """Stops saving the learned values of a planner whose forwarder disconnected."""
         if self._keeper is not None:
             self._keeper.leave(planner.router)
 
     def stop(self) -> None:
+        """Ends the event loop."""
         self.loop.running = False
 
     def reload(self, config: Config) -> None:
-        """A planner takes the settings of its start; the forwarders read what may change."""
+        """Changes nothing: a planner keeps the settings of its start, and the forwarders apply what may
+        change.
+        """
         self.log("reloaded", moved=[], needs_restart=[])
 
     def run(self) -> None:
+        """Runs the event loop until `stop` is called, then releases all resources."""
         self.log("ready", planner=self._server.path)
         self.loop.run(lambda: None)
-        if self._keeper is not None:  # while the Routers of the forwarders are still there
+        if self._keeper is not None:  # must happen while the forwarders' Routers still exist
             self._keeper.stop()
         self._server.close()
         self.loop.close()
