--- a/olivecourse/config/discovery_events.py
+++ b/olivecourse/config/discovery_events.py
@@ -102,7 +102,7 @@
     def events(self, event: Any, first: bool = False) -> Iterator[w.Event]:
         """Yields the routing module's events for one numbered discovery event. Raises InvalidEvent."""
         if not isinstance(event, dict):
-            raise InvalidEvent("an event is an object")
+            raise InvalidEvent("the event is not an object")
         try:
             if "pool" in event:
                 members, errors = self._members(event["pool"].get("members", ()))
@@ -169,7 +169,7 @@
         up_since_ms, weight = int(entry.get("up_since_ms") or 0), float(entry.get("size") or 1)
         cell = None if entry.get("cell") is None else int(entry["cell"])
         if not math.isfinite(weight):
-            raise InvalidEvent(f"{name}: no size")
+            raise InvalidEvent(f"{name}: size is not a finite number")
         # every value of the member has been checked at this point
         if self.names.setdefault(cache, name) != name:
             raise InvalidEvent(f"{name} and {self.names[cache]} share a number")
--- a/olivecourse/config/gateway_config.py
+++ b/olivecourse/config/gateway_config.py
@@ -97,7 +97,7 @@
         raise BadConfig("the configuration is not a JSON object")
     nested = raw.get("settings")
     if not isinstance(nested, dict):
-        raise BadConfig("settings: missing or no object")
+        raise BadConfig("settings: missing or not an object")
     listen = _address({"listen": env.get("EDGE_LISTEN") or raw.get("listen")}, "listen")
     if listen is None:
         raise BadConfig("listen: missing, and EDGE_LISTEN is not set")
@@ -187,14 +187,16 @@
         if isinstance(raw.get("settings"), str):
             raw["settings"] = json.loads((folder / raw["settings"]).read_text("utf-8"))
         config = read_config({"limits": {"sockets": raw.get("sockets", 1024)}, **raw}, env)
-        signed = raw.get("signed")
-        if signed is not None:
-            if not isinstance(signed, dict) or not {"public", "keys"} <= set(signed):
+        signed_listener = raw.get("signed")
+        if signed_listener is not None:
+            if not isinstance(signed_listener, dict) or not {"public", "keys"} <= set(signed_listener):
                 raise BadConfig("signed: public and keys are needed")
-            leeway = float(signed.get("leeway_s", 3))
-            if not 0 <= leeway <= 60:
+            leeway_s = float(signed_listener.get("leeway_s", 3))
+            if not 0 <= leeway_s <= 60:
                 raise BadConfig("signed: leeway_s is 0 to 60 seconds")
-            signed = Signed(str(signed["public"]), str(folder / signed["keys"]), leeway)
+            signed_listener = Signed(
+                str(signed_listener["public"]), str(folder / signed_listener["keys"]), leeway_s
+            )
         if not raw.get("inventory"):
             raise BadConfig("inventory: missing")
         inventory = str(folder / raw["inventory"])
@@ -202,10 +204,10 @@
         planner = raw.get("planner")
         boards = raw.get("boards") or []
         if boards and config.board is None:
-            raise BadConfig("boards: they stand in for `board`, which is missing")
+            raise BadConfig("boards: alternatives to `board`, which is missing")
         return replace(
             config,
-            signed=signed,
+            signed=signed_listener,
             inventory=inventory,
             notices=[notice, *config.notices],
             planner=str(folder / planner) if planner else None,
--- a/olivecourse/config/merging.py
+++ b/olivecourse/config/merging.py
@@ -52,7 +52,7 @@
     """Merges reloaded settings into the current ones. Raises Unfit if there would be more than MOST_CLASSES
     class names since the start.
     """
-    indexes = {request_class.name: index for index, request_class in enumerate(old.classes)}
+    indexes = {listed_class.name: index for index, listed_class in enumerate(old.classes)}
     classes = list(old.classes)
     for request_class in new.classes:
         if request_class.name in indexes:
@@ -61,7 +61,7 @@
             indexes[request_class.name] = len(classes)
             classes.append(request_class)
     if len(classes) > MOST_CLASSES:
-        raise Unfit(f"more than {MOST_CLASSES} names of classes since the start: restart")
+        raise Unfit(f"more than {MOST_CLASSES} names of classes since the start: restart the gateway")
     changed = [
         setting.name
         for setting in fields(Settings)
@@ -75,7 +75,7 @@
         taken.append("classes")
     return Merged(
         merged,
-        {request_class.name: indexes[request_class.name] for request_class in new.classes},
+        {listed_class.name: indexes[listed_class.name] for listed_class in new.classes},
         taken,
         waits,
     )
--- a/olivecourse/config/settings.py
+++ b/olivecourse/config/settings.py
@@ -101,12 +101,12 @@
 
 
 def _parse_fields(
-    pairs: dict[str, str], table: dict[str, tuple[str, Convert]], prefix: str = ""
+    text_by_path: dict[str, str], table: dict[str, tuple[str, Convert]], prefix: str = ""
 ) -> dict[str, Any]:
-    """Returns the fields of a table that `conf` contains, parsed. Raises Malformed."""
+    """Returns the fields of a table whose paths `text_by_path` contains, parsed. Raises Malformed."""
     values: dict[str, Any] = {}
     for field, (path, convert) in table.items():
-        text = pairs.get(prefix + path)
+        text = text_by_path.get(prefix + path)
         if text is not None and text != "-":
             try:
                 values[field] = convert(text)
@@ -152,10 +152,10 @@
     known_paths |= {f"profiles.*.{path}" for path, _ in CLASS_SETTINGS.values()}
     paths = (pair.partition("=")[0] for pair in pairs)
     normalized_paths = (
-        "profiles.*." + path.split(".", 2)[2]
-        if path.startswith("profiles.") and path.count(".") > 1
-        else path
-        for path in paths
+        "profiles.*." + setting_path.split(".", 2)[2]
+        if setting_path.startswith("profiles.") and setting_path.count(".") > 1
+        else setting_path
+        for setting_path in paths
     )
     return tuple(sorted(set(normalized_paths) - known_paths))[:MAX_REPORTED_PATHS]
 
@@ -174,7 +174,7 @@
     names = [request_class.name for request_class in settings.classes]
     for name in names:
         if not name or names.count(name) > 1:
-            raise Malformed(f"profiles: a class {'told twice: ' + name if name else 'without a name'}")
+            raise Malformed(f"profiles: a class {'listed twice: ' + name if name else 'without a name'}")
     sections: list[tuple[str, Any]] = [
         ("", settings),
         *((f"class {request_class.name}: ", request_class) for request_class in settings.classes),
--- a/olivecourse/discovery/event_stream.py
+++ b/olivecourse/discovery/event_stream.py
@@ -91,7 +91,7 @@
         if self.error is not None:
             raise self.error
         if self._state != END or self._text:
-            raise EventStreamError("the answer is cut off")
+            raise EventStreamError("the response is incomplete")
         if not self._has_event_list:
             raise EventStreamError("no list of events")
         try:
@@ -155,7 +155,7 @@
         """
         if self._state == MEMBER and self._key == "notices":
             if character != "[":
-                raise EventStreamError("the events are no list")
+                raise EventStreamError("the events are not a list")
             self._state, self._has_event_list = FIRST_EVENT, True
             return position + 1
         value, end = self._value(text, position)
@@ -168,7 +168,7 @@
         elif isinstance(value, str):
             self._key, self._state = value, COLON
         else:
-            raise EventStreamError("a key is no string")
+            raise EventStreamError("a key is not a string")
         return end
 
     def _value(self, text: str, position: int) -> tuple[Any, int]:
--- a/olivecourse/discovery/pacing.py
+++ b/olivecourse/discovery/pacing.py
@@ -47,9 +47,9 @@
         slowly.
         """
         # longer times make no difference, as they leave no time for batching either
-        round_trip_ns = min(elapsed_ns, self.grace_ns)
-        gain = ROUND_TRIP_GAIN if round_trip_ns > self.round_trip_ns else ROUND_TRIP_DECAY
-        self.round_trip_ns += gain * (round_trip_ns - self.round_trip_ns)
+        sample_ns = min(elapsed_ns, self.grace_ns)
+        gain = ROUND_TRIP_GAIN if sample_ns > self.round_trip_ns else ROUND_TRIP_DECAY
+        self.round_trip_ns += gain * (sample_ns - self.round_trip_ns)
 
     def gather_ns(self, lag_ns: int) -> int:
         """Returns how long events may be batched, if a turn of the event loop takes `lag_ns`."""
