--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,6 @@
-"""Discovery in bulk: purges by the ten thousand, answers too long to hold, and how often it is asked."""
+"""Discovery at high volume: tens of thousands of purges, responses too long to hold, and the polling
+interval.
+"""
 
 import json
 import time
@@ -30,38 +32,43 @@
     made.close()
 
 
-def with_board(test):
+def with_discovery(test):
+    """Runs a test on a stage with an emulated discovery server."""
     return pytest.mark.parametrize("stage", [{"board": True}], indirect=True)(test)
 
 
-def purges(first, count, ms):
-    """Numbered events, each of which purges an object of its own."""
-    return [{"rev": n, "flush": {"asset": f"{n:016x}", "ms": ms}} for n in range(first, first + count)]
+def purges(first, count, made_at_ms):
+    """Returns numbered events, each of which purges an object of its own."""
+    return [
+        {"rev": number, "flush": {"asset": f"{number:016x}", "ms": made_at_ms}}
+        for number in range(first, first + count)
+    ]
 
 
-def processor_time(call):
-    began = time.process_time()
-    call()
-    return time.process_time() - began
+def cpu_time_s(function):
+    """Returns the CPU time in seconds that a function takes."""
+    started_at = time.process_time()
+    function()
+    return time.process_time() - started_at
 
 
 # Bulk purges ---------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("stage", [{}, {"planner": "/nonexistent/planner"}], indirect=True)
-def test_the_ten_thousandth_purge_costs_what_the_first_did(stage):
-    gateway, made = stage.gateway, int(time.time() * 1000)
+def test_cost_of_a_purge_does_not_grow_with_the_number_of_purges(stage):
+    gateway, made_at_ms = stage.gateway, int(time.time() * 1000)
 
-    def take(first):
-        for event in purges(first, 2_000, made):
+    def send_purges(first):
+        for event in purges(first, 2_000, made_at_ms):
             gateway.on_events([event])
 
-    early = processor_time(lambda: take(2))
-    gateway.on_events(purges(2_002, 12_000, made))
-    assert processor_time(lambda: take(14_002)) < 10 * early + 0.05
+    first_cost_s = cpu_time_s(lambda: send_purges(2))
+    gateway.on_events(purges(2_002, 12_000, made_at_ms))
+    assert cpu_time_s(lambda: send_purges(14_002)) < 10 * first_cost_s + 0.05
 
 
-def test_the_bounds_of_a_purge_are_the_strictest_told_until_they_expire():
+def test_strictest_bound_of_a_purged_key_applies_until_it_expires():
     table = PurgeTable()
     table.add("a", 100, 900, 100)
     table.add(7, 300, 1_100, 300)
@@ -75,7 +82,7 @@
     assert not len(table) and table.find("a", 7) == []
 
 
-def test_beyond_its_bound_a_table_lets_go_first_of_what_had_settled_before_it_was_told():
+def test_full_table_first_evicts_purges_that_were_settled_when_received():
     table = PurgeTable(keep=10, max_with_settled=4, max_unsettled=6)
     table.add("fresh", 1_000, 7_000, 1_000)
     for n in range(8):
@@ -84,7 +91,7 @@
     assert (table.settled_dropped, table.folded, table.floor) == (5, 0, None)
 
 
-def test_unsettled_purges_beyond_the_bound_bind_every_object_and_none_is_forgotten():
+def test_unsettled_purges_beyond_the_limit_are_merged_into_a_bound_for_all_objects():
     table = PurgeTable(max_unsettled=3)
     for n in range(5):
         table.add(f"{n}", 1_000 + n, 7_000 + n, 1_000 + n)
@@ -96,7 +103,7 @@
     assert table.floor is None and "2" in table
 
 
-def test_expired_purges_leave_as_new_ones_come():
+def test_expired_purges_are_removed_as_new_ones_are_added():
     table = PurgeTable(keep=2)
     for n in range(1_000):
         table.add(n, n, n + 5, n)
@@ -104,10 +111,10 @@
     assert table.settled_dropped == table.folded == 0
 
 
-def test_an_hour_of_purges_told_at_once_is_kept_in_bounded_tables_and_the_unsettled_ones_bind(stage):
-    now = int(time.time() * 1000)
-    stage.gateway.on_events(purges(2, 20_000, now - 3_600_000))
-    stage.gateway.on_events(purges(20_002, 500, now))
+def test_an_hour_of_purges_at_once_fits_bounded_tables_that_keep_the_unsettled_ones(stage):
+    now_ms = int(time.time() * 1000)
+    stage.gateway.on_events(purges(2, 20_000, now_ms - 3_600_000))
+    stage.gateway.on_events(purges(20_002, 500, now_ms))
     stage.gateway.decide()
     router, ledger = stage.gateway.local.router, stage.gateway.ledger
     for table in (router.purges, ledger.purged):
@@ -115,7 +122,7 @@
         assert all(f"{n:016x}" in table for n in range(20_002, 20_502))
 
 
-def test_more_purges_than_are_kept_one_by_one_are_logged(stage):
+def test_merged_purges_are_logged(stage):
     now_ms = time.time_ns() // MS
     stage.gateway.on_events(purges(2, MAX_UNSETTLED, now_ms))
     assert "purges_folded" not in stage.names()
@@ -123,18 +130,18 @@
     assert ("purges_folded", {"since_start": 7}) in stage.logged
 
 
-def test_a_planner_that_is_found_again_is_told_the_bound_of_every_object(stage):
-    told = []
+def test_reconnected_planner_receives_the_bound_for_all_objects(stage):
+    emitted = []
     control = stage.gateway.control
-    control._emit = told.append
+    control._emit = emitted.append
     control.purges.floor = (stage.gateway.loop.clock.now() - S, stage.gateway.loop.clock.now() + S)
     control.sync_planner()
-    assert {event.group for event in told if isinstance(event, w.Purged)} == set(range(GROUPS))
+    assert {event.group for event in emitted if isinstance(event, w.Purged)} == set(range(GROUPS))
 
 
-# Answers as streams --------------------------------------------------------------------------------
+# Responses as streams -----------------------------------------------------------------------------
 
-ANSWERS = [
+RESPONSES = [
     '{"rev":12,"notices":[{"rev":11,"flush":{"asset":"é\\u00e9\\"]}","ms":5}},{"rev":12}]}',
     ' { "more" : [1, {"notices": [7]}], "notices"\n:[ {"rev": 3} ,\t7, "x", null, [] ] '
     ', "x":-1.5e+3,"rev" : 12 }\r\n',
@@ -143,14 +150,15 @@
 
 
 def parse(*chunks):
+    """Parses a response in chunks and returns its events and its revision."""
     parser = EventStreamParser()
     events = [event for chunk in chunks for event in parser.feed(chunk)]
     return events, parser.finish()
 
 
-@pytest.mark.parametrize("answer", ANSWERS)
-def test_an_answer_may_be_cut_at_every_byte(answer):
-    data = answer.encode()
+@pytest.mark.parametrize("response", RESPONSES)
+def test_response_is_parsed_wherever_it_is_split(response):
+    data = response.encode()
     whole = json.loads(data)
     expected = (whole["notices"], whole["rev"])
     for cut in range(len(data) + 1):
@@ -179,7 +187,7 @@
         b"],7:8}",
     ],
 )
-def test_of_an_answer_that_cannot_be_read_all_whole_events_come_and_nothing_beyond(rest):
+def test_complete_events_before_an_error_are_returned_and_nothing_after_it(rest):
     parser, events = EventStreamParser(), []
     data = b'{"notices":[{"rev":1},{"rev":2}' + rest
     for start in range(0, len(data), 4096):
@@ -193,12 +201,12 @@
 @pytest.mark.parametrize(
     "data", [b"[]", b"7", b'{"rev":1}', b'{"notices":{},"rev":1}', b'{"notices":[]}', b""]
 )
-def test_what_is_no_answer_is_an_error(data):
+def test_invalid_response_is_an_error(data):
     with pytest.raises(EventStreamError):
         parse(data)
 
 
-def test_a_list_of_all_servers_is_one_event_and_a_larger_one_than_any_is_an_error():
+def test_list_of_all_servers_is_one_event_and_an_oversized_list_is_an_error():
     servers = [member(f"s-{n:08x}", "10.0.0.1:1") for n in range(1_100)]
     event = {"rev": 1, "pool": {"revision": 1, "complete": True, "members": servers}}
     data = json.dumps({"rev": 1, "notices": [event]}).encode()
@@ -210,7 +218,7 @@
         parse(*(data[n : n + 4096] for n in range(0, len(data), 4096)))
 
 
-def test_a_short_answer_is_taken_sorted_and_as_a_whole_or_not_at_all():
+def test_events_of_a_short_response_are_sorted_and_used_together_or_not_at_all():
     reader = ResponseReader(2)
     assert reader.feed(b'{"rev":5,"notices":[{"rev":5},{"rev":2},{"rev":4}') == []
     assert reader.feed(b"]}") == [] and reader.finish() == [{"rev": 4}, {"rev": 5}]
@@ -220,23 +228,28 @@
         assert reader.feed(bad) == [] and reader.finish() == [] and reader.error
 
 
-def test_of_a_long_answer_each_event_above_the_last_is_taken_once_as_it_comes():
-    reader, got = ResponseReader(10), []
-    rows = json.dumps(purges(1, 3_000, 5) + purges(2_900, 300, 5))[:-1].encode()
-    assert len(rows) > WHOLE_RESPONSE_BYTES
-    for start in range(0, len(rows), 4096):
-        got += reader.feed((b'{"rev":9,"notices":' if not start else b"") + rows[start : start + 4096])
-    assert [event["rev"] for event in got] == list(range(11, 3_200))
+def test_each_new_event_of_a_long_response_is_used_once_as_it_arrives():
+    reader, used = ResponseReader(10), []
+    events_json = json.dumps(purges(1, 3_000, 5) + purges(2_900, 300, 5))[:-1].encode()
+    assert len(events_json) > WHOLE_RESPONSE_BYTES
+    for start in range(0, len(events_json), 4096):
+        used += reader.feed(
+            (b'{"rev":9,"notices":' if not start else b"") + events_json[start : start + 4096]
+        )
+    assert [event["rev"] for event in used] == list(range(11, 3_200))
     assert reader.feed(b',{"rev":3200},{},{"rev":3201}') == [{"rev": 3_200}]
     assert reader.error and reader.feed(b"]}") == [] and reader.finish() == [] and reader.rev == 3_200
 
 
-def answer(body):
+def http_response(body):
+    """Returns an HTTP response with this body."""
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
-class Sender:
-    """Sends as much of an answer as the gateway takes, turn by turn."""
+class ResponseSender:
+    """Sends as much of a response as the gateway accepts at each call. Returns whether all of it has been
+    sent.
+    """
 
     def __init__(self, stage, data):
         self.stage, self.data = stage, memoryview(data)
@@ -250,47 +263,47 @@
         return not self.data
 
 
-@with_board
-def test_an_answer_too_long_to_hold_is_taken_in_slices_and_requests_are_answered_in_between(stage):
+@with_discovery
+def test_long_response_is_processed_in_slices_with_requests_answered_in_between(stage):
     stage.until(lambda: b"watch=1&" in stage.board.poll())
     stage.tell(1)
     stage.until(lambda: b"linger=1500" in stage.board.poll())
-    count, made, slices = 70_000, int(time.time() * 1000), []
-    body = json.dumps({"notices": purges(2, count, made - 60_000), "rev": count + 1}).encode()
+    count, made_at_ms, slices = 70_000, int(time.time() * 1000), []
+    body = json.dumps({"notices": purges(2, count, made_at_ms - 60_000), "rev": count + 1}).encode()
     assert len(body) > 4 * 2**20
     on_events = stage.gateway.discovery._on_events
     stage.gateway.discovery._on_events = lambda events: (slices.append(len(events)), on_events(events))
-    send, client, most = Sender(stage, answer(body)), stage.client(), 0
-    asked = served = 0
+    send, client, largest_turn = ResponseSender(stage, http_response(body)), stage.client(), 0
+    sent = served = 0
 
     def step():
-        nonlocal asked, served, most
+        nonlocal sent, served, largest_turn
         send()
-        if asked == served:
-            asked += 1
-            client.call(asked, i=f"{asked:016x}", o="00000000000fffff")
+        if sent == served:
+            sent += 1
+            client.call(sent, i=f"{sent:016x}", o="00000000000fffff")
         while (line := stage.cache.line()) is not None:
             stage.cache.say(f"{line.split()[1]} data version=aa,stamp=1,n=HIT 2\r\nhi\r\n".encode())
         served = len(client.answers())
-        most, slices[:] = max(most, sum(slices)), []
+        largest_turn, slices[:] = max(largest_turn, sum(slices)), []
         return stage.gateway.discovery.rev == count + 1
 
     stage.until(step)
-    assert most <= 1_500, "of one turn"
+    assert largest_turn <= 1_500, "events processed in one turn of the loop"
     assert served >= 5 and "discovery_disconnected" not in stage.names()
     stage.until(lambda: b"watch=%d&" % (count + 1) in stage.board.poll())
 
 
-@with_board
-def test_a_long_answer_that_is_cut_off_is_asked_for_again_from_its_last_whole_event(stage):
+@with_discovery
+def test_interrupted_long_response_is_resumed_after_its_last_complete_event(stage):
     stage.until(lambda: b"watch=1&" in stage.board.poll())
     body = json.dumps({"rev": 9_000, "notices": purges(2, 9_000, 5)}).encode()
     cut = body.index(b'{"rev": 7000,') + 20
-    send = Sender(stage, answer(body)[: cut + len(answer(body)) - len(body)])
+    send = ResponseSender(stage, http_response(body)[: cut + len(http_response(body)) - len(body)])
     stage.until(send)
     stage.board.conns.pop().close()
     stage.until(lambda: b"watch=6999&" in stage.board.poll())
-    send = Sender(stage, answer(body[: cut - 20] + b"}" + body[cut - 20 :]))
+    send = ResponseSender(stage, http_response(body[: cut - 20] + b"}" + body[cut - 20 :]))
     stage.until(send)
     stage.until(lambda: "discovery_response_invalid" in stage.names())
     stage.board.data.clear()
@@ -298,36 +311,40 @@
     assert stage.names().count("discovery_response_invalid") == 1
 
 
-@with_board
-def test_a_long_answer_is_waited_for_while_it_comes_and_no_longer(stage):
+@with_discovery
+def test_long_response_times_out_only_when_no_more_data_arrives(stage):
     stage.until(lambda: b"watch=1&" in stage.board.poll())
-    rows = json.dumps(purges(2, 4_000, 5)).encode()
+    events_json = json.dumps(purges(2, 4_000, 5)).encode()
     stage.board.say(b'HTTP/1.1 200 OK\r\nContent-Length: 999999\r\n\r\n{"rev":9,"notices":')
-    began, sent = time.monotonic(), 0
-    while time.monotonic() - began < 1.8:  # two and a half times what a silent one is given
+    started_at, sent_bytes = time.monotonic(), 0
+    # two and a half times as long as the gateway waits for a response that sends nothing
+    while time.monotonic() - started_at < 1.8:
         stage.turn()
-        due = int((time.monotonic() - began) / 0.2) * 20_000
-        if sent < due:
-            stage.board.say(rows[sent:due])
-            sent = due
+        due_bytes = int((time.monotonic() - started_at) / 0.2) * 20_000
+        if sent_bytes < due_bytes:
+            stage.board.say(events_json[sent_bytes:due_bytes])
+            sent_bytes = due_bytes
     assert "discovery_disconnected" not in stage.names() and stage.gateway.discovery.rev > 1_000
     stage.until(lambda: ("discovery_disconnected", {"why": "no answer in time"}) in stage.logged)
 
 
-@pytest.mark.parametrize(("chance", "least", "most"), [(0.0, 20, 20), (0.5, 30, 30), (0.999, 39, 40)])
-@with_board
-def test_retries_are_spread_and_the_first_comes_within_20_to_40_ms(stage, chance, least, most):
+@pytest.mark.parametrize(("chance", "min_ms", "max_ms"), [(0.0, 20, 20), (0.5, 30, 30), (0.999, 39, 40)])
+@with_discovery
+def test_retries_are_jittered_and_the_first_comes_after_20_to_40_ms(stage, chance, min_ms, max_ms):
     stage.until(lambda: b"watch=1&" in stage.board.poll())
-    client, waits = stage.gateway.discovery, []
+    client, delays = stage.gateway.discovery, []
     after = stage.gateway.loop.after
     client._random = lambda: chance
-    stage.gateway.loop.after = lambda ns, call: (waits.append((ns / MS, call)), after(ns, call))[1]
+    stage.gateway.loop.after = lambda delay_ns, call: (
+        delays.append((delay_ns / MS, call)),
+        after(delay_ns, call),
+    )[1]
     client.on_disconnect(client.stream, "lost")
-    assert [least <= wait <= most for wait, call in waits if call == client._connect] == [True]
+    assert [min_ms <= delay_ms <= max_ms for delay_ms, call in delays if call == client._connect] == [True]
 
 
-@with_board
-def test_a_poll_carries_what_its_owner_adds(stage):
+@with_discovery
+def test_poll_contains_the_owners_query_parameters(stage):
     stage.until(lambda: b"watch=1&" in stage.board.poll())
     stage.gateway.discovery.query = lambda: "&low=1&count=3"
     stage.tell(2, flush={"asset": OBJECT, "ms": 1})
@@ -337,33 +354,35 @@
 # Pacing ---------------------------------------------------------------------------------------------
 
 
-def polls_of(pacer, rate, seconds, lag_ns=0, round_trip_ns=MS):
-    """The times of the polls while news comes evenly, and the longest that any had to wait for its poll."""
-    now, told, times, longest = 0, 0, [], 0
-    gap = S // rate
-    while now < seconds * S:
-        waits = told + gap > now  # for the next news
-        now = max(now, told + gap)
-        longest = max(longest, now - (told + gap))
-        told = now // gap * gap
-        times.append(now)
-        now += round_trip_ns
-        if len(times) > 1:
-            pacer.on_round_trip(round_trip_ns + (gap if waits else 0))
-        now += pacer.delay_ns(now, lag_ns)
-    return times, longest
-
-
-def test_sparse_news_is_asked_for_at_once_and_a_stream_of_it_gathered():
+def simulate_polls(pacer, rate, seconds, lag_ns=0, round_trip_ns=MS):
+    """Simulates events at a constant rate. Returns the times of the polls, and the longest time that an event
+    waited for its poll.
+    """
+    now_ns, last_received_ns, poll_times, longest_wait_ns = 0, 0, [], 0
+    interval_ns = S // rate
+    while now_ns < seconds * S:
+        poll_waits = last_received_ns + interval_ns > now_ns  # whether the poll waits for the next event
+        now_ns = max(now_ns, last_received_ns + interval_ns)
+        longest_wait_ns = max(longest_wait_ns, now_ns - (last_received_ns + interval_ns))
+        last_received_ns = now_ns // interval_ns * interval_ns
+        poll_times.append(now_ns)
+        now_ns += round_trip_ns
+        if len(poll_times) > 1:
+            pacer.on_round_trip(round_trip_ns + (interval_ns if poll_waits else 0))
+        now_ns += pacer.delay_ns(now_ns, lag_ns)
+    return poll_times, longest_wait_ns
+
+
+def test_rare_events_are_polled_at_once_and_frequent_ones_are_batched():
     pacer = PollPacer((300 * MS, 250 * MS))
-    assert [pacer.delay_ns(n * 400 * MS, 0) for n in range(50)] == [0] * 50
+    assert [pacer.delay_ns(number * 400 * MS, 0) for number in range(50)] == [0] * 50
     burst = [pacer.delay_ns(20 * S, 0) for _ in range(6)]
     assert burst[:4] == [0] * 4 and 0 < burst[5] <= 150 * MS
-    times, longest = polls_of(PollPacer((300 * MS, 250 * MS)), 150, 10)
-    assert len(times) <= 75 and longest <= 150 * MS
+    poll_times, longest_wait_ns = simulate_polls(PollPacer((300 * MS, 250 * MS)), 150, 10)
+    assert len(poll_times) <= 75 and longest_wait_ns <= 150 * MS
 
 
-def test_what_is_gathered_stays_within_the_shortest_grace_that_is_known():
+def test_batching_time_stays_within_the_shortest_known_grace():
     assert PollPacer((0, 0)).grace_ns == DEFAULT_GRACE_NS
     pacer = PollPacer((0, 90 * MS))
     assert pacer.gather_ns(0) == 54 * MS
@@ -374,7 +393,7 @@
     assert pacer.gather_ns(0) == 500 * MS
 
 
-def test_slow_polls_leave_no_time_to_gather_and_quick_ones_give_it_back():
+def test_slow_polls_disable_batching_and_fast_ones_enable_it_again():
     pacer = PollPacer((250 * MS,))
     for _ in range(10):
         pacer.on_round_trip(1_000 * MS)
@@ -386,14 +405,14 @@
 
 @pytest.mark.parametrize("rate", [10, 20, 150, 600])
 @pytest.mark.parametrize("round_trip_ms", [1, 20, 60])
-def test_no_news_waits_longer_than_its_grace(rate, round_trip_ms):
-    for grace in (100 * MS, 250 * MS, 1_000 * MS):
-        _, longest = polls_of(PollPacer((grace, 0)), rate, 20, 2 * MS, round_trip_ms * MS)
-        assert longest + round_trip_ms * MS <= max(grace * 0.7, 2 * round_trip_ms * MS)
+def test_no_event_waits_longer_than_its_grace(rate, round_trip_ms):
+    for grace_ns in (100 * MS, 250 * MS, 1_000 * MS):
+        _, longest_wait_ns = simulate_polls(PollPacer((grace_ns, 0)), rate, 20, 2 * MS, round_trip_ms * MS)
+        assert longest_wait_ns + round_trip_ms * MS <= max(grace_ns * 0.7, 2 * round_trip_ms * MS)
 
 
-@with_board
-def test_a_reload_paces_by_the_new_graces(stage):
+@with_discovery
+def test_reload_applies_new_graces_to_polling(stage):
     stage.until(lambda: b"watch=1&" in stage.board.poll())
     assert stage.gateway.discovery.pacer.grace_ns == 250 * MS
     raw = json.loads(json.dumps(stage.raw))
@@ -402,25 +421,27 @@
     assert stage.gateway.discovery.pacer.grace_ns == 120 * MS
 
 
-@with_board
-def test_a_drain_among_150_purges_a_second_stops_sends_within_its_grace(stage):
-    """Judged by an observer at the store; the board answers a poll with all that has been told by then."""
+@with_discovery
+def test_drain_among_150_purges_a_second_takes_effect_within_its_grace(stage):
+    """An observer at the store checks the time of each fetch. The discovery server answers a poll with all
+    events up to then.
+    """
     stage.until(lambda: b"watch=1&" in stage.board.poll())
     stage.tell(1)
     observer = Observer(0.25, 0.3, frozenset())
-    client, events, began, answers = stage.client(), [], time.monotonic(), 0
+    client, events, started_at, answers = stage.client(), [], time.monotonic(), 0
     changes = [
-        (1.1 + 0.73 * n + late, phase)
-        for n in range(6)
-        for late, phase in ((0, "Terminating"), (0.45, "Ready"))
+        (1.1 + 0.73 * number + delay_s, phase)
+        for number in range(6)
+        for delay_s, phase in ((0, "Terminating"), (0.45, "Ready"))
     ]
-    asked = drains = after = 0
-    while time.monotonic() - began < 5.6:
+    sent = drains = fetches_after_drain = 0
+    while time.monotonic() - started_at < 5.6:
         stage.turn()
-        now = time.monotonic() - began
-        while len(events) < now * 150:
+        elapsed_s = time.monotonic() - started_at
+        while len(events) < elapsed_s * 150:
             events.append({"rev": len(events) + 2, "flush": {"asset": f"{len(events):016x}", "ms": 1}})
-        if changes and now > changes[0][0]:
+        if changes and elapsed_s > changes[0][0]:
             drained = changes.pop(0)[1] == "Terminating"
             changed = member("s-00000001", stage.cache.address, phase="Terminating" if drained else "Ready")
             events.append({"rev": len(events) + 2, "pool": {"revision": 2, "members": [changed]}})
@@ -431,21 +452,21 @@
                 observer.back("s-00000001")
         polls = stage.board.poll().split(b"GET /board/poll?watch=")
         if polls[-1].endswith(b"\r\n\r\n") and events:
-            held = int(polls[-1].split(b"&")[0])
-            if held <= len(events):
+            revision = int(polls[-1].split(b"&")[0])
+            if revision <= len(events):
                 stage.board.data.clear()
-                body = json.dumps({"rev": len(events) + 1, "notices": events[held - 1 :]}).encode()
-                stage.board.say(answer(body))
+                body = json.dumps({"rev": len(events) + 1, "notices": events[revision - 1 :]}).encode()
+                stage.board.say(http_response(body))
                 answers += 1
-        if asked < now * 100:
-            asked += 1
-            client.call(asked, i=f"{asked:016x}", o=f"{asked:016x}")
+        if sent < elapsed_s * 100:
+            sent += 1
+            client.call(sent, i=f"{sent:016x}", o=f"{sent:016x}")
         while (line := stage.cache.line()) is not None:
             words = line.split()
             if words[0] == "fetch":
-                after += bool(drains)
+                fetches_after_drain += bool(drains)
                 observer.asked(SimpleNamespace(name="s-00000001"), words[1], "data", {})
                 stage.cache.say(f"{words[1]} data version=aa,stamp=9,n=HIT 2\r\nhi\r\n".encode())
-    assert drains == 6 and after > 50 and not observer.broken, observer.told
-    assert answers < 75, "a poll for each purge would be some 600"
+    assert drains == 6 and fetches_after_drain > 50 and not observer.broken, observer.told
+    assert answers < 75, "one poll per purge would be about 600"
     assert len(stage.gateway.ledger.purged) > 500
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as it is started: sub-commands, exit codes, signals, and its two halves as processes."""
+"""The program as users start it: subcommands, exit codes, signals, and forwarder and planner as processes."""
 
 import json
 import os
@@ -21,6 +21,7 @@
 
 
 def run(*words, **env):
+    """Runs the program with these arguments until it ends."""
     return subprocess.run(
         [sys.executable, "-m", "olivecourse", *words],
         cwd=ROOT,
@@ -31,8 +32,8 @@
     )
 
 
-class Program:
-    """A started program; its port is told by its log."""
+class StartedProgram:
+    """A running program, whose port is read from its log."""
 
     def __init__(self, *words, **env):
         self.process = subprocess.Popen(
@@ -44,23 +45,28 @@
         )
 
     def event(self, name):
+        """Returns the next log entry with this event name."""
         for line in self.process.stderr:
-            if line.startswith("{") and (said := json.loads(line))["event"] == name:
-                return said
-        raise AssertionError(f"{name} was never logged")
+            if line.startswith("{") and (log_entry := json.loads(line))["event"] == name:
+                return log_entry
+        raise AssertionError(f"the program never logged {name}")
 
     def client(self):
+        """Waits until the program is ready and connects a client to it."""
         return Client(int(self.event("ready")["listen"].rpartition(":")[2]))
 
     def end(self, number=signal.SIGTERM):
+        """Sends a signal and returns the exit code."""
         self.process.send_signal(number)
         return self.process.wait(30)
 
 
 @pytest.fixture
 def world(tmp_path):
-    """Config file, cache, and what was started; all is ended by its own id."""
-    cache, started = Peer(), []
+    """Provides a folder with configuration files, a cache, and a function that starts programs, which are
+    killed at the end.
+    """
+    cache, programs = Peer(), []
     members = [
         member("s-00000001", cache.address),
         member("s-00000008", "127.0.0.1:9", "parent", "hub-nord"),
@@ -91,28 +97,29 @@
     )
 
     def start(*words, **env):
-        started.append(Program(*words, **env))
-        return started[-1]
+        programs.append(StartedProgram(*words, **env))
+        return programs[-1]
 
     yield tmp_path, cache, start
     cache.close()
-    for program in started:
+    for program in programs:
         if program.process.poll() is None:
             program.process.kill()
         program.process.wait()
         program.process.stderr.close()
 
 
-def until(what, seconds=30):
-    end = time.monotonic() + seconds
-    while time.monotonic() < end:
-        if found := what():
-            return found
+def until(condition, seconds=30):
+    """Waits until the condition returns a true value, and returns this value."""
+    deadline = time.monotonic() + seconds
+    while time.monotonic() < deadline:
+        if result := condition():
+            return result
         time.sleep(0.005)
-    raise AssertionError("did not come about")
+    raise AssertionError("the condition was not met in time")
 
 
-def test_as_the_platform_starts_it_it_serves_and_ends_well_on_sigterm(world):
+def test_gateway_started_as_by_the_platform_answers_open_requests_before_ending_on_sigterm(world):
     folder, cache, start = world
     program = start(EDGE_CONFIG=str(folder / "config.json"))
     client = program.client()
@@ -127,11 +134,11 @@
     assert program.process.wait(30) == 0
 
 
-def test_sighup_reads_the_configuration_again_and_a_bad_one_changes_nothing(world):
+def test_sighup_reloads_the_configuration_and_an_invalid_one_changes_nothing(world):
     folder, cache, start = world
     path, boards = folder / "config.json", [Peer(), Peer()]
-    raw = json.loads(path.read_text())
-    path.write_text(json.dumps({**raw, "board": boards[0].address}))
+    config = json.loads(path.read_text())
+    path.write_text(json.dumps({**config, "board": boards[0].address}))
     program = start(EDGE_CONFIG=str(path))
     client = program.client()
     until(lambda: b"watch=1&" in boards[0].poll())
@@ -140,10 +147,10 @@
     path.write_text("{")
     program.process.send_signal(signal.SIGHUP)
     assert "not JSON" in program.event("reload_refused")["why"]
-    path.write_text(json.dumps({**raw, "board": boards[1].address, "listen": "127.0.0.1:1"}))
+    path.write_text(json.dumps({**config, "board": boards[1].address, "listen": "127.0.0.1:1"}))
     program.process.send_signal(signal.SIGHUP)
-    told = program.event("reloaded")
-    assert (told["moved"], told["needs_restart"]) == (["board"], ["listen"])
+    reloaded = program.event("reloaded")
+    assert (reloaded["moved"], reloaded["needs_restart"]) == (["board"], ["listen"])
     until(lambda: b"watch=1&" in boards[1].poll())
     cache.say(f"{request} data version=aa,stamp=1,n=HIT 5\r\nhello\r\n".encode())
     assert until(client.answers) == [(1, "success", {}, b"hello")]
@@ -152,7 +159,7 @@
         board.close()
 
 
-def test_a_restart_takes_the_same_address_with_connections_left_over(world):
+def test_restart_listens_on_the_same_address_despite_connections_left_over(world):
     folder, cache, start = world
     first = start(EDGE_CONFIG=str(folder / "config.json"))
     client = first.client()
@@ -162,7 +169,7 @@
     assert second.event("ready")["listen"] == address
 
 
-def test_bad_configurations_end_with_2_and_one_line(world):
+def test_invalid_configurations_exit_with_status_2_and_one_line(world):
     folder, _, _ = world
     (folder / "broken.json").write_text("{")
     (folder / "taken.json").write_text('{"listen": "127.0.0.1:0", "settings": {"profiles": "none"}}')
@@ -173,15 +180,15 @@
         {"EDGE_CONFIG": str(folder / "taken.json")},
         {"EDGE_CONFIG": str(folder / "config.json"), "EDGE_LISTEN": "here"},
     ):
-        done = run("serve", **{"EDGE_CONFIG": "", **env})
-        assert done.returncode == 2 and done.stderr.count("\n") == 1, done.stderr
-        assert done.stderr.startswith("olivecourse: ")
+        result = run("serve", **{"EDGE_CONFIG": "", **env})
+        assert result.returncode == 2 and result.stderr.count("\n") == 1, result.stderr
+        assert result.stderr.startswith("olivecourse: ")
 
 
-def test_an_address_in_use_is_told(world):
+def test_address_in_use_is_reported(world):
     folder, cache, _ = world
-    done = run("serve", EDGE_CONFIG=str(folder / "config.json"), EDGE_LISTEN=cache.address)
-    assert done.returncode == 2 and "cannot start" in done.stderr
+    result = run("serve", EDGE_CONFIG=str(folder / "config.json"), EDGE_LISTEN=cache.address)
+    assert result.returncode == 2 and "cannot start" in result.stderr
 
 
 def test_version_and_check_config(world):
@@ -189,24 +196,24 @@
     assert run("version").stdout.startswith("olivecourse ")
     assert "good" in run("check-config", "--config", str(folder / "config.json")).stdout
     assert "good" in run("check-config", "--operator", str(folder / "operator.yaml")).stdout
-    # The file under deploy/ is good but for the keys, which are no part of the repository.
-    done = run("check-config", "--operator", str(ROOT / "deploy" / "operator.yaml"))
-    assert done.returncode == 2 and "keys.json: No such file" in done.stderr
+    # The file under deploy/ is valid except for the key file, which is not part of the repository.
+    result = run("check-config", "--operator", str(ROOT / "deploy" / "operator.yaml"))
+    assert result.returncode == 2 and "keys.json: No such file" in result.stderr
 
 
-def test_sign_prints_a_link_that_the_front_opens(world):
+def test_sign_prints_a_link_that_the_signed_listener_accepts(world):
     from olivecourse.fronts import tokens
 
     folder, _, _ = world
     (folder / "keys.json").write_text(json.dumps({"union": {"keys": [jwk("k1")]}}))
     uri = f"https://calendriers.example/fichiers/{OBJECT}/0?shard=17"
-    done = run("sign", uri, "--keys", str(folder / "keys.json"), "--kid", "k1")
+    result = run("sign", uri, "--keys", str(folder / "keys.json"), "--kid", "k1")
     checker = tokens.Tokens("n0", tokens.read_keys(str(folder / "keys.json")), 3)
-    assert checker.check_link(done.stdout.strip()) == uri
+    assert checker.check_link(result.stdout.strip()) == uri
     assert run("sign", uri, "--keys", str(folder / "keys.json"), "--kid", "k9").returncode == 2
 
 
-def test_forwarder_and_planner_as_processes_and_a_planner_lost(world):
+def test_forwarder_answers_open_requests_and_reconnects_after_its_planner_is_killed(world):
     folder, cache, start = world
     operator = str(folder / "operator.yaml")
     planner = start("serve", "--operator", operator, "--role", "planner")
@@ -217,7 +224,8 @@
     request = until(cache.line).split(" ")[1]
     cache.say(f"{request} data version=aa,stamp=1,n=HIT 5\r\nhello\r\n".encode())
     assert until(client.answers) == [(1, "success", {}, b"hello")]
-    # A read is refused with a time to return; an order that went out may have run, so it fails.
+    # After the planner is lost, a read is refused with a time to retry. An order that was sent may have run,
+    # so it fails.
     client.call(2, i="00000000000000aa")
     client.call(3, i="00000000000000bb", c="commande")
     until(lambda: b"00000000000000bb" in cache.poll() and b"00000000000000aa" in cache.poll())
@@ -230,7 +238,7 @@
     cache.data.clear()
     start("serve", "--operator", operator, "--role", "planner").event("ready")
 
-    def served():  # the forwarder finds the new planner by itself
+    def served():  # the forwarder reconnects to the new planner by itself
         number = len(client.answers()) + 1
         client.call(number, i=f"{number:016x}")
         until(lambda: (line := cache.line()) and line.startswith("fetch") or len(client.answers()) == number)
@@ -240,8 +248,8 @@
     assert forwarder.end() == 0
 
 
-def test_the_demo_serves_its_link_from_a_box_and_its_order_once():
-    shown = subprocess.Popen(
+def test_demo_serves_its_link_from_a_box_and_accepts_its_order_once():
+    demo = subprocess.Popen(
         [sys.executable, "-u", "-m", "olivecourse", "demo", "--seconds", "60"],
         cwd=ROOT,
         stdout=subprocess.PIPE,
@@ -249,74 +257,75 @@
     )
     lines = []
 
-    def until_said(what):
-        for line in shown.stdout:
+    def until_printed(text):
+        for line in demo.stdout:
             lines.append(line)
-            if what in line:
+            if text in line:
                 return line
         raise AssertionError(lines)
 
-    def ask(url, **more):
+    def fetch(url, **options):
         try:
-            with urllib.request.urlopen(urllib.request.Request(url, **more), timeout=20) as answer:
+            with urllib.request.urlopen(urllib.request.Request(url, **options), timeout=20) as answer:
                 return answer.status, answer.read()
         except urllib.error.HTTPError as error:
             return error.code, error.read()
 
-    link = until_said("curl -i 'http").split("'")[1]
-    order = until_said("curl -i -X POST").split("'")
-    until_said("Ctrl-C")
-    for told in ("filled it from hub-1", "held it"):
-        status, body = ask(link)
+    link = until_printed("curl -i 'http").split("'")[1]
+    order = until_printed("curl -i -X POST").split("'")
+    until_printed("Ctrl-C")
+    for message in ("filled it from hub-1", "held it"):
+        status, body = fetch(link)
         assert status == 200 and body.startswith(b"calendar 7f3a9c21e0b4d655")
-        until_said(told)
+        until_printed(message)
     token = order[3].partition(": ")[2]
-    assert ask(order[5], data=b"12", headers={"Authorization": token})[0] == 200
-    until_said("passed the order")
-    assert ask(order[5], data=b"12", headers={"Authorization": token}) == (401, b"used already\n")
-    shown.send_signal(signal.SIGINT)
-    until_said("ended")
-    assert shown.wait(20) == 0
-    shown.stdout.close()
+    assert fetch(order[5], data=b"12", headers={"Authorization": token})[0] == 200
+    until_printed("passed the order")
+    assert fetch(order[5], data=b"12", headers={"Authorization": token}) == (401, b"used already\n")
+    demo.send_signal(signal.SIGINT)
+    until_printed("ended")
+    assert demo.wait(20) == 0
+    demo.stdout.close()
 
 
-def free():
+def free_address():
+    """Returns a loopback address that is currently free."""
     with socket.create_server(("127.0.0.1", 0)) as sock:
         return f"127.0.0.1:{sock.getsockname()[1]}"
 
 
-def test_operators_commands_and_an_upgrade_as_the_page_tells(world):
+def test_operators_commands_and_an_upgrade_as_documented(world):
     folder, cache, start = world
-    config, door, next_door = str(folder / "config.json"), free(), free()
+    config, door, next_door = str(folder / "config.json"), free_address(), free_address()
     assert run("ops", "ready", EDGE_MGMT=door).returncode == 3
     assert run("ops", "ready", EDGE_MGMT="nowhere").returncode == 2
     assert run("serve", "--config", config, EDGE_MGMT="nowhere").returncode == 2
     old = start("serve", "--config", config, EDGE_MGMT=door, TMPDIR=str(folder))
     client = old.client()
-    said = [
+    results = [
         run("ops", *words, "--address", door)
         for words in (["ready"], ["stats"], ["down", "s-00000008"], ["down", "s-0000000f"])
     ]
-    assert [d.returncode for d in said] == [0, 0, 0, 1], [d.stderr for d in said]
-    assert "app_cluster_size 3.0" in said[1].stdout and "no list has named" in said[3].stderr
+    assert [result.returncode for result in results] == [0, 0, 0, 1], [result.stderr for result in results]
+    assert "app_cluster_size 3.0" in results[1].stdout and "no list has named" in results[3].stderr
     client.call(1)
     request = until(cache.line).split(" ")[1]
     new = start("serve", "--config", config, EDGE_MGMT=next_door, TMPDIR=str(folder))
     until(lambda: run("ops", "ready", "--address", next_door).returncode == 0)
     old.process.send_signal(signal.SIGTERM)
     assert old.event("handed_over")["clients"] == 1
-    client.call(2, i="22" * 8)  # from here on the new one reads
+    client.call(2, i="22" * 8)  # from here on the new process reads the connection
     assert f"fetch {'22' * 8}" in until(cache.line)
     cache.say(f"{request} data version=aa,stamp=1,n=HIT 5\r\nhello\r\n".encode(), 0)
     assert until(client.answers) == [(1, "success", {}, b"hello")]
     assert old.process.wait(30) == 0 and not client.closed
     stats = run("ops", "stats", "--address", next_door).stdout
-    assert "app_cluster_unhealthy 1.0" in stats, "the ban holds in the new one"
+    assert "app_cluster_unhealthy 1.0" in stats, "the new process still avoids the store"
     assert run("ops", "up", "s-00000008", "--address", next_door).returncode == 0
     assert new.end() == 0
 
 
-def test_a_process_that_was_not_let_run_says_so_and_how_little_it_used(world):
+def test_process_that_was_suspended_logs_the_stall_and_its_low_cpu_time(world):
     folder, _, start = world
     program = start(EDGE_CONFIG=str(folder / "config.json"))
     program.event("ready")
@@ -324,6 +333,6 @@
     program.process.send_signal(signal.SIGSTOP)
     time.sleep(1.0)
     program.process.send_signal(signal.SIGCONT)
-    said = program.event("loop_stalled")
-    assert said["ms"] >= 900 and said["cpu_ms"] < said["ms"] / 2
+    log_entry = program.event("loop_stalled")
+    assert log_entry["ms"] >= 900 and log_entry["cpu_ms"] < log_entry["ms"] / 2
     assert program.end() == 0
