--- a/olivecourse/config/gateway_config.py
+++ b/olivecourse/config/gateway_config.py
@@ -16,7 +16,7 @@
 from olivecourse import interface as w
 from olivecourse.config.address import Address, parse_address
 from olivecourse.config.inventory import BadInventory, read_inventory
-from olivecourse.config.settings import Malformed, check, nested_pairs, read_settings, unread
+from olivecourse.config.settings import Malformed, check_settings, nested_pairs, read_settings, unread
 from olivecourse.config.vocabulary import DOORS
 
 # Optional sections of an operator's file, with the function that reads each from the file's path.
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True)
-class Signed:
+class SignedListenerConfig:
     """The signed HTTP listener: the public URL of this gateway, the path of the key file, and the accepted
     clock difference.
     """
@@ -66,7 +66,7 @@
     peer_listen: Address | None = None
     peers: list[Address] = field(default_factory=list)
     peers_all: Address | None = None
-    signed: Signed | None = None
+    signed: SignedListenerConfig | None = None
     inventory: str | None = None
     planner: str | None = None  # path of the Unix socket of a planner in a separate process
     unread: tuple[str, ...] = ()  # paths of settings that this program does not use
@@ -109,7 +109,7 @@
             raw.get("known", {}),
             raw.get("limits", {}),
         )
-        check(settings)
+        check_settings(settings)
         return Config(
             name=env.get("EDGE_NAME") or str(raw.get("name", "gateway")),
             listen=listen,
@@ -194,7 +194,7 @@
             leeway_s = float(signed_listener.get("leeway_s", 3))
             if not 0 <= leeway_s <= 60:
                 raise BadConfig("signed: leeway_s is 0 to 60 seconds")
-            signed_listener = Signed(
+            signed_listener = SignedListenerConfig(
                 str(signed_listener["public"]), str(folder / signed_listener["keys"]), leeway_s
             )
         if not raw.get("inventory"):
--- a/olivecourse/config/merging.py
+++ b/olivecourse/config/merging.py
@@ -30,27 +30,29 @@
 NOT_COMPARED = ("seed", "classes")  # the seed differs at every start, and the classes are merged separately
 
 
-class Unfit(ValueError):
+class SettingsNotApplicable(ValueError):
     """Settings that cannot be applied; nothing has changed."""
 
 
 @dataclass(frozen=True)
-class Merged:
-    """The result of a reload.
+class MergeResult:
+    """The result of merging a reloaded configuration.
 
-    `settings` are the settings to use from now on, and `live` maps the classes in use to their indexes.
-    `taken` names the changed settings that take effect now, `waits` those that take effect at a restart.
+    `settings` are the settings to use from now on, and `current_indexes` maps the classes in use to their
+    indexes. `applied` names the changed settings that take effect now, and `needs_restart` those that take
+    effect at a restart.
     """
 
     settings: Settings
-    live: dict[str, int]
-    taken: list[str]
-    waits: list[str]
+    current_indexes: dict[str, int]
+    applied: list[str]
+    needs_restart: list[str]
 
 
-def merge(old: Settings, new: Settings) -> Merged:
-    """Merges reloaded settings into the current ones. Raises Unfit if there would be more than MOST_CLASSES
-    class names since the start.
+def merge(old: Settings, new: Settings) -> MergeResult:
+    """Merges reloaded settings into the current ones.
+
+    Raises SettingsNotApplicable if there would be more than MOST_CLASSES class names since the start.
     """
     indexes = {listed_class.name: index for index, listed_class in enumerate(old.classes)}
     classes = list(old.classes)
@@ -61,21 +63,23 @@
             indexes[request_class.name] = len(classes)
             classes.append(request_class)
     if len(classes) > MOST_CLASSES:
-        raise Unfit(f"more than {MOST_CLASSES} names of classes since the start: restart the gateway")
+        raise SettingsNotApplicable(
+            f"more than {MOST_CLASSES} names of classes since the start: restart the gateway"
+        )
     changed = [
         setting.name
         for setting in fields(Settings)
         if setting.name not in NOT_COMPARED and getattr(old, setting.name) != getattr(new, setting.name)
     ]
-    waits = [name for name in changed if name in NEEDS_RESTART]
-    unchanged = {name: getattr(old, name) for name in (*waits, "seed")}
+    needs_restart = [name for name in changed if name in NEEDS_RESTART]
+    unchanged = {name: getattr(old, name) for name in (*needs_restart, "seed")}
     merged = replace(new, **unchanged, classes=tuple(classes))
-    taken = [name for name in changed if name not in NEEDS_RESTART]
+    applied = [name for name in changed if name not in NEEDS_RESTART]
     if merged.classes != old.classes:
-        taken.append("classes")
-    return Merged(
+        applied.append("classes")
+    return MergeResult(
         merged,
         {listed_class.name: indexes[listed_class.name] for listed_class in new.classes},
-        taken,
-        waits,
+        applied,
+        needs_restart,
     )
--- a/olivecourse/config/settings.py
+++ b/olivecourse/config/settings.py
@@ -163,7 +163,7 @@
 MAY_BE_MINUS_ONE = ("parent_kind", "origin_kind")  # for these fields, -1 means that there is no such kind
 
 
-def check(settings: w.Settings) -> None:
+def check_settings(settings: w.Settings) -> None:
     """Checks the settings at a start and at a reload. Raises Malformed if a gateway could not serve with
     them.
 
--- a/olivecourse/control_plane.py
+++ b/olivecourse/control_plane.py
@@ -55,8 +55,8 @@
         self._pacer = PollPacer(_graces_ns(config.settings))
         # the revision of the last event received, kept while there is no discovery client
         self._revision = config.rev
-        self.purges = PurgeTable(keep=0)  # used only with a planner in a separate process
-        self._purges_folded = 0  # number of the tracker's merged purges that has already been logged
+        self.purges = PurgeTable(min_retained=0)  # used only with a planner in a separate process
+        self._logged_merged = 0  # number of the tracker's merged purges that has already been logged
 
     def start(self) -> None:
         """Starts polling if the configuration names a discovery address."""
@@ -109,16 +109,16 @@
         terminated, self.directory.terminated_at = self.directory.terminated_at, {}
         for server, time_ns in terminated.items():
             self._server_terminated(server, time_ns)
-        self._report_folded()
+        self._log_merged_purges()
 
-    def _report_folded(self) -> None:
+    def _log_merged_purges(self) -> None:
         """Logs that some purges were merged into one bound, so that objects that were not purged are filled
         again.
         """
-        folded = self._tracker.purged.folded
-        if folded > self._purges_folded:
-            self._purges_folded = folded
-            self.log("purges_folded", since_start=folded)
+        merged = self._tracker.purged.merged
+        if merged > self._logged_merged:
+            self._logged_merged = merged
+            self.log("purges_folded", since_start=merged)
 
     def _record_purge(self, purge: w.Purged) -> None:
         """Records a purge for a planner that connects later."""
--- a/olivecourse/core/ledger.py
+++ b/olivecourse/core/ledger.py
@@ -70,7 +70,7 @@
         ...
 
 
-class Carrier(Protocol):
+class Transport(Protocol):
     """Sends attempts to stores."""
 
     def send(self, attempt: Attempt) -> None:
@@ -93,7 +93,7 @@
 
 
 @dataclass(eq=False)
-class Entry:
+class RequestEntry:
     """A request and its state, kept until a short time after its final answer."""
 
     ask: w.Request
@@ -119,7 +119,7 @@
 class Attempt:
     """One attempt to have a request answered by a store."""
 
-    entry: Entry
+    entry: RequestEntry
     number: int
     action: w.Look | w.ReadThrough
     sent_at: int
@@ -161,9 +161,9 @@
             log,
             most,
         )
-        self.entries: dict[str, Entry] = {}
+        self.entries: dict[str, RequestEntry] = {}
         self.open = 0
-        self.carrier: Carrier | None = None
+        self.carrier: Transport | None = None
         self.closing = False  # true shortly before the process stops: no request is accepted any more
         # by the time at which this gateway received each purge; checked before a queued attempt is sent
         self.purged = PurgeTable(MIN_RETAINED_PURGES)
@@ -181,7 +181,7 @@
         self._settings = settings
         self.outcomes += [[0, 0, 0] for _ in settings.classes[len(self.outcomes) :]]
 
-    def _effect(self, entry: Entry) -> w.Effect:
+    def _effect(self, entry: RequestEntry) -> w.Effect:
         """Returns the stricter of two effects: the one that the request's class had on arrival, and its
         current one.
         """
@@ -216,7 +216,7 @@
             transfer_allowance_ns = (
                 request_class.aim_stretch * ask.size_kb / self._settings.client_kb_per_s * 1e9
             )
-        entry = Entry(
+        entry = RequestEntry(
             ask,
             request_class,
             body,
@@ -346,7 +346,7 @@
         attempt.went = False
         self._reset_first_sent(attempt.entry)
 
-    def _reset_first_sent(self, entry: Entry) -> None:
+    def _reset_first_sent(self, entry: RequestEntry) -> None:
         """Clears the time of the first attempt if no attempt of the request may have run."""
         if not entry.may_have_run and not any(a.went for a in entry.out.values()):
             entry.first_sent_at = 0
@@ -440,7 +440,7 @@
         """Ends an attempt that got no answer in time."""
         self._abort(attempt, w.Status.TIMEOUT)
 
-    def _on_deadline_missed(self, entry: Entry) -> None:
+    def _on_deadline_missed(self, entry: RequestEntry) -> None:
         """Refuses or fails a request that was still open shortly after its deadline."""
         if entry.closed:
             return
@@ -448,7 +448,7 @@
         self._answer_unserved(entry, 0)
         self._emit(w.ClientLeft(entry.ask.request))
 
-    def _answer_unserved(self, entry: Entry, wait_ns: int | None) -> None:
+    def _answer_unserved(self, entry: RequestEntry, wait_ns: int | None) -> None:
         """Answers with a refusal if `wait_ns` is given and a repeat is safe, else with a failure."""
         # A request that may have run and must not run twice is never refused, because the client would send
         # it again.
@@ -468,7 +468,7 @@
             entry.reply.failed(self._timers.now() >= entry.deadline - DEADLINE_GRACE_NS)
         self._close(entry)
 
-    def _close(self, entry: Entry) -> None:
+    def _close(self, entry: RequestEntry) -> None:
         """Ends all work for a request; it is forgotten after CLOSED_RETENTION_NS."""
         entry.closed = True
         entry.body = b""
--- a/olivecourse/core/planner.py
+++ b/olivecourse/core/planner.py
@@ -11,7 +11,7 @@
 from olivecourse.choice import Router
 
 
-class Guard(w.Limits, Protocol):
+class TrafficLimiter(w.Limits, Protocol):
     """Limits that also observe all events and actions of the Router."""
 
     def settle(self, settings: w.Settings) -> None:
@@ -35,9 +35,9 @@
     def __init__(self, settings: w.Settings, now: int, log: Callable[..., None]) -> None:
         self._now, self._log = now, log
         self.router = Router(settings, now)
-        self._limiter: Guard | None = None
+        self._limiter: TrafficLimiter | None = None
 
-    def watch(self, limiter: Guard) -> None:
+    def set_limiter(self, limiter: TrafficLimiter) -> None:
         """Makes the Router consult this limiter."""
         self._limiter = self.router.limits = limiter
 
--- a/olivecourse/discovery/pacing.py
+++ b/olivecourse/discovery/pacing.py
@@ -34,7 +34,7 @@
         self.grace_ns = DEFAULT_GRACE_NS
         # average of the polls; high while polls wait for events, when no batching is needed
         self.round_trip_ns = 0.0
-        self.gathered = 0  # number of polls that were delayed to batch events
+        self.delayed_polls = 0  # number of polls that were delayed to batch events
         self._saved_polls, self._earned_at = MAX_SAVED_POLLS, 0
         self.apply_settings(graces_ns)
 
@@ -51,7 +51,7 @@
         gain = ROUND_TRIP_GAIN if sample_ns > self.round_trip_ns else ROUND_TRIP_DECAY
         self.round_trip_ns += gain * (sample_ns - self.round_trip_ns)
 
-    def gather_ns(self, lag_ns: int) -> int:
+    def max_batching_ns(self, lag_ns: int) -> int:
         """Returns how long events may be batched, if a turn of the event loop takes `lag_ns`."""
         # An event that occurs just after a response was sent waits for that response to arrive, for the
         # batching, for the next poll, and for one turn of the loop on each side.
@@ -62,7 +62,7 @@
         """Returns how long to wait before the next poll, after a response with events; 0 while events are
         rare.
         """
-        batching_ns = self.gather_ns(lag_ns)
+        batching_ns = self.max_batching_ns(lag_ns)
         if not batching_ns:
             return 0
         self._saved_polls = min(
@@ -72,5 +72,5 @@
         self._saved_polls -= 1.0
         if self._saved_polls >= 0.0:
             return 0
-        self.gathered += 1
+        self.delayed_polls += 1
         return int(min(-self._saved_polls, 1.0) * batching_ns)
--- a/olivecourse/gateway.py
+++ b/olivecourse/gateway.py
@@ -14,7 +14,7 @@
 
 from olivecourse import interface as w
 from olivecourse.config.gateway_config import Config
-from olivecourse.config.merging import Merged, merge
+from olivecourse.config.merging import MergeResult, merge
 from olivecourse.control_plane import ControlPlane
 from olivecourse.core.descriptors import split
 from olivecourse.core.ledger import Ledger
@@ -71,7 +71,7 @@
         loop.faulted = self._on_fault
         self.batch: list[w.Event] = []
         self.stopping = False
-        self._last_reload: Merged | None = None  # the merged settings of the last reload
+        self._last_reload: MergeResult | None = None  # the merged settings of the last reload
         # empty while the components are created, which happens before the client listener exists
         self.fronts: list[Listener] = []
         settings = config.settings
@@ -150,7 +150,7 @@
         max_unread_bytes = config.memory_mb * 2**20 // 8 * sockets // max(self.sockets, 1)
         return split(sockets, len(config.doors)).clients, max_unread_bytes
 
-    def share(self, shared: bool) -> None:
+    def share_descriptors(self, shared: bool) -> None:
         """Halves this process's descriptor limits while another process of the same gateway runs, so that
         both together stay within the limit of one, and restores them afterwards.
         """
@@ -207,7 +207,7 @@
             self.log,
         )
 
-    def new_keys(self) -> bool:
+    def reload_keys(self) -> bool:
         """Reads the signed listener's key file again and returns whether there is such a listener.
 
         Raises ValueError if the file is invalid; the keys in use then stay unchanged.
@@ -253,7 +253,7 @@
             if old.sections.get(name) != new_config.sections.get(name)
         )
         needs_restart += (
-            merged.waits
+            merged.needs_restart
             if settings_reloadable
             else ["settings"]
             if new_config.settings != old.settings
@@ -291,7 +291,7 @@
         for part in self.parts:
             part.reloaded(old)
         self.conf_loaded += 1
-        self.log("reloaded", moved=changed + merged.taken, needs_restart=list(dict.fromkeys(needs_restart)))
+        self.log("reloaded", moved=changed + merged.applied, needs_restart=list(dict.fromkeys(needs_restart)))
 
     def _connection_limits(self) -> dict[str, int]:
         """Returns the limits for connections to stores that do not depend on the number of descriptors."""
@@ -302,7 +302,7 @@
             "streams": config.streams,
         }
 
-    def _apply_settings(self, merged: Merged) -> None:
+    def _apply_settings(self, merged: MergeResult) -> None:
         """Applies new settings to every component. Classes keep their indexes."""
         settings = merged.settings
         self.ledger.settle(settings)
@@ -314,18 +314,20 @@
         for part in self.parts:
             part.settle(class_names)
         self.front.wait_ns = settings.max_retry_after_ns if settings.retry_after else 0
-        live_classes = {name: (index, settings.classes[index].write) for name, index in merged.live.items()}
+        live_classes = {
+            name: (index, settings.classes[index].write) for name, index in merged.current_indexes.items()
+        }
         self.front.classes = self.front.classes | live_classes
         self.loop.after(REMOVED_CLASS_GRACE_NS, lambda: self._remove_old_classes(merged))
         self._last_reload = merged
 
-    def _remove_old_classes(self, merged: Merged) -> None:
+    def _remove_old_classes(self, merged: MergeResult) -> None:
         """Removes the classes that the last reload no longer lists, unless another reload came in the
         meantime. Requests for a removed class get an error.
         """
         if merged is self._last_reload:
             self.front.classes = {
-                name: entry for name, entry in self.front.classes.items() if name in merged.live
+                name: entry for name, entry in self.front.classes.items() if name in merged.current_indexes
             }
 
     def _sync_planner(self) -> None:
@@ -430,7 +432,7 @@
                 self.log("module", text=action.text)
             elif isinstance(action, w.TellPeer):
                 for part in self.parts:
-                    part.act(action)
+                    part.execute_action(action)
             elif isinstance(action, w.CloseIdle):
                 self.pool.close_idle(action.cache)
 
@@ -450,7 +452,7 @@
         self.log("stopping", open=self.ledger.open, **self.ledger.tally)
         handed_over = any([part.retire() for part in self.parts])
         for part in self.parts if handed_over else ():
-            part.retired()
+            part.on_clients_handed_over()
         self.loop.after(0 if handed_over else LINGER_NS, self._close_when_flushed)
         self.loop.after(last_answers_ns, self._last_answers)
         self.loop.after(last_answers_ns + STOP_MARGIN_NS // 2, self._end)
--- a/olivecourse/parts.py
+++ b/olivecourse/parts.py
@@ -51,7 +51,7 @@
         """Processes discovery events in order. `first` marks the events known at startup."""
         ...
 
-    def share(self, shared: bool) -> None:
+    def share_descriptors(self, shared: bool) -> None:
         """Halves the descriptor limits while another process of the same gateway runs, or restores them."""
         ...
 
@@ -77,7 +77,7 @@
         """Returns the duration of the longest turn of the event loop in seconds."""
         ...
 
-    def new_keys(self) -> bool:
+    def reload_keys(self) -> bool:
         """Reads the key file again and returns whether there is a signed listener. Raises ValueError if the
         file is invalid.
         """
@@ -105,7 +105,7 @@
     def reloaded(self, old: Config) -> None:
         """Called after a reload has replaced the gateway's configuration; `old` is the previous one."""
 
-    def act(self, action: w.TellPeer) -> None:
+    def execute_action(self, action: w.TellPeer) -> None:
         """Executes a planner action that is meant for components."""
 
     def settle(self, classes: Sequence[str]) -> None:
@@ -124,7 +124,7 @@
         """
         return False
 
-    def retired(self) -> None:
+    def on_clients_handed_over(self) -> None:
         """Called at SIGTERM after any component has handed the clients over to another process."""
 
     def flushed(self) -> bool:
@@ -183,7 +183,7 @@
         assert door_part is not None
         config = host.config
         self.succession = open_succession(
-            host.loop, config.tmpdir, config.name, door_part.desk, host.share, host.log
+            host.loop, config.tmpdir, config.name, door_part.desk, host.share_descriptors, host.log
         )
         if self.succession is not None:
             door_part.desk.spoken = self.succession.say
@@ -235,11 +235,11 @@
         if self.peers is not None:
             self.peers.move(self.host.config.peers, self.host.config.peers_all)
 
-    def act(self, action: w.TellPeer) -> None:
+    def execute_action(self, action: w.TellPeer) -> None:
         if self.peers is not None:
             self.peers.tell(action)
 
-    def retired(self) -> None:
+    def on_clients_handed_over(self) -> None:
         """Closes the socket, since otherwise the operating system would still deliver some of the new
         process's datagrams to this one.
         """
@@ -278,7 +278,7 @@
 
         settings = self.host.config.settings
         section = self.host.config.sections["storms"]
-        planner.watch(
+        planner.set_limiter(
             Guard(section.policy(), settings, self.host.loop.clock.now(), Random(settings.seed).random)
         )
 
@@ -326,7 +326,7 @@
             changed_at = modification_time_ns(self._key_file())
             if changed_at != self.keys_seen:
                 self.keys_seen = changed_at
-                host.new_keys()
+                host.reload_keys()
         except (BadInventory, ValueError) as error:
             host.log("file_unusable", why=str(error))
         host.loop.after(FILE_CHECK_INTERVAL_NS, self.look)
--- a/olivecourse/purge_table.py
+++ b/olivecourse/purge_table.py
@@ -25,21 +25,23 @@
 
     def __init__(
         self,
-        keep: int = MAX_UNSETTLED,
+        min_retained: int = MAX_UNSETTLED,
         max_with_settled: int = MAX_WITH_SETTLED,
         max_unsettled: int = MAX_UNSETTLED,
     ) -> None:
-        """`add` evicts no entry, not even an expired one, while the table has at most `keep` entries."""
+        """`add` evicts no entry, not even an expired one, while the table has at most
+        `min_retained` entries.
+        """
         self._min_retained, self._max_with_settled, self._max_unsettled = (
-            keep,
+            min_retained,
             max_with_settled,
             max_unsettled,
         )
         self._unsettled: OrderedDict[Key, tuple[int, int]] = OrderedDict()
         self._settled: OrderedDict[Key, tuple[int, int]] = OrderedDict()
-        self.floor: tuple[int, int] | None = None  # the bound for all objects, or None
+        self.global_bound: tuple[int, int] | None = None  # the bound for all objects, or None
         self.settled_dropped = 0  # entries evicted early that were settled when received
-        self.folded = 0  # unsettled entries evicted early and merged into `floor`
+        self.merged = 0  # unsettled entries evicted early and merged into `global_bound`
 
     def __len__(self) -> int:
         return len(self._unsettled) + len(self._settled)
@@ -62,7 +64,9 @@
 
     def items(self) -> list[tuple[Key, tuple[int, int]]]:
         """Returns every entry. A bound for all objects is returned as one entry for each group."""
-        for_all_groups = [] if self.floor is None else [(group, self.floor) for group in range(GROUPS)]
+        for_all_groups = (
+            [] if self.global_bound is None else [(group, self.global_bound) for group in range(GROUPS)]
+        )
         return [*self._settled.items(), *self._unsettled.items(), *for_all_groups]
 
     def find(self, object_id: str | None, group: int | None) -> list[int]:
@@ -74,8 +78,8 @@
             bound = self._unsettled.get(key) or self._settled.get(key)
             if bound is not None:
                 bounds.append(bound[0])
-        if self.floor is not None:
-            bounds.append(self.floor[0])
+        if self.global_bound is not None:
+            bounds.append(self.global_bound[0])
         return bounds
 
     def add(self, key: Key, valid_from: int, expires_at: int, now: int, settled: bool = False) -> None:
@@ -107,14 +111,14 @@
                 if entries[key][1] > now:
                     break
                 del entries[key]
-        if self.floor is not None and self.floor[1] <= now:
-            self.floor = None
+        if self.global_bound is not None and self.global_bound[1] <= now:
+            self.global_bound = None
 
     def _merge_oldest(self, now: int) -> None:
         """Merges the oldest unsettled entry into the bound for all objects."""
         _, (valid_from, expires_at) = self._unsettled.popitem(last=False)
         if expires_at <= now:
             return
-        floor_from, floor_expires_at = self.floor or (0, 0)
-        self.floor = max(valid_from, floor_from), max(expires_at, floor_expires_at)
-        self.folded += 1
+        global_from, global_expires_at = self.global_bound or (0, 0)
+        self.global_bound = max(valid_from, global_from), max(expires_at, global_expires_at)
+        self.merged += 1
--- a/olivecourse/service.py
+++ b/olivecourse/service.py
@@ -38,7 +38,7 @@
             from olivecourse.storm.guard import Guard
 
             settings = self._config.settings
-            planner.watch(
+            planner.set_limiter(
                 Guard(
                     self._config.sections["storms"].policy(),
                     settings,
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -83,32 +83,32 @@
 
 
 def test_full_table_first_evicts_purges_that_were_settled_when_received():
-    table = PurgeTable(keep=10, max_with_settled=4, max_unsettled=6)
+    table = PurgeTable(min_retained=10, max_with_settled=4, max_unsettled=6)
     table.add("fresh", 1_000, 7_000, 1_000)
     for n in range(8):
         table.add(n, 10, 7_000, 1_000, settled=True)
     assert len(table) == 4 and "fresh" in table and 7 in table and 4 not in table
-    assert (table.settled_dropped, table.folded, table.floor) == (5, 0, None)
+    assert (table.settled_dropped, table.merged, table.global_bound) == (5, 0, None)
 
 
 def test_unsettled_purges_beyond_the_limit_are_merged_into_a_bound_for_all_objects():
     table = PurgeTable(max_unsettled=3)
     for n in range(5):
         table.add(f"{n}", 1_000 + n, 7_000 + n, 1_000 + n)
-    assert table.folded == 2 and table.floor == (1_001, 7_001)
+    assert table.merged == 2 and table.global_bound == (1_001, 7_001)
     assert table.find("0", None) == [1_001] and table.find("4", None) == [1_004, 1_001]
     listed = dict(table.items())
     assert all(listed[group] == (1_001, 7_001) for group in range(GROUPS)) and listed["4"] == (1_004, 7_004)
     table.expire(7_001)
-    assert table.floor is None and "2" in table
+    assert table.global_bound is None and "2" in table
 
 
 def test_expired_purges_are_removed_as_new_ones_are_added():
-    table = PurgeTable(keep=2)
+    table = PurgeTable(min_retained=2)
     for n in range(1_000):
         table.add(n, n, n + 5, n)
         assert len(table) <= 7
-    assert table.settled_dropped == table.folded == 0
+    assert table.settled_dropped == table.merged == 0
 
 
 def test_an_hour_of_purges_at_once_fits_bounded_tables_that_keep_the_unsettled_ones(stage):
@@ -118,7 +118,7 @@
     stage.gateway.decide()
     router, ledger = stage.gateway.local.router, stage.gateway.ledger
     for table in (router.purges, ledger.purged):
-        assert len(table) <= 16_384 and not table.folded and table.settled_dropped
+        assert len(table) <= 16_384 and not table.merged and table.settled_dropped
         assert all(f"{n:016x}" in table for n in range(20_002, 20_502))
 
 
@@ -134,7 +134,7 @@
     emitted = []
     control = stage.gateway.control
     control._emit = emitted.append
-    control.purges.floor = (stage.gateway.loop.clock.now() - S, stage.gateway.loop.clock.now() + S)
+    control.purges.global_bound = (stage.gateway.loop.clock.now() - S, stage.gateway.loop.clock.now() + S)
     control.sync_planner()
     assert {event.group for event in emitted if isinstance(event, w.Purged)} == set(range(GROUPS))
 
@@ -385,22 +385,22 @@
 def test_batching_time_stays_within_the_shortest_known_grace():
     assert PollPacer((0, 0)).grace_ns == DEFAULT_GRACE_NS
     pacer = PollPacer((0, 90 * MS))
-    assert pacer.gather_ns(0) == 54 * MS
-    assert pacer.gather_ns(20 * MS) == 14 * MS and pacer.gather_ns(80 * MS) == 0
+    assert pacer.max_batching_ns(0) == 54 * MS
+    assert pacer.max_batching_ns(20 * MS) == 14 * MS and pacer.max_batching_ns(80 * MS) == 0
     pacer.apply_settings((400 * MS, 800 * MS))
-    assert pacer.gather_ns(0) == 240 * MS
+    assert pacer.max_batching_ns(0) == 240 * MS
     pacer.apply_settings((60 * S, 60 * S))
-    assert pacer.gather_ns(0) == 500 * MS
+    assert pacer.max_batching_ns(0) == 500 * MS
 
 
 def test_slow_polls_disable_batching_and_fast_ones_enable_it_again():
     pacer = PollPacer((250 * MS,))
     for _ in range(10):
         pacer.on_round_trip(1_000 * MS)
-    assert pacer.gather_ns(0) == 0 and not any(pacer.delay_ns(S + n, 0) for n in range(20))
+    assert pacer.max_batching_ns(0) == 0 and not any(pacer.delay_ns(S + n, 0) for n in range(20))
     for _ in range(50):
         pacer.on_round_trip(MS)
-    assert pacer.gather_ns(0) > 140 * MS
+    assert pacer.max_batching_ns(0) > 140 * MS
 
 
 @pytest.mark.parametrize("rate", [10, 20, 150, 600])
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -49,7 +49,7 @@
         for line in self.process.stderr:
             if line.startswith("{") and (log_entry := json.loads(line))["event"] == name:
                 return log_entry
-        raise AssertionError(f"the program never logged {name}")
+        raise AssertionError(f"{name} was never logged")
 
     def client(self):
         """Waits until the program is ready and connects a client to it."""
@@ -257,10 +257,10 @@
     )
     lines = []
 
-    def until_printed(text):
+    def until_printed(expected_text):
         for line in demo.stdout:
             lines.append(line)
-            if text in line:
+            if expected_text in line:
                 return line
         raise AssertionError(lines)
 
