--- a/olivecourse/cli.py
+++ b/olivecourse/cli.py
@@ -120,7 +120,7 @@
         return
     config = _load(path, operator)
     logs.set_up()
-    # imported here because the other commands start faster without it
+    # Imported here because the other commands start faster without it.
     from olivecourse.gateway import Gateway
     from olivecourse.service import PlannerService
 
@@ -139,7 +139,8 @@
     def wake(mask: int) -> None:
         """Handles the signals that have arrived."""
         arrived = signals.take()
-        # also before a stop, which may take seconds in which discovery still announces drains
+        # SIGHUP is handled even before a stop, which may take seconds in which discovery still announces
+        # drains.
         if signal.SIGHUP in arrived:
             reload()
         if arrived & {signal.SIGTERM, signal.SIGINT}:
--- a/olivecourse/config/discovery_events.py
+++ b/olivecourse/config/discovery_events.py
@@ -15,7 +15,7 @@
 
 STATES = {"Ready": w.State.READY, "Terminating": w.State.DRAINING, "Gone": w.State.GONE}
 HEX_NUMBERED_ID = re.compile(r"[A-Za-z]*-?([0-9a-f]{8})")
-MAX_RECENTLY_LISTED = 16_384  # maximum number of ids kept, which takes at most about 2 MB
+MAX_RECENTLY_LISTED = 16_384  # Maximum number of server ids remembered, which take at most about 2 MB.
 OBJECT_ID = re.compile(r"[0-9a-f]{16}")
 
 
@@ -23,7 +23,7 @@
     """An event that cannot be used, or only in part."""
 
 
-# exceptions that invalid values cause
+# Exceptions caused by invalid values in an event.
 CONVERSION_ERRORS = (KeyError, TypeError, ValueError, AttributeError, ArithmeticError)
 
 
@@ -64,14 +64,15 @@
         self.addresses: dict[int, Address] = {}
         self.states: dict[int, w.State] = {}
         self.members: dict[int, w.Member] = {}
-        # stores whose process ended, with the latest time at which it ended
+        # Stores whose process ended, with the latest time at which it ended.
         self.terminated_at: dict[int, int] = {}
-        # for each store, its start time as reported and on the local clock
+        # For each store, its start time as reported and on the local clock.
         self.started: dict[int, tuple[int, int]] = {}
-        # ids that operators drain by hand, whatever state discovery reports
+        # Ids of servers that operators drain by hand, whatever state discovery reports.
         self.manually_drained: set[str] = set()
-        self.leased_out: set[str] = set()  # ids with a lease to be out of service, granted by the fleet
-        # ids that a list has contained, the most recent last
+        # Ids of servers that hold a lease from the fleet to be out of service.
+        self.leased_out: set[str] = set()
+        # Ids that a server list has contained, the most recent last.
         self.recently_listed: OrderedDict[str, None] = OrderedDict()
 
     def ready(self, cache: int) -> bool:
@@ -107,8 +108,8 @@
             if "pool" in event:
                 members, errors = self._members(event["pool"].get("members", ()))
                 yield self._pool(event["pool"], members, first)
-                # the valid members of the event are used nevertheless: a drain must not be lost because of an
-                # error in another member
+                # The valid members of the event are used nevertheless: a drain must not be lost because of an
+                # error in another member.
                 if errors:
                     raise InvalidEvent("; ".join(errors[:3]))
             if "flush" in event:
@@ -137,7 +138,7 @@
     def _pool(self, pool: Any, members: list[w.Member], first: bool) -> w.CacheList:
         """Applies a list of members to the directory and returns the event for the routing module."""
         complete = bool(pool.get("complete"))
-        if complete:  # servers that a complete list does not contain have been removed
+        if complete:  # Servers missing from a complete list have been removed.
             for cache in set(self.states) - {member.cache for member in members}:
                 self._forget(cache)
             self.members.clear()
@@ -150,8 +151,8 @@
                 self.terminated_at[member.cache] = member.ready_at_ns
             self.states[member.cache] = member.state
             self.members[member.cache] = member
-        # A list of changes stays one even among the events known at startup: as a complete list it would
-        # remove all other servers.
+        # A list of changes is reported as such even among the events known at startup: as a complete list it
+        # would remove all other servers.
         kind = w.ListKind.CHANGES if not complete else w.ListKind.HELD if first else w.ListKind.FULL
         return w.CacheList(int(pool.get("revision", 0)), kind, tuple(map(self.effective_member, members)))
 
@@ -170,7 +171,7 @@
         cell = None if entry.get("cell") is None else int(entry["cell"])
         if not math.isfinite(weight):
             raise InvalidEvent(f"{name}: size is not a finite number")
-        # every value of the member has been checked at this point
+        # Every value of the member has been checked at this point.
         if self.names.setdefault(cache, name) != name:
             raise InvalidEvent(f"{name} and {self.names[cache]} share a number")
         self.recently_listed.pop(name, None)
--- a/olivecourse/config/gateway_config.py
+++ b/olivecourse/config/gateway_config.py
@@ -59,18 +59,19 @@
     sockets: int = 1024
     memory_mb: int = 192
     board: Address | None = None
-    boards: tuple[Address, ...] = ()  # alternatives to `board` after a failure; from an operator's file only
-    doors: tuple[Address, ...] = ()  # addresses of the operators' endpoints
-    # directory shared by two processes of one gateway; used only with an operators' endpoint
+    # Discovery addresses used when `board` fails; from an operator's file only.
+    boards: tuple[Address, ...] = ()
+    doors: tuple[Address, ...] = ()  # Addresses of the operators' endpoints.
+    # Directory shared by two processes of one gateway; used only with an operators' endpoint.
     tmpdir: str | None = None
     peer_listen: Address | None = None
     peers: list[Address] = field(default_factory=list)
     peers_all: Address | None = None
     signed: SignedListenerConfig | None = None
     inventory: str | None = None
-    planner: str | None = None  # path of the Unix socket of a planner in a separate process
-    unread: tuple[str, ...] = ()  # paths of settings that this program does not use
-    # sections of an operator's file, by name; see SECTIONS
+    planner: str | None = None  # Path of the Unix socket of a planner in a separate process.
+    unread: tuple[str, ...] = ()  # Paths of settings that this program does not use.
+    # Optional sections of an operator's file, by name; see SECTIONS.
     sections: Mapping[str, Any] = field(default_factory=dict)
 
 
@@ -215,7 +216,7 @@
             sections=_sections(path, raw),
         )
     except (BadConfig, BadInventory) as error:
-        text = str(error)  # the text may already start with the file and a line
+        text = str(error)  # The message may already start with the file and a line.
         raise BadConfig(text if text.startswith(f"{path}:") else f"{path}: {text}") from None
     except (OSError, ValueError, TypeError) as error:
         raise BadConfig(f"{path}: cannot read a value: {error}") from None
--- a/olivecourse/config/merging.py
+++ b/olivecourse/config/merging.py
@@ -11,8 +11,8 @@
 
 from olivecourse.interface import Settings
 
-# maximum number of class names in the life of a process, because each keeps its counters and averages until
-# the end
+# Maximum number of class names in the life of a process, because each name keeps its counters and averages
+# until the process ends.
 MOST_CLASSES = 256
 # Settings that define what a gateway is and where it stands. Data structures are sized and arranged by them
 # at the start.
@@ -27,7 +27,7 @@
     "parent_kind",
     "origin_kind",
 )
-NOT_COMPARED = ("seed", "classes")  # the seed differs at every start, and the classes are merged separately
+NOT_COMPARED = ("seed", "classes")  # The seed differs at every start, and the classes are merged separately.
 
 
 class SettingsNotApplicable(ValueError):
--- a/olivecourse/config/settings.py
+++ b/olivecourse/config/settings.py
@@ -128,7 +128,7 @@
             column = _parse_fields(values, {field: (path, read_list(convert))}).get(field, ())
             if index < len(column):
                 class_values[field] = column[index]
-        # without a target time, any time within the deadline is on time
+        # Without a target time, any answer within the deadline is on time.
         class_values["aim_ns"] = class_values.get("aim_ns") or class_values.get("deadline_ns", 0)
         classes.append(w.RequestClass(**class_values))
     return w.Settings(seed=seed, classes=tuple(classes), **_parse_fields(values, SETTINGS))
@@ -141,7 +141,7 @@
     "limits.conn_idle_ns",
     "limits.streams_per_conn",
 }
-MAX_REPORTED_PATHS = 40  # maximum number of unused paths that are reported
+MAX_REPORTED_PATHS = 40  # Maximum number of unused paths that are reported.
 
 
 def unread(pairs: Iterable[str]) -> tuple[str, ...]:
@@ -160,7 +160,8 @@
     return tuple(sorted(set(normalized_paths) - known_paths))[:MAX_REPORTED_PATHS]
 
 
-MAY_BE_MINUS_ONE = ("parent_kind", "origin_kind")  # for these fields, -1 means that there is no such kind
+# For these fields, -1 means that there is no such kind of server.
+MAY_BE_MINUS_ONE = ("parent_kind", "origin_kind")
 
 
 def check_settings(settings: w.Settings) -> None:
--- a/olivecourse/config/vocabulary.py
+++ b/olivecourse/config/vocabulary.py
@@ -52,8 +52,8 @@
 OPEN = ("app_current", "lb_in_flight")
 KNOWN = ("app_cluster_size", "lb_servers_known")
 AVOIDED = ("app_cluster_unhealthy", "lb_servers_out")
-TAKEN_UP = ("app_conf_loaded",)  # configurations applied, including the one at the start
-RELOADS = ("lb_reloads",)  # configurations applied, not including the one at the start
+TAKEN_UP = ("app_conf_loaded",)  # Counts configurations applied, including the one at the start.
+RELOADS = ("lb_reloads",)  # Counts configurations applied, not including the one at the start.
 REFUSED = ("app_conf_invalid", "lb_reloads_refused")
 LONGEST_TURN = ("app_turn_seconds_max",)
 
--- a/olivecourse/control_plane.py
+++ b/olivecourse/control_plane.py
@@ -53,10 +53,11 @@
         # discovery server at the same moment.
         self._random = Random(f"{config.settings.seed} {config.name}").random
         self._pacer = PollPacer(_graces_ns(config.settings))
-        # the revision of the last event received, kept while there is no discovery client
+        # The revision of the last event received, kept while there is no discovery client.
         self._revision = config.rev
-        self.purges = PurgeTable(min_retained=0)  # used only with a planner in a separate process
-        self._logged_merged = 0  # number of the tracker's merged purges that has already been logged
+        # Purges for a planner in a separate process; unused without one.
+        self.purges = PurgeTable(min_retained=0)
+        self._logged_merged = 0  # The number of the tracker's merged purges that has already been logged.
 
     def start(self) -> None:
         """Starts polling if the configuration names a discovery address."""
--- a/olivecourse/core/descriptors.py
+++ b/olivecourse/core/descriptors.py
@@ -4,13 +4,15 @@
 
 from dataclasses import dataclass
 
-PER_STORE = 24  # maximum connections to one store, where the descriptor limit allows them
-PROCESS_DESCRIPTORS = 24  # event loop, log, listener, notice board, peers, planner, and files being read
-DOOR = 18  # for one operators' endpoint: its callers, its listener, and one newly accepted connection
-STORE_CONNECTIONS_MARGIN = (
-    32  # subtracted from the half of the descriptors that is given to store connections
-)
-MIN_STORE_CONNECTIONS = 16  # minimum number of store connections, even with very few descriptors
+PER_STORE = 24  # Maximum number of connections to one store, if the descriptor limit allows them.
+# Descriptors of the process itself: event loop, log, listener, discovery, peers, planner, and files being
+# read.
+PROCESS_DESCRIPTORS = 24
+# Descriptors of one operators' endpoint: its callers, its listener, and one newly accepted connection.
+DOOR = 18
+# Subtracted from the half of the descriptors that is given to store connections.
+STORE_CONNECTIONS_MARGIN = 32
+MIN_STORE_CONNECTIONS = 16  # Minimum number of store connections, even with very few descriptors.
 # A process with an operators' endpoint may be one of two processes of the same gateway. Below 192 descriptors
 # it therefore limits itself to 8 store connections.
 SCARCE_DESCRIPTORS, SCARCE_STORE_CONNECTIONS = 192, 8
--- a/olivecourse/core/ledger.py
+++ b/olivecourse/core/ledger.py
@@ -15,17 +15,15 @@
 from olivecourse.purge_table import PurgeTable
 
 MS = 1_000_000
-CLOSED_RETENTION_NS = (
-    2_000 * MS
-)  # how long a closed request is remembered, so that late actions on it are recognized
+# How long a closed request is remembered, so that late actions on it are recognized.
+CLOSED_RETENTION_NS = 2_000 * MS
 EFFECTS_STRICTEST_FIRST = (w.Effect.AT_MOST_ONCE, w.Effect.DEDUPLICATED, w.Effect.IDEMPOTENT)
-KEY_MEMORY_MARGIN_NS = 2 * MS  # covers the send itself and one tick of the timer wheel
+KEY_MEMORY_MARGIN_NS = 2 * MS  # The margin covers the send itself and one tick of the timer wheel.
 # Up to this many purges are kept past their expiry, because attempts that wait for a long time are also
 # checked against them before they are sent.
 MIN_RETAINED_PURGES = 4096
-DEADLINE_GRACE_NS = (
-    4 * MS
-)  # later than the Router's own last deadline check, but still before the client's deadline
+# Added to a request's deadline: later than the Router's own last check, but before the client stops waiting.
+DEADLINE_GRACE_NS = 4 * MS
 
 
 class Cancellable(Protocol):
@@ -103,14 +101,15 @@
     reply: Reply
     deadline: int
     target_time: int
-    # the client's idempotency key, by which stores recognize a repeat; None if the client gave none
+    # The client's idempotency key, by which stores recognize a repeat; None if the client gave none.
     key: str | None = None
     count: int = 0
     out: dict[int, Attempt] = field(default_factory=dict)
-    # the transport's connections on which this request id was sent
+    # The transport's connections on which this request's id was sent.
     asked_on: list[Any] = field(default_factory=list)
     may_have_run: bool = False
-    first_sent_at: int = 0  # when the first attempt that may have run was decided on; 0 if there is none
+    # The time at which the first attempt that may have run was decided on; 0 if there is none.
+    first_sent_at: int = 0
     closed: bool = False
     deadline_timer: Cancellable | None = None
 
@@ -125,9 +124,9 @@
     sent_at: int
     deadline: int
     ended: bool = False
-    went: bool = False  # whether any byte of it may have been sent; set by the transport
+    went: bool = False  # Whether any byte of the attempt may have been sent; set by the transport.
     timer: Cancellable | None = None
-    place: Any = None  # the transport's own reference to the connection that carries the attempt
+    place: Any = None  # The transport's own reference to the connection that carries the attempt.
 
     @property
     def source(self) -> int | None:
@@ -164,12 +163,13 @@
         self.entries: dict[str, RequestEntry] = {}
         self.open = 0
         self.carrier: Transport | None = None
-        self.closing = False  # true shortly before the process stops: no request is accepted any more
-        # by the time at which this gateway received each purge; checked before a queued attempt is sent
+        self.closing = False  # Set shortly before the process stops; no request is accepted from then on.
+        # Purges with the time at which this gateway received them; checked before a queued attempt is sent.
         self.purged = PurgeTable(MIN_RETAINED_PURGES)
-        self.taken = self.left = 0  # requests accepted, and those whose client disconnected before the answer
-        self.late = 0  # requests served after the target time of their class
-        # for each class, the number of requests served, refused and failed
+        # The numbers of requests accepted, and of requests whose client disconnected before the answer.
+        self.taken = self.left = 0
+        self.late = 0  # The number of requests served after the target time of their class.
+        # For each class, the numbers of requests served, refused and failed.
         self.outcomes = [[0, 0, 0] for _ in settings.classes]
 
     def settle(self, settings: w.Settings) -> None:
@@ -257,7 +257,7 @@
     def attempt(self, action: w.Look | w.ReadThrough) -> None:
         """Starts an attempt. If the guarantees or limits forbid it, reports at once that it was not sent."""
         entry = self.entries.get(action.request)
-        # closed and forgotten: its attempt number is unknown, so no outcome can be reported
+        # The request is closed and forgotten. Its attempt number is unknown, so no outcome can be reported.
         if entry is None:
             self._log("attempt_unknown", request=action.request)
             return
@@ -373,7 +373,7 @@
         if object_or_group is not None:
             now = self._timers.now()
             settling_ns = self._settings.purge_settles_ns
-            # true if every store has already dropped its older copies
+            # True if every store has already dropped its older copies.
             settled = 0 < settling_ns <= (event.age_ns or 0)
             self.purged.add(object_or_group, now, now + CLOSED_RETENTION_NS, now, settled)
 
--- a/olivecourse/demo.py
+++ b/olivecourse/demo.py
@@ -144,7 +144,7 @@
             ready_at = ready_at or (time.monotonic() if log_line["event"] == "ready" else 0.0)
             click.echo(_format_log_line(log_line))
         if ready_at and not link_printed and time.monotonic() - ready_at > 1.1:
-            # the gateway rejects order tokens that were issued within the first second after its start
+            # The gateway rejects order tokens that were issued within the first second after its start.
             link_printed = True
             _print_examples(public, signing_key)
         if seconds is not None and time.monotonic() - started > seconds:
--- a/olivecourse/discovery/event_stream.py
+++ b/olivecourse/discovery/event_stream.py
@@ -11,14 +11,13 @@
 from json.decoder import WHITESPACE  # type: ignore[attr-defined]
 from typing import Any, Final
 
-# maximum length of one event, enough for a list of about 7,000 servers; also the maximum number of characters
-# without an event
+# Maximum length of one event, enough for a list of about 7,000 servers. It is also the maximum number of
+# characters without an event.
 MAX_VALUE_CHARS: Final = 2**20
-RETRY_EACH_CHUNK_CHARS: Final = (
-    65_536  # an incomplete value up to this length is parsed again with every chunk
-)
-DELIMITERS: Final = ",]} \t\r\n"  # characters that may follow a number
-# a parse error this close to the end of the received text may only mean that the rest has not arrived yet
+# An incomplete value up to this length is parsed again with every chunk.
+RETRY_EACH_CHUNK_CHARS: Final = 65_536
+DELIMITERS: Final = ",]} \t\r\n"  # Characters that may follow a number.
+# A parse error this close to the end of the received text may only mean that the rest has not arrived yet.
 INCOMPLETE_MARGIN_CHARS: Final = 16
 # A response up to this size is handled as a whole: its events are sorted, and none is used unless all can be
 # parsed.
@@ -50,12 +49,12 @@
         self.error: EventStreamError | None = None
         self._decoder = codecs.getincrementaldecoder("utf-8-sig")()
         self._raw_decode = json.JSONDecoder().raw_decode
-        self._text = ""  # text received but not parsed yet
+        self._text = ""  # Text received but not parsed yet.
         self._state: int = START
         self._key = ""
         self._revision: Any = None
-        self._has_event_list = False  # whether the response contained a list of events
-        self._next_try = 0  # text length at which an incomplete value is parsed again
+        self._has_event_list = False  # Whether the response contained a list of events.
+        self._next_try = 0  # The text length at which an incomplete value is parsed again.
         self._chars_without_event = 0
 
     def feed(self, data: bytes) -> list[Any]:
@@ -191,7 +190,7 @@
         if text[position] not in '{["' and (end == len(text) or text[end] not in DELIMITERS):
             if len(text) - end > len("e+"):
                 raise EventStreamError(f"{text[end]!r} is out of place")
-            return None, -1  # a number may continue in the next chunk
+            return None, -1  # A number may continue in the next chunk.
         self._next_try = 0
         return value, end
 
@@ -207,8 +206,8 @@
         """`rev` is the revision of the last event received."""
         self.rev = rev
         self.error: EventStreamError | None = None
-        self.revision = 0  # the response's own revision, once the response is complete
-        self.empty = True  # whether the response contains no event
+        self.revision = 0  # The response's own revision, once the response is complete.
+        self.empty = True  # Whether the response contains no event.
         self._parser = EventStreamParser()
         self._bytes = 0
         self._held_events: list[Any] = []
--- a/olivecourse/discovery/failover.py
+++ b/olivecourse/discovery/failover.py
@@ -14,9 +14,9 @@
 Address = tuple[str, int]
 
 MS = 1_000_000  # nanoseconds
-# a discovery server that restarts on the same machine is back within a few of these delays
+# A discovery server that restarts on the same machine is back within a few of these delays.
 MIN_DELAY_NS = 20 * MS
-MAX_DELAY_NS = 320 * MS  # well below the shortest time within which purges must reach every gateway
+MAX_DELAY_NS = 320 * MS  # Well below the shortest time within which purges must reach every gateway.
 
 # The part of a grace period over which the clients of a failed relay reconnect. The rest is left for
 # connecting and for processing the events that they missed.
@@ -56,7 +56,8 @@
         self._longest_ns = longest_ns
         self._current = self._addresses[0]
         self._untried: list[Address] = []
-        # doubled by the first failure, so that the first delay is between `shortest_ns` and twice as much
+        # The first failure doubles this value, so that the first delay is between `shortest_ns` and twice as
+        # much.
         self._backoff_ns = shortest_ns
 
     @property
--- a/olivecourse/discovery/pacing.py
+++ b/olivecourse/discovery/pacing.py
@@ -11,17 +11,17 @@
 from typing import Final
 
 MS: Final = 1_000_000
-# used where the settings have no grace period; shorter than any known grace period
+# Used if the settings define no grace period; shorter than any known grace period.
 DEFAULT_GRACE_NS: Final = 200 * MS
-# fraction of the grace period; the rest is left for receiving the event and for acting on it
+# The fraction of the grace period used for batching; the rest is left for receiving an event and acting on
+# it.
 BATCHING_FRACTION: Final = 0.6
-# an upper limit for long grace periods, because an outdated server directory is of no use
+# The upper limit for long grace periods, because an outdated server directory is of no use.
 MAX_BATCHING_NS: Final = 500 * MS
-MAX_SAVED_POLLS: Final = (
-    4.0  # maximum number of immediate polls saved up; one more is earned in each batching interval
-)
-ROUND_TRIP_GAIN: Final = 0.2  # weight of a poll that took longer than the average
-ROUND_TRIP_DECAY: Final = 0.1  # weight of a poll that took less than the average
+# Maximum number of immediate polls saved up; one more is earned in each batching interval.
+MAX_SAVED_POLLS: Final = 4.0
+ROUND_TRIP_GAIN: Final = 0.2  # Weight in the average of a poll that took longer than the average.
+ROUND_TRIP_DECAY: Final = 0.1  # Weight in the average of a poll that took less than the average.
 
 
 class PollPacer:
@@ -32,9 +32,9 @@
         unknown.
         """
         self.grace_ns = DEFAULT_GRACE_NS
-        # average of the polls; high while polls wait for events, when no batching is needed
+        # The average duration of polls. It is high while polls wait for events, when no batching is needed.
         self.round_trip_ns = 0.0
-        self.delayed_polls = 0  # number of polls that were delayed to batch events
+        self.delayed_polls = 0  # The number of polls that were delayed to batch events.
         self._saved_polls, self._earned_at = MAX_SAVED_POLLS, 0
         self.apply_settings(graces_ns)
 
@@ -46,7 +46,7 @@
         """Records how long the poll after a response with events took. The average rises fast and falls
         slowly.
         """
-        # longer times make no difference, as they leave no time for batching either
+        # Longer durations make no difference, as they leave no time for batching either.
         sample_ns = min(elapsed_ns, self.grace_ns)
         gain = ROUND_TRIP_GAIN if sample_ns > self.round_trip_ns else ROUND_TRIP_DECAY
         self.round_trip_ns += gain * (sample_ns - self.round_trip_ns)
--- a/olivecourse/gateway.py
+++ b/olivecourse/gateway.py
@@ -34,16 +34,17 @@
 
 ComponentT = TypeVar("ComponentT", bound=Part)
 MS = 1_000_000
-MAX_DISCOVERY_WAIT_NS = 3_000 * MS  # after a start, readiness waits at most this long for discovery to answer
-# clients keep connecting for 0.6 s after SIGTERM, and the platform requires at least 0.7 s of service
+# After a start, the gateway reports not ready for at most this long while discovery has not answered.
+MAX_DISCOVERY_WAIT_NS = 3_000 * MS
+# Clients keep connecting for 0.6 s after SIGTERM, and the platform requires at least 0.7 s of service.
 LINGER_NS = 900 * MS
 # SIGKILL may come 0.7 s after the longest deadline of a class, of which at most this much counts
 MAX_DEADLINE_NS = 3_000 * MS
-# a class removed by a reload is still accepted for this long, because requests of it are on their way
+# A class removed by a reload is still accepted for this long, because requests of the class are on their way.
 REMOVED_CLASS_GRACE_NS = 1_000 * MS
-# at the end, the time for clients to see that the gateway stops and to close their connections
+# The time that clients get at the end to see that the gateway stops and to close their connections.
 CLIENT_CLOSE_GRACE_NS = 250 * MS
-STOP_MARGIN_NS = 500 * MS  # the last answers are sent this long before SIGKILL may come
+STOP_MARGIN_NS = 500 * MS  # The last answers are sent this long before SIGKILL may come.
 
 
 class LoopTimers:
@@ -71,8 +72,8 @@
         loop.faulted = self._on_fault
         self.batch: list[w.Event] = []
         self.stopping = False
-        self._last_reload: MergeResult | None = None  # the merged settings of the last reload
-        # empty while the components are created, which happens before the client listener exists
+        self._last_reload: MergeResult | None = None  # The merged settings of the last reload, or None.
+        # Empty while the components are created, which happens before the client listener exists.
         self.fronts: list[Listener] = []
         settings = config.settings
         self.started = loop.clock.now()
@@ -99,7 +100,7 @@
         )
         self.ledger.carrier = self.pool
         self.parts: list[Part] = []
-        # created one by one, because a component may use those created before it
+        # Components are created one by one, because each may use those created before it.
         for component_class in parts_of(config):
             self.parts.append(component_class(self))
         self.remote: RemotePlanner | None = None
@@ -111,7 +112,7 @@
             self.carry_out(self.local.start())
         self.on_events(config.notices, first=True)
         if config.planner is not None:
-            self.batch.clear()  # these events are sent again to every planner that connects
+            self.batch.clear()  # The events known at startup are sent again to every planner that connects.
             self.remote = RemotePlanner(
                 loop, config.planner, self.carry_out, self._sync_planner, self._on_planner_lost, log
             )
@@ -122,7 +123,8 @@
         self.front: Listener = self._create_front()
         self.fronts.append(self.front)
         loop.short = self.front.make_room
-        self.front.draining = not self.takes_work()  # reported to the previous process during an upgrade
+        # This state is reported to the previous process during an upgrade.
+        self.front.draining = not self.takes_work()
         for part in self.parts:
             part.start(self.front)
 
@@ -181,7 +183,7 @@
                 bool(config.doors),
                 next((sock for part in self.parts if (sock := part.listener()) is not None), None),
             )
-        # imported here because a gateway without the signed listener needs neither
+        # Imported here because a gateway without the signed listener needs neither module.
         from olivecourse.fronts.signed import SignedFront
         from olivecourse.fronts.tokens import Tokens, read_keys
 
@@ -229,7 +231,7 @@
         discovery continues from the last event received.
         """
         old = self.config
-        # otherwise a remote planner or the order tokens also depend on the settings
+        # Settings cannot change while a remote planner or order tokens also depend on them.
         settings_reloadable = self.remote is None and old.signed is None
         merged = merge(old.settings, new_config.settings if settings_reloadable else old.settings)
         keys: Any = None
@@ -410,7 +412,7 @@
                 for action in self.local.decide(events, self.loop.clock.now()):
                     try:
                         self.carry_out([action])
-                    except Exception as error:  # the other actions of this turn are still executed
+                    except Exception as error:  # The other actions of this turn are still executed.
                         self._on_fault("action", error)
             elif self.remote is None or not self.remote.send(events, self.loop.clock.now()):
                 self._on_planner_lost()
@@ -503,7 +505,7 @@
         # Requests create many short-lived objects but few reference cycles. Collecting after every 700
         # allocations, as Python does by default, took an eighth of the CPU time.
         gc.set_threshold(50_000, 20, 100)
-        gc.freeze()  # excludes objects that live as long as the process from every later collection
+        gc.freeze()  # Excludes objects that live as long as the process from every later collection.
         self.loop.run(self.decide)
         self.log("stopped", open=self.ledger.open, **self.ledger.tally)
         self.front.close()
--- a/olivecourse/logs.py
+++ b/olivecourse/logs.py
@@ -24,8 +24,8 @@
 if _hide_rich:
     del sys.modules["rich"]
 
-MAX_LINE_BYTES = 4096  # PIPE_BUF: the size up to which a pipe that is writable accepts a write as a whole
-# lines of one event name within 10 s; further lines are counted and dropped
+MAX_LINE_BYTES = 4096  # PIPE_BUF: the size up to which a writable pipe accepts a write as a whole.
+# Maximum number of lines of one event name within 10 s; further lines are counted and dropped.
 MAX_LINES_PER_WINDOW, WINDOW_S = 20, 10.0
 
 
@@ -69,13 +69,13 @@
         data = line.encode("utf-8", "replace")
         if len(data) > MAX_LINE_BYTES - 64:
             data = json.dumps({"event": "line_too_long", "bytes": len(data), "begins": line[:500]}).encode()
-        # a writable pipe has room for MAX_LINE_BYTES bytes, so that the write below cannot block
+        # A writable pipe has room for MAX_LINE_BYTES bytes, so that the write below cannot block.
         if not any(events & select.POLLOUT for _, events in self._poll.poll(0)):
             self._lost += 1
             return
         if self._lost:
             data, self._lost = data.rstrip(b"}") + b', "lost": %d}' % self._lost, 0
-        with suppress(OSError):  # the log reader has closed its end
+        with suppress(OSError):  # The log reader has closed its end.
             os.write(self._fd, data + b"\n")
 
     warning = info = error = msg
--- a/olivecourse/parts.py
+++ b/olivecourse/parts.py
@@ -27,7 +27,7 @@
     from olivecourse.net.stores import Pool
 
 MS = 1_000_000
-FILE_CHECK_INTERVAL_NS = 1_000 * MS  # interval between checks of the operator's files for changes
+FILE_CHECK_INTERVAL_NS = 1_000 * MS  # Interval between checks of the operator's files for changes.
 ComponentT = TypeVar("ComponentT", bound="Part")
 
 
@@ -312,7 +312,7 @@
 
     def reloaded(self, old: Config) -> None:
         if self.host.config.inventory != old.inventory:
-            self.inventory_seen = -1  # forces the next check, within a second, to read the file
+            self.inventory_seen = -1  # Forces the next check, which comes within a second, to read the file.
 
     def look(self) -> None:
         """Reads the files that have changed, then schedules the next check."""
--- a/olivecourse/purge_table.py
+++ b/olivecourse/purge_table.py
@@ -4,14 +4,14 @@
 
 from collections import OrderedDict
 
-Key = str | int | None  # an object id or a group number
+Key = str | int | None  # An object id or a group number.
 # A purge is settled once every store has dropped the older copies; one that was settled before it was
 # received needs no check. Up to this many entries it is kept as a precaution.
 MAX_WITH_SETTLED = 16_384
 # Unsettled purges beyond this are merged into one bound for all objects. The limit covers 2,700 purges a
 # second for 6 s and takes a few MB in each table.
 MAX_UNSETTLED = 16_384
-GROUPS = 256  # number of object groups
+GROUPS = 256  # The number of object groups.
 
 
 class PurgeTable:
@@ -39,9 +39,10 @@
         )
         self._unsettled: OrderedDict[Key, tuple[int, int]] = OrderedDict()
         self._settled: OrderedDict[Key, tuple[int, int]] = OrderedDict()
-        self.global_bound: tuple[int, int] | None = None  # the bound for all objects, or None
-        self.settled_dropped = 0  # entries evicted early that were settled when received
-        self.merged = 0  # unsettled entries evicted early and merged into `global_bound`
+        # The bound for all objects, or None if there is none.
+        self.global_bound: tuple[int, int] | None = None
+        self.settled_dropped = 0  # The number of entries evicted early that were settled when received.
+        self.merged = 0  # The number of unsettled entries evicted early and merged into `global_bound`.
 
     def __len__(self) -> int:
         return len(self._unsettled) + len(self._settled)
--- a/olivecourse/service.py
+++ b/olivecourse/service.py
@@ -68,7 +68,7 @@
         """Runs the event loop until `stop` is called, then releases all resources."""
         self.log("ready", planner=self._server.path)
         self.loop.run(lambda: None)
-        if self._keeper is not None:  # must happen while the forwarders' Routers still exist
+        if self._keeper is not None:  # Must happen while the forwarders' Routers still exist.
             self._keeper.stop()
         self._server.close()
         self.loop.close()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -296,22 +296,22 @@
 
 def test_operators_commands_and_an_upgrade_as_documented(world):
     folder, cache, start = world
-    config, door, next_door = str(folder / "config.json"), free_address(), free_address()
-    assert run("ops", "ready", EDGE_MGMT=door).returncode == 3
+    config, address, new_address = str(folder / "config.json"), free_address(), free_address()
+    assert run("ops", "ready", EDGE_MGMT=address).returncode == 3
     assert run("ops", "ready", EDGE_MGMT="nowhere").returncode == 2
     assert run("serve", "--config", config, EDGE_MGMT="nowhere").returncode == 2
-    old = start("serve", "--config", config, EDGE_MGMT=door, TMPDIR=str(folder))
+    old = start("serve", "--config", config, EDGE_MGMT=address, TMPDIR=str(folder))
     client = old.client()
     results = [
-        run("ops", *words, "--address", door)
+        run("ops", *words, "--address", address)
         for words in (["ready"], ["stats"], ["down", "s-00000008"], ["down", "s-0000000f"])
     ]
     assert [result.returncode for result in results] == [0, 0, 0, 1], [result.stderr for result in results]
     assert "app_cluster_size 3.0" in results[1].stdout and "no list has named" in results[3].stderr
     client.call(1)
     request = until(cache.line).split(" ")[1]
-    new = start("serve", "--config", config, EDGE_MGMT=next_door, TMPDIR=str(folder))
-    until(lambda: run("ops", "ready", "--address", next_door).returncode == 0)
+    new = start("serve", "--config", config, EDGE_MGMT=new_address, TMPDIR=str(folder))
+    until(lambda: run("ops", "ready", "--address", new_address).returncode == 0)
     old.process.send_signal(signal.SIGTERM)
     assert old.event("handed_over")["clients"] == 1
     client.call(2, i="22" * 8)  # from here on the new process reads the connection
@@ -319,9 +319,9 @@
     cache.say(f"{request} data version=aa,stamp=1,n=HIT 5\r\nhello\r\n".encode(), 0)
     assert until(client.answers) == [(1, "success", {}, b"hello")]
     assert old.process.wait(30) == 0 and not client.closed
-    stats = run("ops", "stats", "--address", next_door).stdout
+    stats = run("ops", "stats", "--address", new_address).stdout
     assert "app_cluster_unhealthy 1.0" in stats, "the new process still avoids the store"
-    assert run("ops", "up", "s-00000008", "--address", next_door).returncode == 0
+    assert run("ops", "up", "s-00000008", "--address", new_address).returncode == 0
     assert new.end() == 0
 
 
