--- a/olivecourse/modelcheck/explorer.py
+++ b/olivecourse/modelcheck/explorer.py
@@ -10,15 +10,15 @@
 from random import Random
 from typing import Generic, Protocol, TypeVar
 
-S = TypeVar("S", bound="State")
+StateT = TypeVar("StateT", bound="State")
 
 
 class State(Protocol):
-    def moves(self: S) -> Iterator[tuple[str, Callable[[], S]]]:
+    def moves(self: StateT) -> Iterator[tuple[str, Callable[[], StateT]]]:
         """Every step that may come next, in words, and what makes the state after it."""
         ...
 
-    def broken(self) -> str:
+    def violation(self) -> str:
         """The invariant that does not hold here, or nothing."""
         ...
 
@@ -28,61 +28,63 @@
 
 
 @dataclass
-class Found(Generic[S]):
+class SearchResult(Generic[StateT]):
     """`states` told apart; `whole` if none was left out; `trace` to the first broken one."""
 
     states: int
-    whole: bool
-    broken: str = ""
+    complete: bool
+    violation: str = ""
     trace: tuple[str, ...] = ()
 
 
-def explore(start: S, most: int, seconds: float = 1e9) -> Found[S]:
+def explore(start: StateT, max_states: int, seconds: float = 1e9) -> SearchResult[StateT]:
     """Breadth first, at most so many states and seconds."""
-    end = time.monotonic() + seconds
-    before: dict[Hashable, tuple[Hashable, str] | None] = {start.key(): None}
-    queue: deque[S] = deque([start])
+    deadline = time.monotonic() + seconds
+    predecessors: dict[Hashable, tuple[Hashable, str] | None] = {start.key(): None}
+    queue: deque[StateT] = deque([start])
     while queue:
         state = queue.popleft()
-        mine = state.key()
-        for words, make in state.moves():
-            after = make()
+        parent_key = state.key()
+        for label, successor in state.moves():
+            after = successor()
             key = after.key()
-            if key in before:
+            if key in predecessors:
                 continue
-            before[key] = (mine, words)
-            if broken := after.broken():
-                return Found(len(before), False, broken, _trace(before, key))
+            predecessors[key] = (parent_key, label)
+            if violation := after.violation():
+                return SearchResult(len(predecessors), False, violation, _trace(predecessors, key))
             queue.append(after)
-        if len(before) >= most or time.monotonic() > end:
-            return Found(len(before), False)
-    return Found(len(before), True)
+        if len(predecessors) >= max_states or time.monotonic() > deadline:
+            return SearchResult(len(predecessors), False)
+    return SearchResult(len(predecessors), True)
 
 
-def _trace(before: dict[Hashable, tuple[Hashable, str] | None], key: Hashable) -> tuple[str, ...]:
+def _trace(predecessors: dict[Hashable, tuple[Hashable, str] | None], key: Hashable) -> tuple[str, ...]:
     steps: list[str] = []
-    while (came := before[key]) is not None:
-        key = came[0]
-        steps.append(came[1])
+    while (previous := predecessors[key]) is not None:
+        key = previous[0]
+        steps.append(previous[1])
     return tuple(reversed(steps))
 
 
-def walk(start: S, walks: int, depth: int, seed: int, seconds: float = 1e9) -> Found[S]:
+def random_walks(
+    start: StateT, walks: int, depth: int, seed: int, seconds: float = 1e9
+) -> SearchResult[StateT]:
     """Seeded random walks: deeper than all interleavings can go, and never whole."""
-    end, random = time.monotonic() + seconds, Random(seed)
-    seen = set[Hashable]()
+    deadline, random = time.monotonic() + seconds, Random(seed)
+    seen_hashes = set[Hashable]()
     for _ in range(walks):
         state, steps = start, list[str]()
         for _ in range(depth):
             moves = list(state.moves())
             if not moves:
                 break
-            words, make = random.choice(moves)
-            state = make()
-            steps.append(words)
-            seen.add(hash(state.key()))
-            if broken := state.broken():
-                return Found(len(seen), False, broken, tuple(steps))
-        if time.monotonic() > end:
+            label, successor = random.choice(moves)
+            state = successor()
+            steps.append(label)
+            seen_hashes.add(hash(state.key()))
+            if violation := state.violation():
+                return SearchResult(len(seen_hashes), False, violation, tuple(steps))
+        if time.monotonic() > deadline:
             break
-    return Found(len(seen), False)
+    return SearchResult(len(seen_hashes), False)
--- a/olivecourse/modelcheck/places.py
+++ b/olivecourse/modelcheck/places.py
@@ -18,13 +18,13 @@
 
 import msgspec
 
-from olivecourse.modelcheck.explorer import Found, explore, walk
+from olivecourse.modelcheck.explorer import SearchResult, explore, random_walks
 from olivecourse.rollout import places, releases
 from olivecourse.rollout.budgets import Budget, Group
-from olivecourse.rollout.member import fenced
-from olivecourse.rollout.places import Act, Answer, Op, Said, View, Why
-from olivecourse.rollout.register import Ballot, Learn, Register, Round, Slot, Step
-from olivecourse.rollout.releases import Heard, Plan, Release, Say, State, Word
+from olivecourse.rollout.member import is_fenced
+from olivecourse.rollout.places import Answer, LeaseAction, LeaseOperation, Outcome, View, Why
+from olivecourse.rollout.register import Ballot, BallotRound, Learn, QuorumRegisters, Slot, Step
+from olivecourse.rollout.releases import Command, CommandReply, CommandRequest, Plan, Release, State
 
 KEY = "gateways"
 ITEMS = (0, 1)  # each is the gateway of that number, which asks for itself
@@ -39,7 +39,7 @@
 RUNNING = Release(2, State.RUNNING, 1, 0, 0, "", Plan("v2", "v1", (100,)))
 
 
-class Still(Random):
+class NoDelays(Random):
     """Waits are not modelled."""
 
     def random(self) -> float:
@@ -60,16 +60,16 @@
         reclaims: int = 1,
         asks: int = 1,
         granted: bool = False,
-        weak: tuple[int, ...] = (0, 1, 2),
+        crashable: tuple[int, ...] = (0, 1, 2),
     ) -> None:
         """`weak`: the members that may crash; `granted`: the first item has its place already."""
         self.why, self.halts, self.fault = why, halts, fault
-        self.left = {"crash": crashes, "twice": twice, "end": ends, "reclaim": reclaims, "ask": asks}
+        self.remaining = {"crash": crashes, "twice": twice, "end": ends, "reclaim": reclaims, "ask": asks}
         release = {releases.KEY: Slot(value=releases.encode(RUNNING))}
-        self.weak = weak
+        self.crashable = crashable
         if granted:
-            given = places.Table(1, 2, (places.Place(0, 0, 1, places.Phase.GRANTED, why, 0),))
-            release[KEY] = Slot(Ballot(1, 0), Ballot(1, 0), places.encode(given))
+            table = places.Table(1, 2, (places.Lease(0, 0, 1, places.Phase.GRANTED, why, 0),))
+            release[KEY] = Slot(Ballot(1, 0), Ballot(1, 0), places.encode(table))
         self.disks: list[dict[str, Slot]] = [dict(release) for _ in range(3)]
         self.nodes = [self._boot(n) for n in range(3)]
         self.net: tuple[tuple[int, int, Any], ...] = ()
@@ -77,81 +77,100 @@
         self.token = dict.fromkeys(ITEMS, 0)
         if granted:
             self.stage[0], self.token[0] = "granted", 1
-        self.given: dict[int, int] = {}  # by token: to which item
-        self.double = False
+        self.granted_items: dict[int, int] = {}  # by token: to which item
+        self.token_reused = False
         self.halt = "" if halts else "never"  # asked, acknowledged
-        self.late = False  # went out on a yes that was asked for after the halt was acknowledged
-        self.after: frozenset[int] = frozenset()  # items whose ask began after it
+        self.started_after_halt = (
+            False  # went out on a yes that was asked for after the halt was acknowledged
+        )
+        self.asked_after_halt: frozenset[int] = frozenset()  # items whose ask began after it
         self.handles: dict[tuple[int, int], str] = {}
         self.count = 0
 
     # Members ------------------------------------------------------------------------------------------
 
-    def _boot(self, number: int) -> Register:
-        made = Register(number, (0, 1, 2), self.disks[number], self._judge, Still(), lambda key, value: False)
-        for key, slot in made.slots.items():
+    def _boot(self, number: int) -> QuorumRegisters:
+        register = QuorumRegisters(
+            number,
+            (0, 1, 2),
+            self.disks[number],
+            self._apply_operations,
+            NoDelays(),
+            lambda key, value: False,
+        )
+        for key, slot in register.slots.items():
             if slot.value:
-                made.learn(Learn(key, slot.accepted, slot.value))
-        return made
+                register.learn(Learn(key, slot.accepted, slot.value))
+        return register
 
-    def _bind(self, node: Register) -> None:
+    def _bind(self, node: QuorumRegisters) -> None:
         """A copied member decides by its own slots."""
-        node._judge = lambda key, value, ops, out: self._judged(node, key, value, ops)
-        node._fence = lambda key, value: fenced(node.slots, key, value)
+        node._apply_operations = lambda key, value, ops, out: self._apply_at(node, key, value, ops)
+        node._fence = lambda key, value: is_fenced(node.slots, key, value)
 
-    def _judge(
+    def _apply_operations(
         self, key: str, value: bytes, ops: Sequence[Any], out: frozenset[int]
     ) -> tuple[bytes, list[Any]]:
         raise AssertionError("bound anew before every step")
 
-    def _judged(self, node: Register, key: str, value: bytes, ops: Sequence[Any]) -> tuple[bytes, list[Any]]:
+    def _apply_at(
+        self, node: QuorumRegisters, key: str, value: bytes, ops: Sequence[Any]
+    ) -> tuple[bytes, list[Any]]:
         if key == releases.KEY:
-            after, heard = releases.play(value or releases.encode(RUNNING), ops)
-            return after, list(heard)
+            after, replies = releases.apply_batch(value or releases.encode(RUNNING), ops)
+            return after, list(replies)
         known = node.learned.get(releases.KEY)
         release = releases.decode(known[1]) if known else RUNNING
         view = View(GROUP, frozenset(), release.term, release.halted, lambda holder: True)
         if self.fault == "rollback over budget":
             ops = [msgspec.structs.replace(op, forced=op.why is Why.ROLLBACK) for op in ops]
-        after, said = places.play(value, ops, view)
+        after, answers = places.apply_batch(value, ops, view)
         if self.fault == "no fencing":
-            said = [
-                Answer(Said.DONE, a.token) if op.act is Act.BEGIN else a
-                for op, a in zip(ops, said, strict=True)
+            answers = [
+                Answer(Outcome.DONE, a.token) if op.act is LeaseAction.ACTIVATE else a
+                for op, a in zip(ops, answers, strict=True)
             ]
-        return after, list(said)
+        return after, list(answers)
 
     def _copy(self) -> Model:
-        other = copy(self)
-        other.left, other.stage, other.token = dict(self.left), dict(self.stage), dict(self.token)
-        other.disks, other.handles = [dict(d) for d in self.disks], dict(self.handles)
-        other.given = dict(self.given)
-        other.nodes = [self._copied(n) for n in self.nodes]
-        for node in other.nodes:
-            other._bind(node)
-        return other
+        copied = copy(self)
+        copied.remaining, copied.stage, copied.token = (
+            dict(self.remaining),
+            dict(self.stage),
+            dict(self.token),
+        )
+        copied.disks, copied.handles = [dict(d) for d in self.disks], dict(self.handles)
+        copied.granted_items = dict(self.granted_items)
+        copied.nodes = [self._copy_register(n) for n in self.nodes]
+        for node in copied.nodes:
+            copied._bind(node)
+        return copied
 
     @staticmethod
-    def _copied(node: Register) -> Register:
-        other = copy(node)
-        other.step = Step()
-        other.slots, other.learned, other._seen = dict(node.slots), dict(node.learned), dict(node._seen)
-        other._waiting = {k: list(v) for k, v in node._waiting.items()}
-        other._not_before, other.rounds = dict(node._not_before), {}
-        for key, game in node.rounds.items():
-            other.rounds[key] = Round(
-                game.ballot,
+    def _copy_register(node: QuorumRegisters) -> QuorumRegisters:
+        copied = copy(node)
+        copied.step = Step()
+        copied.slots, copied.learned, copied._highest_counts = (
+            dict(node.slots),
+            dict(node.learned),
+            dict(node._highest_counts),
+        )
+        copied._pending = {k: list(v) for k, v in node._pending.items()}
+        copied._not_before, copied.rounds = dict(node._not_before), {}
+        for key, ballot_round in node.rounds.items():
+            copied.rounds[key] = BallotRound(
+                ballot_round.ballot,
                 0,
                 0,
-                list(game.asks),
-                dict(game.promises),
-                game.value,
-                list(game.answers),
-                set(game.accepted),
+                list(ballot_round.proposals),
+                dict(ballot_round.promises),
+                ballot_round.value,
+                list(ballot_round.answers),
+                set(ballot_round.accepted),
             )
-        return other
+        return copied
 
-    def _after(self, number: int) -> None:
+    def _carry_out(self, number: int) -> None:
         """Carries out a member's step: disk first, then messages, then answers."""
         step = self.nodes[number].taken()
         self.disks[number].update(step.durable)
@@ -162,150 +181,169 @@
         ]
         self.net = tuple(sorted({*self.net, *sends}, key=repr))
         for handle, answer in step.done:
-            self._told(number, self.handles.pop((number, handle), ""), answer)
+            self._on_answer(number, self.handles.pop((number, handle), ""), answer)
 
-    def _told(self, number: int, what: str, answer: Any) -> None:
-        if what == "halt":
-            if isinstance(answer, Heard) and answer.taken:
+    def _on_answer(self, number: int, purpose: str, answer: Any) -> None:
+        if purpose == "halt":
+            if isinstance(answer, CommandReply) and answer.accepted:
                 self.halt = "acknowledged"
-        elif isinstance(answer, Answer) and what in ("take", "begin") and number in self.stage:
-            if self.stage[number] == "asks" and what == "take":
-                self.stage[number] = "granted" if answer.said is Said.DONE else "in"
+        elif isinstance(answer, Answer) and purpose in ("take", "begin") and number in self.stage:
+            if self.stage[number] == "asks" and purpose == "take":
+                self.stage[number] = "granted" if answer.outcome is Outcome.DONE else "in"
                 self.token[number] = answer.token
-                if answer.said is Said.DONE:
-                    self.double = self.double or self.given.setdefault(answer.token, number) != number
-            elif self.stage[number] == "begins" and what == "begin":
-                self.stage[number] = "yes" if answer.said is Said.DONE else "in"
+                if answer.outcome is Outcome.DONE:
+                    self.token_reused = (
+                        self.token_reused or self.granted_items.setdefault(answer.token, number) != number
+                    )
+            elif self.stage[number] == "begins" and purpose == "begin":
+                self.stage[number] = "yes" if answer.outcome is Outcome.DONE else "in"
 
-    def _propose(self, number: int, key: str, what: str, op: Any) -> None:
+    def _propose(self, number: int, key: str, purpose: str, op: Any) -> None:
         self.count += 1
-        self.handles[(number, self.count)] = what
+        self.handles[(number, self.count)] = purpose
         self.nodes[number].propose(key, self.count, op, 0)
-        self._after(number)
+        self._carry_out(number)
 
     # Moves --------------------------------------------------------------------------------------------
 
     def moves(self) -> Iterator[tuple[str, Callable[[], Model]]]:
         for i, (source, target, message) in enumerate(self.net):
-            words = f"{type(message).__name__} {getattr(message, 'key', '')} {source}>{target}"
-            yield words, partial(self._delivered, i)
-            if self.left["twice"]:
-                yield words + " twice", partial(self._delivered, i, True)
+            label = f"{type(message).__name__} {getattr(message, 'key', '')} {source}>{target}"
+            yield label, partial(self._after_delivery, i)
+            if self.remaining["twice"]:
+                yield label + " twice", partial(self._after_delivery, i, True)
         for item in ITEMS:
             stage = self.stage[item]
-            if stage == "in" and (self.left["ask"] or not self.token[item]):
-                yield f"{item} asks", partial(self._asks, item)
+            if stage == "in" and (self.remaining["ask"] or not self.token[item]):
+                yield f"{item} asks", partial(self._after_request, item)
             elif stage == "granted":
-                yield f"{item} begins", partial(self._begins, item)
+                yield f"{item} begins", partial(self._after_activation_request, item)
             elif stage == "yes":
-                yield f"{item} goes out", partial(self._goes, item)
-            elif stage == "out" and self.left["ask"]:
-                yield f"{item} is back", partial(self._gives, item)
-            if stage in ("granted", "begins") and self.left["reclaim"]:
-                yield f"2 reclaims {item}", partial(self._reclaims, item)
+                yield f"{item} goes out", partial(self._after_going_out, item)
+            elif stage == "out" and self.remaining["ask"]:
+                yield f"{item} is back", partial(self._after_return, item)
+            if stage in ("granted", "begins") and self.remaining["reclaim"]:
+                yield f"2 reclaims {item}", partial(self._after_reclaim, item)
         for number in range(3):
-            if self.left["crash"] and number in self.weak:
-                yield f"crash {number}", partial(self._crashed, number)
-            if self.left["end"] and self.nodes[number].rounds:
-                yield f"ballot of {number} ends", partial(self._ended, number)
+            if self.remaining["crash"] and number in self.crashable:
+                yield f"crash {number}", partial(self._after_crash, number)
+            if self.remaining["end"] and self.nodes[number].rounds:
+                yield f"ballot of {number} ends", partial(self._after_abandoned_ballot, number)
         if not self.halt:
-            yield "2 halts", self._halted
+            yield "2 halts", self._after_halt_request
 
-    def _asks(self, item: int) -> Model:
-        m = self._copy()
-        m.left["ask"] -= bool(self.token[item])
-        m.stage[item], m.token[item] = "asks", -1
+    def _after_request(self, item: int) -> Model:
+        successor = self._copy()
+        successor.remaining["ask"] -= bool(self.token[item])
+        successor.stage[item], successor.token[item] = "asks", -1
         if self.halt == "acknowledged":
-            m.after |= {item}
-        m._propose(item, KEY, "take", Op(Act.TAKE, item, item, why=self.why, rterm=2))
-        return m
+            successor.asked_after_halt |= {item}
+        successor._propose(
+            item, KEY, "take", LeaseOperation(LeaseAction.ACQUIRE, item, item, why=self.why, release_term=2)
+        )
+        return successor
 
-    def _begins(self, item: int) -> Model:
-        m = self._copy()
+    def _after_activation_request(self, item: int) -> Model:
+        successor = self._copy()
         if self.fault == FAULTS[2]:
-            m.stage[item] = "out"
-            return m
-        m.stage[item] = "begins"
+            successor.stage[item] = "out"
+            return successor
+        successor.stage[item] = "begins"
         if self.halt == "acknowledged":
-            m.after |= {item}
-        m._propose(item, KEY, "begin", Op(Act.BEGIN, item, item, self.token[item], self.why, rterm=2))
-        return m
-
-    def _goes(self, item: int) -> Model:
-        m = self._copy()
-        m.stage[item] = "out"
-        m.late = m.late or (item in self.after and self.why is Why.RELEASE)
-        return m
-
-    def _gives(self, item: int) -> Model:
-        m = self._copy()
-        m.left["ask"] -= 1
-        m.stage[item] = "back"
-        m._propose(item, KEY, "give", Op(Act.GIVE, item, item, self.token[item], self.why))
-        return m
-
-    def _reclaims(self, item: int) -> Model:
-        m = self._copy()
-        m.left["reclaim"] -= 1
-        m._propose(2, KEY, "reclaim", Op(Act.RECLAIM, item, item, max(self.token[item], 1)))
-        return m
-
-    def _halted(self) -> Model:
-        m = self._copy()
-        m.halt = "asked"
-        m._propose(2, releases.KEY, "halt", Say(Word.HALT, 2, 2))
-        return m
-
-    def _delivered(self, i: int, again: bool = False) -> Model:
-        m = self._copy()
-        source, target, message = m.net[i]
-        if again:
-            m.left["twice"] -= 1
+            successor.asked_after_halt |= {item}
+        successor._propose(
+            item,
+            KEY,
+            "begin",
+            LeaseOperation(LeaseAction.ACTIVATE, item, item, self.token[item], self.why, release_term=2),
+        )
+        return successor
+
+    def _after_going_out(self, item: int) -> Model:
+        successor = self._copy()
+        successor.stage[item] = "out"
+        successor.started_after_halt = successor.started_after_halt or (
+            item in self.asked_after_halt and self.why is Why.RELEASE
+        )
+        return successor
+
+    def _after_return(self, item: int) -> Model:
+        successor = self._copy()
+        successor.remaining["ask"] -= 1
+        successor.stage[item] = "back"
+        successor._propose(
+            item, KEY, "give", LeaseOperation(LeaseAction.FREE, item, item, self.token[item], self.why)
+        )
+        return successor
+
+    def _after_reclaim(self, item: int) -> Model:
+        successor = self._copy()
+        successor.remaining["reclaim"] -= 1
+        successor._propose(
+            2, KEY, "reclaim", LeaseOperation(LeaseAction.RECLAIM, item, item, max(self.token[item], 1))
+        )
+        return successor
+
+    def _after_halt_request(self) -> Model:
+        successor = self._copy()
+        successor.halt = "asked"
+        successor._propose(2, releases.KEY, "halt", CommandRequest(Command.HALT, 2, 2))
+        return successor
+
+    def _after_delivery(self, i: int, duplicate: bool = False) -> Model:
+        successor = self._copy()
+        source, target, message = successor.net[i]
+        if duplicate:
+            successor.remaining["twice"] -= 1
         else:
-            m.net = m.net[:i] + m.net[i + 1 :]
-        m.nodes[target].heard(source, message, 0)
-        m._after(target)
-        return m
+            successor.net = successor.net[:i] + successor.net[i + 1 :]
+        successor.nodes[target].heard(source, message, 0)
+        successor._carry_out(target)
+        return successor
 
-    def _crashed(self, number: int) -> Model:
+    def _after_crash(self, number: int) -> Model:
         """The process ends, and a new one starts from its disk; its holder's hopes go with it."""
-        m = self._copy()
-        m.left["crash"] -= 1
+        successor = self._copy()
+        successor.remaining["crash"] -= 1
         if self.fault == FAULTS[1]:
-            m.disks[number] = {k: Slot(s.accepted, s.accepted, s.value) for k, s in m.disks[number].items()}
+            successor.disks[number] = {
+                k: Slot(s.accepted, s.accepted, s.value) for k, s in successor.disks[number].items()
+            }
         if self.fault == FAULTS[3]:
-            m.disks[number][releases.KEY] = Slot(value=releases.encode(RUNNING))
-        m.nodes[number] = m._boot(number)
-        m._bind(m.nodes[number])
-        m.handles = {k: v for k, v in m.handles.items() if k[0] != number}
-        if number in m.stage and m.stage[number] != "out":
-            m.stage[number], m.token[number] = "in", max(m.token[number], 1)
+            successor.disks[number][releases.KEY] = Slot(value=releases.encode(RUNNING))
+        successor.nodes[number] = successor._boot(number)
+        successor._bind(successor.nodes[number])
+        successor.handles = {k: v for k, v in successor.handles.items() if k[0] != number}
+        if number in successor.stage and successor.stage[number] != "out":
+            successor.stage[number], successor.token[number] = "in", max(successor.token[number], 1)
         if self.halt == "asked" and number == 2:
-            m.halt = "never"
-        return m
-
-    def _ended(self, number: int) -> Model:
-        m = self._copy()
-        m.left["end"] -= 1
-        node = m.nodes[number]
-        for key, game in list(node.rounds.items()):
-            node._abandon(key, game, 0)
+            successor.halt = "never"
+        return successor
+
+    def _after_abandoned_ballot(self, number: int) -> Model:
+        successor = self._copy()
+        successor.remaining["end"] -= 1
+        node = successor.nodes[number]
+        for key, ballot_round in list(node.rounds.items()):
+            node._abandon(key, ballot_round, 0)
             node._start(key, 0)
-        m._after(number)
-        return m
+        successor._carry_out(number)
+        return successor
 
     # What must hold -----------------------------------------------------------------------------------
 
-    def broken(self) -> str:
+    def violation(self) -> str:
         if sum(stage == "out" for stage in self.stage.values()) > GROUP.budget.number:
             return "over budget"
-        if self.double:
+        if self.token_reused:
             return "one token given twice"
-        if self.late:
+        if self.started_after_halt:
             return "went out for a release after its halt was acknowledged"
         if self.halt == "acknowledged":
-            know = sum(releases.decode(d[releases.KEY].value).state is State.HALTED for d in self.disks)
-            if know < 2:
+            halted_disks = sum(
+                releases.decode(d[releases.KEY].value).state is State.HALTED for d in self.disks
+            )
+            if halted_disks < 2:
                 return "an acknowledged halt is not with a majority"
         return ""
 
@@ -313,7 +351,7 @@
         nodes = tuple(
             (
                 tuple(sorted(n.slots.items())),
-                tuple(sorted(n._seen.items())),
+                tuple(sorted(n._highest_counts.items())),
                 tuple(sorted((k, b, v) for k, (b, v) in n.learned.items())),
                 tuple(
                     (
@@ -322,11 +360,11 @@
                         tuple(sorted(g.promises.items(), key=repr)),
                         g.value,
                         sorted(g.accepted),
-                        tuple(repr(a[1]) for a in g.asks),
+                        tuple(repr(a[1]) for a in g.proposals),
                     )
                     for k, g in sorted(n.rounds.items())
                 ),
-                tuple((k, tuple(repr(a[1]) for a in w)) for k, w in sorted(n._waiting.items()) if w),
+                tuple((k, tuple(repr(a[1]) for a in w)) for k, w in sorted(n._pending.items()) if w),
             )
             for n in self.nodes
         )
@@ -335,53 +373,55 @@
                 (
                     nodes,
                     self.net,
-                    sorted(self.left.items()),
+                    sorted(self.remaining.items()),
                     sorted(self.stage.items()),
                     sorted(self.token.items()),
                     self.halt,
-                    self.late,
-                    self.double,
-                    sorted(self.after),
-                    sorted(self.given.items()),
+                    self.started_after_halt,
+                    self.token_reused,
+                    sorted(self.asked_after_halt),
+                    sorted(self.granted_items.items()),
                 )
             )
         )
 
 
-NARROW: dict[str, dict[str, Any]] = {
+NARROW_BOUNDS: dict[str, dict[str, Any]] = {
     FAULTS[0]: {"granted": True, "crashes": 0, "ends": 0, "asks": 0},
-    FAULTS[1]: {"weak": (2,), "ends": 0, "reclaims": 0, "asks": 0},
+    FAULTS[1]: {"crashable": (2,), "ends": 0, "reclaims": 0, "asks": 0},
     FAULTS[2]: {"granted": True, "crashes": 0, "ends": 0, "asks": 0},
     FAULTS[3]: {"halts": True, "why": Why.RELEASE, "ends": 0, "reclaims": 0, "asks": 0},
     FAULTS[4]: {"why": Why.ROLLBACK, "crashes": 0, "ends": 0, "reclaims": 0, "asks": 0},
 }
-WIDE: dict[str, Any] = {"crashes": 2, "twice": 2, "ends": 3, "reclaims": 2, "asks": 3}
+WIDE_BOUNDS: dict[str, Any] = {"crashes": 2, "twice": 2, "ends": 3, "reclaims": 2, "asks": 3}
 
 
-def hunt(fault: str, seed: int = 1, seconds: float = 20.0) -> Found[Model]:
+def find_planted_fault(fault: str, seed: int = 1, seconds: float = 20.0) -> SearchResult[Model]:
     """Looks for a planted fault within narrow bounds in which it can show."""
-    return walk(Model(fault=fault, **NARROW[fault]), 1_000_000, 40, seed, seconds)
+    return random_walks(Model(fault=fault, **NARROW_BOUNDS[fault]), 1_000_000, 40, seed, seconds)
 
 
 def check_all(short: bool = True, seed: int = 1) -> dict[str, int]:
     """States told apart without a fault, and how many of the planted ones were found, each within bounds in
     which the code without it is checked too. Raises AssertionError with the trace of what was not planted."""
-    most, seconds = (600, 0.5) if short else (60_000, 25.0)
-    wide: tuple[dict[str, Any], ...] = ({}, {"why": Why.RELEASE, "halts": True}, {"why": Why.ROLLBACK})
+    max_states, seconds = (600, 0.5) if short else (60_000, 25.0)
+    scenarios: tuple[dict[str, Any], ...] = ({}, {"why": Why.RELEASE, "halts": True}, {"why": Why.ROLLBACK})
     states = 0
-    for bounds in NARROW.values():
-        states += _clean(explore(Model(**bounds), most, seconds))
-        states += _clean(walk(Model(**bounds), most, 60, seed, seconds))
-    for more in wide:
-        states += _clean(walk(Model(**{**WIDE, **more}), most, 80, seed, seconds))
-    hunted = [hunt(fault, seed, 20.0 if short else 60.0) for fault in FAULTS]
+    for bounds in NARROW_BOUNDS.values():
+        states += _require_no_violation(explore(Model(**bounds), max_states, seconds))
+        states += _require_no_violation(random_walks(Model(**bounds), max_states, 60, seed, seconds))
+    for overrides in scenarios:
+        states += _require_no_violation(
+            random_walks(Model(**{**WIDE_BOUNDS, **overrides}), max_states, 80, seed, seconds)
+        )
+    searches = [find_planted_fault(fault, seed, 20.0 if short else 60.0) for fault in FAULTS]
     return {
         "model_states": states,
         "planted": len(FAULTS),
-        "planted_found": sum(bool(found.broken) for found in hunted),
+        "planted_found": sum(bool(found.violation) for found in searches),
     }
 
 
-def _clean(found: Found[Model]) -> int:
-    assert not found.broken, (found.broken, found.trace)
+def _require_no_violation(found: SearchResult[Model]) -> int:
+    assert not found.violation, (found.violation, found.trace)
     return found.states
--- a/olivecourse/rollout/agent.py
+++ b/olivecourse/rollout/agent.py
@@ -16,16 +16,16 @@
 from typing import Protocol
 
 from olivecourse.rollout import releases
-from olivecourse.rollout.places import Act, Answer, Op, Phase, Place, Said, Table, Why
-from olivecourse.rollout.releases import Heard, Release, Say, State
+from olivecourse.rollout.places import Answer, Lease, LeaseAction, LeaseOperation, Outcome, Phase, Table, Why
+from olivecourse.rollout.releases import CommandReply, CommandRequest, Release, State
 
 MS, S = 1_000_000, 1_000_000_000
-ACT_NS = 1 * S  # as long as a yes to the beginning is good for
-AGAIN_NS = 500 * MS  # between two asks of one that waits, is refused, or is not warm yet
-SPREAD_NS = 300 * MS  # by which gateways' asks for a release are spread
+ACTIVATION_VALID_NS = 1 * S  # as long as a yes to the beginning is good for
+RETRY_NS = 500 * MS  # between two asks of one that waits, is refused, or is not warm yet
+RELEASE_JITTER_NS = 300 * MS  # by which gateways' asks for a release are spread
 
 
-class Asker(Protocol):
+class AgreementClient(Protocol):
     """The member, as the agent needs it."""
 
     version: str
@@ -40,7 +40,7 @@
 
     def tables(self) -> dict[str, Table]: ...
 
-    def ask(self, key: str, what: Op | Say, now: int) -> int: ...
+    def submit(self, key: str, operation: LeaseOperation | CommandRequest, now: int) -> int: ...
 
 
 class Stage(Enum):
@@ -61,13 +61,13 @@
     forced: bool = False
     stage: Stage = Stage.WANTED
     token: int = 0
-    wakes: int = 0
+    next_attempt_at: int = 0
     handle: int = 0
-    asked: int = 0
-    act: Act = Act.TAKE
-    said: str = ""
-    begun: bool = False  # asked to begin, and told yes in time
-    rterm: int = 0
+    requested_at: int = 0
+    action: LeaseAction = LeaseAction.ACQUIRE
+    status_text: str = ""
+    activation_confirmed: bool = False  # asked to begin, and told yes in time
+    release_term: int = 0
 
 
 class Agent:
@@ -79,18 +79,18 @@
         me: int,
         key: str,
         fleet: tuple[int, ...],
-        member: Asker,
+        member: AgreementClient,
         random: Random,
-        go: Callable[[int], None],
-        come: Callable[[int], None],
+        take_out: Callable[[int], None],
+        bring_back: Callable[[int], None],
         now: int,
-        lease_alone: bool = False,
+        skip_activation: bool = False,
     ) -> None:
         """`lease_alone`: acts on a grant without asking to begin, to show what that does."""
         self.me, self.key, self._fleet, self._member, self._random = me, key, fleet, member, random
-        self._go, self._come, self._lease_alone = go, come, lease_alone
+        self._take_out, self._bring_back, self._skip_activation = take_out, bring_back, skip_activation
         self.works: dict[int, Work] = {}
-        self._next_own = self._next_look = now
+        self._next_own_request_at = self._next_orphan_check_at = now
 
     # What operators want ------------------------------------------------------------------------------
 
@@ -98,7 +98,9 @@
         """A place for an item; the same item twice is one work."""
         work = self.works.get(item)
         if work is None or work.stage is Stage.BACK:
-            work = self.works[item] = Work(key, item, why, forced, wakes=now, rterm=self._member.release.term)
+            work = self.works[item] = Work(
+                key, item, why, forced, next_attempt_at=now, release_term=self._member.release.term
+            )
         work.forced = work.forced or forced
         return work
 
@@ -106,124 +108,139 @@
         """The work on it is done, or it is not wanted out any more; whether there was a place or a wish."""
         work = self.works.get(item)
         if work is None:
-            place = self._member.table(key).of(item)
-            if place is None:
+            lease = self._member.table(key).lease_of(item)
+            if lease is None:
                 return False
-            work = self.works[item] = self._adopted(key, place)
+            work = self.works[item] = self._adopt(key, lease)
         if work.stage is Stage.OUT:
-            work.stage, work.wakes, work.handle = Stage.BACK, now, 0
-            self._come(item)
+            work.stage, work.next_attempt_at, work.handle = Stage.BACK, now, 0
+            self._bring_back(item)
         elif work.stage is not Stage.BACK:
             self._forget(work, now)
         return True
 
-    def _adopted(self, key: str, place: Place) -> Work:
-        stage = {Phase.GRANTED: Stage.GRANTED, Phase.OUT: Stage.OUT, Phase.BACK: Stage.BACK}[place.phase]
-        return Work(key, place.item, place.why, stage=stage, token=place.token)
+    def _adopt(self, key: str, lease: Lease) -> Work:
+        stage = {Phase.GRANTED: Stage.GRANTED, Phase.OUT: Stage.OUT, Phase.BACK: Stage.BACK}[lease.phase]
+        return Work(key, lease.item, lease.why, stage=stage, token=lease.token)
 
     def _forget(self, work: Work, now: int) -> None:
         self.works.pop(work.item, None)
-        self._member.ask(work.key, Op(Act.DROP, work.item, self.me, work.token), now)
+        self._member.submit(work.key, LeaseOperation(LeaseAction.CANCEL, work.item, self.me, work.token), now)
 
     # Time and answers ---------------------------------------------------------------------------------
 
     def tick(self, now: int) -> None:
-        self._own(now)
-        if now >= self._next_look:
-            self._next_look = now + AGAIN_NS
-            self._orphans(now)
+        self._tick_own_item(now)
+        if now >= self._next_orphan_check_at:
+            self._next_orphan_check_at = now + RETRY_NS
+            self._cancel_orphans(now)
         for work in list(self.works.values()):
-            if not work.handle and now >= work.wakes:
-                self._move(work, now)
+            if not work.handle and now >= work.next_attempt_at:
+                self._advance(work, now)
 
-    def _orphans(self, now: int) -> None:
+    def _cancel_orphans(self, now: int) -> None:
         """Grants and wishes in our name that nobody here wants any more: an answer came too late, or to a
         process before this one."""
         for key, table in self._member.tables().items():
-            unwanted = [p.item for p in table.places if p.phase is Phase.GRANTED and p.holder == self.me]
-            unwanted += [wish.item for wish in table.wishes if wish.holder == self.me]
+            unwanted = [p.item for p in table.leases if p.phase is Phase.GRANTED and p.holder == self.me]
+            unwanted += [queued.item for queued in table.queue if queued.holder == self.me]
             for item in unwanted:
                 if item not in self.works:
-                    self._member.ask(key, Op(Act.DROP, item, self.me), now)
+                    self._member.submit(key, LeaseOperation(LeaseAction.CANCEL, item, self.me), now)
 
-    def _own(self, now: int) -> None:
+    def _tick_own_item(self, now: int) -> None:
         """This gateway itself: a place left over from the process before, and what the release wants."""
         work, release = self.works.get(self.me), self._member.release
         if work is None:
-            left = self._member.table(self.key).of(self.me)
-            if left is not None and left.holder == self.me and left.why is not Why.DRAIN:
-                work = self.works[self.me] = self._adopted(self.key, left)
+            leftover = self._member.table(self.key).lease_of(self.me)
+            if leftover is not None and leftover.holder == self.me and leftover.why is not Why.DRAIN:
+                work = self.works[self.me] = self._adopt(self.key, leftover)
                 if work.stage is Stage.GRANTED:  # of a process that ended before it went
                     self._forget(work, now)
                 else:
                     work.stage = Stage.BACK
                 return
-        may = releases.may_go(release, self._fleet, self.me, self._member.version) and not self._member.halted
-        if work is None and may:
-            if now >= self._next_own:
+        allowed = (
+            releases.may_go(release, self._fleet, self.me, self._member.version) and not self._member.halted
+        )
+        if work is None and allowed:
+            if now >= self._next_own_request_at:
                 why = Why.ROLLBACK if release.state is State.ROLLING_BACK else Why.RELEASE
                 work = self.want(self.key, self.me, why, now)
-                work.wakes = now + int(SPREAD_NS * self._random.random())
-        elif work is not None and work.why is not Why.DRAIN and work.stage is not Stage.BACK and not may:
+                work.next_attempt_at = now + int(RELEASE_JITTER_NS * self._random.random())
+        elif work is not None and work.why is not Why.DRAIN and work.stage is not Stage.BACK and not allowed:
             # Halted, or not wanted any more, and not replaced yet: it stays in, or comes back as it is.
-            self._next_own = now + AGAIN_NS
+            self._next_own_request_at = now + RETRY_NS
             self.release_item(self.key, self.me, now)
 
-    def _move(self, work: Work, now: int) -> None:
+    def _advance(self, work: Work, now: int) -> None:
         if work.stage is Stage.WANTED:
-            self._ask(work, Act.TAKE, now)
+            self._submit(work, LeaseAction.ACQUIRE, now)
         elif work.stage is Stage.GRANTED:
-            if self._lease_alone:
-                work.stage, work.begun = Stage.OUT, True
-                self._go(work.item)
+            if self._skip_activation:
+                work.stage, work.activation_confirmed = Stage.OUT, True
+                self._take_out(work.item)
             else:
-                self._ask(work, Act.BEGIN, now)
+                self._submit(work, LeaseAction.ACTIVATE, now)
         elif work.stage is Stage.BACK:
-            self._ask(work, Act.GIVE if work.act in (Act.RETURN, Act.GIVE) else Act.RETURN, now)
-
-    def _ask(self, work: Work, act: Act, now: int) -> None:
-        work.act, work.asked = act, now
-        operation = Op(act, work.item, self.me, work.token, work.why, work.forced, work.rterm, now // S)
-        work.handle = self._member.ask(work.key, operation, now)
+            self._submit(
+                work,
+                LeaseAction.FREE
+                if work.action in (LeaseAction.RESTORE, LeaseAction.FREE)
+                else LeaseAction.RESTORE,
+                now,
+            )
+
+    def _submit(self, work: Work, action: LeaseAction, now: int) -> None:
+        work.action, work.requested_at = action, now
+        operation = LeaseOperation(
+            action, work.item, self.me, work.token, work.why, work.forced, work.release_term, now // S
+        )
+        work.handle = self._member.submit(work.key, operation, now)
 
-    def told(self, handle: int, answer: Answer | Heard | None, now: int) -> bool:
+    def told(self, handle: int, answer: Answer | CommandReply | None, now: int) -> bool:
         """Whether the answer was for one of these."""
         work = next((w for w in self.works.values() if w.handle == handle), None)
         if work is None:
             return False
-        work.handle, work.wakes = 0, now + AGAIN_NS
+        work.handle, work.next_attempt_at = 0, now + RETRY_NS
         if not isinstance(answer, Answer):
-            work.said = "no majority answered"
+            work.status_text = "no majority answered"
             return True
-        work.said = (
+        work.status_text = (
             answer.reason
-            if answer.said is not Said.QUEUED
+            if answer.outcome is not Outcome.QUEUED
             else (f"waits, {answer.ahead} before it: {answer.reason}")
         )
-        if work.act is Act.TAKE and answer.said is Said.DONE:
-            work.stage, work.token, work.wakes = Stage.GRANTED, answer.token, now
-        elif work.act is Act.BEGIN and work.stage is Stage.GRANTED:
-            self._begun(work, answer, now)
-        elif work.act is Act.RETURN:
-            if answer.said is Said.FENCED:
+        if work.action is LeaseAction.ACQUIRE and answer.outcome is Outcome.DONE:
+            work.stage, work.token, work.next_attempt_at = Stage.GRANTED, answer.token, now
+        elif work.action is LeaseAction.ACTIVATE and work.stage is Stage.GRANTED:
+            self._on_activation_reply(work, answer, now)
+        elif work.action is LeaseAction.RESTORE:
+            if answer.outcome is Outcome.FENCED:
                 del self.works[work.item]
-        elif work.act is Act.GIVE and answer.said in (Said.DONE, Said.FENCED):
+        elif work.action is LeaseAction.FREE and answer.outcome in (Outcome.DONE, Outcome.FENCED):
             del self.works[work.item]
         return True
 
-    def _begun(self, work: Work, answer: Answer, now: int) -> None:
-        if answer.said is not Said.DONE:  # fenced, halted, or another died meanwhile: from the start
+    def _on_activation_reply(self, work: Work, answer: Answer, now: int) -> None:
+        if answer.outcome is not Outcome.DONE:  # fenced, halted, or another died meanwhile: from the start
             work.stage, work.token = Stage.WANTED, 0
-        elif now - work.asked > ACT_NS:
-            work.wakes = now  # the yes is old: it may have been for a life before a standstill
+        elif now - work.requested_at > ACTIVATION_VALID_NS:
+            work.next_attempt_at = now  # the yes is old: it may have been for a life before a standstill
         else:
-            work.stage, work.begun = Stage.OUT, True
-            self._go(work.item)
+            work.stage, work.activation_confirmed = Stage.OUT, True
+            self._take_out(work.item)
 
     @property
     def replaceable(self) -> str:
         """The version that may take this process's place now; empty while none may."""
         work = self.works.get(self.me)
-        if work is None or work.stage is not Stage.OUT or not work.begun or work.why is Why.DRAIN:
+        if (
+            work is None
+            or work.stage is not Stage.OUT
+            or not work.activation_confirmed
+            or work.why is Why.DRAIN
+        ):
             return ""
         return "" if self._member.halted else self._member.release.version
--- a/olivecourse/rollout/budgets.py
+++ b/olivecourse/rollout/budgets.py
@@ -9,7 +9,7 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass
 
-SLACK = 1e-9  # shares are products of floats
+SHARE_TOLERANCE = 1e-9  # shares are products of floats
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
     capacity: Mapping[int, float]
     budget: Budget
 
-    def room(self, out: Collection[int], item: int, forced: bool = False) -> str:
+    def denial_reason(self, out: Collection[int], item: int, forced: bool = False) -> str:
         """Why `item` may not go out beside those in `out`; empty if it may. What is out and no longer listed
         counts by number. `forced`, by an operator in need, passes the budget but never takes the last one."""
         if item not in self.capacity:
@@ -42,10 +42,12 @@
             return f"{len(after) - 1} of {self.budget.number} out already"
         total = sum(self.capacity.values())
         share = sum(self.capacity.get(name, 0.0) for name in after) / total if total else 1.0
-        if len(after) > 1 and share > self.budget.share + SLACK:  # a single one must always be possible
+        if (
+            len(after) > 1 and share > self.budget.share + SHARE_TOLERANCE
+        ):  # a single one must always be possible
             return f"{share:.0%} of the capacity would be out, {self.budget.share:.0%} may be"
         return ""
 
-    def overspent(self, out: Collection[int]) -> bool:
+    def over_budget(self, out: Collection[int]) -> bool:
         """Whether more is out than may be, as after a death beside a drain: nothing more is granted then."""
         return len(out) > self.budget.number
--- a/olivecourse/rollout/commands.py
+++ b/olivecourse/rollout/commands.py
@@ -14,9 +14,9 @@
 
 from olivecourse.config.address import parse_address
 
-PATIENCE_S = 5.0  # the door owes its answer within one second
-TICKET_S = 6.0  # a word that no majority has answered by then may still come true: look at the status
-LOOK_S = 0.2
+REQUEST_TIMEOUT_S = 5.0  # the door owes its answer within one second
+TICKET_TIMEOUT_S = 6.0  # a word that no majority has answered by then may still come true: look at the status
+POLL_INTERVAL_S = 0.2
 ADDRESS = click.option(
     "--address",
     envvar=["EDGE_MGMT", "EDGE_ADMIN"],
@@ -27,15 +27,15 @@
 JSON = click.option("--json", "plain", is_flag=True, help="Print JSON.")
 
 
-def call(address: str, method: str, path: str, said: dict[str, Any] | None = None) -> dict[str, Any]:
+def call(address: str, method: str, path: str, body: dict[str, Any] | None = None) -> dict[str, Any]:
     """The reply's object; ends the program with 3 where nobody answers, with 1 where the answer is a no."""
     try:
         host, port = parse_address(address)
     except ValueError as error:
         raise click.BadParameter(str(error), param_hint="--address") from None
-    connection = http.client.HTTPConnection(host, port, timeout=PATIENCE_S)
+    connection = http.client.HTTPConnection(host, port, timeout=REQUEST_TIMEOUT_S)
     try:
-        connection.request(method, path, None if said is None else json.dumps(said))
+        connection.request(method, path, None if body is None else json.dumps(body))
         reply = connection.getresponse()
         found = json.loads(reply.read())
     except (OSError, ValueError, http.client.HTTPException) as error:
@@ -49,10 +49,10 @@
     return dict(found)
 
 
-def say(address: str, do: str, **more: Any) -> None:
+def send_command(address: str, do: str, **more: Any) -> None:
     """One word on the release; waits for what a majority makes of it."""
     ticket = call(address, "POST", "/rollout/ask", {"do": do, **more})["ticket"]
-    end = time.monotonic() + TICKET_S
+    end = time.monotonic() + TICKET_TIMEOUT_S
     while time.monotonic() < end:
         found = call(address, "GET", f"/rollout/ticket/{ticket}")
         if not found["pending"]:
@@ -105,7 +105,7 @@
     from rich.console import Console
     from rich.table import Table
 
-    shown = Table("group", "out", "may be", "place", "phase", "for", "since", title=lines(status)[0])
+    grid = Table("group", "out", "may be", "place", "phase", "for", "since", title=lines(status)[0])
     for key, group in status["groups"].items():
         rows = [
             (p["item"], p["phase"], f"{p['why']} by {p['holder']}", since(p["since"]))
@@ -114,8 +114,8 @@
         rows += [(x["item"], "waits", x["holder"], since(x["since"])) for x in group["waiting"]]
         for i, row in enumerate(rows or [("", "", "", "")]):
             head = (key, f"{len(group['out'])} of {group['of']}", str(group["may"]))
-            shown.add_row(*(("", "", "") if i else head), *row)
-    Console().print(shown)
+            grid.add_row(*(("", "", "") if i else head), *row)
+    Console().print(grid)
     for line in lines(status)[1:]:
         if line.startswith(("gateway", "work")):
             click.echo(line)
@@ -137,7 +137,7 @@
     takes another's place: that one catches up by itself."""
     from olivecourse.config.sections import BadSection
     from olivecourse.rollout.section import read_rollout
-    from olivecourse.rollout.store import Disk, NoFolder
+    from olivecourse.rollout.store import Disk, FolderUnusable
 
     try:
         config = read_rollout(operator)
@@ -146,7 +146,7 @@
         disk = Disk(str(config.folder), name, config.read_keys()[1])
         disk.init(int(time.time()))
         disk.close()
-    except (BadSection, NoFolder) as error:
+    except (BadSection, FolderUnusable) as error:
         click.echo(f"olivecourse: {error}", err=True)
         sys.exit(2)
     click.echo(f"{config.folder}: {name} is a member from the start")
@@ -169,16 +169,16 @@
     except BadSection as error:
         click.echo(f"olivecourse: {error}", err=True)
         sys.exit(2)
-    say(address, "plan", plan=msgspec.to_builtins(found))
+    send_command(address, "plan", plan=msgspec.to_builtins(found))
 
 
-def _word(name: str, text: str) -> None:
+def _add_command(name: str, text: str) -> None:
     @rollout.command(name, help=text)
     @ADDRESS
     @click.option("--why", default="", help="A few words for the others; 40 characters are kept.")
     @click.option("--term", type=int, default=None, help="Refused if the release stands at another by now.")
     def command(address: str, why: str, term: int | None) -> None:
-        say(address, name, why=why, **({} if term is None else {"term": term}))
+        send_command(address, name, why=why, **({} if term is None else {"term": term}))
 
 
 for _name, _text in (
@@ -188,7 +188,7 @@
     ("resume", "Go on with a paused or halted release."),
     ("rollback", "Bring the version before back, within the same budgets."),
 ):
-    _word(_name, _text)
+    _add_command(_name, _text)
 
 
 @rollout.command()
@@ -205,7 +205,7 @@
         before = found
         if not watch:
             return
-        time.sleep(LOOK_S)
+        time.sleep(POLL_INTERVAL_S)
 
 
 @rollout.command()
@@ -220,21 +220,21 @@
         sys.exit(2)
     for line in text.splitlines():
         try:
-            said = json.loads(line)
+            record = json.loads(line)
         except ValueError:
             continue
-        if isinstance(said, dict) and str(said.get("event", "")).startswith("rollout_"):
+        if isinstance(record, dict) and str(record.get("event", "")).startswith("rollout_"):
             if plain:
-                click.echo(json.dumps(said))
+                click.echo(json.dumps(record))
                 continue
             rest = " ".join(
                 f"{k}={v}"
-                for k, v in said.items()
+                for k, v in record.items()
                 if k not in ("event", "timestamp", "level", "gateway") and v != ""
             )
             click.echo(
-                f"{said.get('timestamp', '?')} {said.get('gateway', '?')}: "
-                f"{said['event'].removeprefix('rollout_')} {rest}"
+                f"{record.get('timestamp', '?')} {record.get('gateway', '?')}: "
+                f"{record['event'].removeprefix('rollout_')} {rest}"
             )
 
 
@@ -267,7 +267,7 @@
             last = now
         if time.monotonic() >= end:
             sys.exit(0 if seconds is None else 1)
-        time.sleep(LOOK_S)
+        time.sleep(POLL_INTERVAL_S)
 
 
 @click.command()
--- a/olivecourse/rollout/gates.py
+++ b/olivecourse/rollout/gates.py
@@ -15,7 +15,9 @@
 from scipy.special import betaln, xlog1py, xlogy
 
 PRIOR = (0.5, 0.5)  # Jeffreys'
-SURE = 2.6  # standard errors that the untouched side's rate may lie above what was seen: one in 200
+UPPER_BOUND_SIGMAS = (
+    2.6  # standard errors that the untouched side's rate may lie above what was seen: one in 200
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +29,7 @@
 
 
 @dataclass
-class Gate:
+class SequentialTest:
     """One comparison, of the new version's side against the untouched one's."""
 
     alpha: float
@@ -35,7 +37,7 @@
     evidence: float = 0.0  # the largest logarithm of the e-process so far
 
     @property
-    def halts(self) -> bool:
+    def should_halt(self) -> bool:
         return self.evidence >= -log(self.alpha)
 
     @property
@@ -43,33 +45,35 @@
         """An anytime-valid p-value."""
         return exp(-max(self.evidence, 0.0))
 
-    def look(self, new: Counts, old: Counts) -> bool:
+    def update(self, new: Counts, old: Counts) -> bool:
         """Totals so far of each side; whether the release is to be halted."""
         if 0 <= new.bad <= new.ended and old.ended > 0:
             self.evidence = max(self.evidence, self._evidence(new, old))
-        return self.halts
+        return self.should_halt
 
     def _evidence(self, new: Counts, old: Counts) -> float:
         good = new.ended - new.bad
         marginal = float(betaln(PRIOR[0] + new.bad, PRIOR[1] + good) - betaln(*PRIOR))
         # The untouched side's rate is itself known from so many requests only: its upper bound counts.
         rate = (old.bad + 1.0) / (old.ended + 2.0)
-        spread = SURE * (rate * (1 - rate) / (old.ended + 2.0)) ** 0.5
-        most = min(rate + spread + self.worse / 100.0, 1.0 - 1e-9)
-        best = max(min(new.bad / max(new.ended, 1), most), 1e-9)  # of all rates that the null allows
-        return marginal - float(xlogy(new.bad, best) + xlog1py(good, -best))
+        margin = UPPER_BOUND_SIGMAS * (rate * (1 - rate) / (old.ended + 2.0)) ** 0.5
+        highest_null_rate = min(rate + margin + self.worse / 100.0, 1.0 - 1e-9)
+        null_rate = max(
+            min(new.bad / max(new.ended, 1), highest_null_rate), 1e-9
+        )  # of all rates that the null allows
+        return marginal - float(xlogy(new.bad, null_rate) + xlog1py(good, -null_rate))
 
 
 def sides(counts: Mapping[int, tuple[str, Counts]], version: str) -> tuple[Counts, Counts]:
     """Of all gateways' counts since the release began: the new version's side, and the others'."""
 
     def total(new: bool) -> Counts:
-        rows = [c for have, c in counts.values() if (have == version) == new]
-        return Counts(sum(c.ended for c in rows), sum(c.bad for c in rows))
+        selected = [c for gateway_version, c in counts.values() if (gateway_version == version) == new]
+        return Counts(sum(c.ended for c in selected), sum(c.bad for c in selected))
 
     return total(True), total(False)
 
 
-def describe(gate: Gate, new: Counts, old: Counts) -> str:
+def describe(test: SequentialTest, new: Counts, old: Counts) -> str:
     rate = [100.0 * c.bad / c.ended if c.ended else 0.0 for c in (new, old)]
-    return f"{rate[0]:.1f} % bad against {rate[1]:.1f} %, p {gate.p:.1g}"
+    return f"{rate[0]:.1f} % bad against {rate[1]:.1f} %, p {test.p:.1g}"
--- a/olivecourse/rollout/part.py
+++ b/olivecourse/rollout/part.py
@@ -18,7 +18,7 @@
 import lmdb
 import msgspec
 
-from olivecourse import interface as w
+from olivecourse import interface
 from olivecourse.config.sections import BadSection
 from olivecourse.core.planner import Planner
 from olivecourse.fronts.listener import Listener
@@ -30,49 +30,49 @@
 from olivecourse.rollout.agent import Agent, Stage
 from olivecourse.rollout.budgets import Group
 from olivecourse.rollout.hearing import Service
-from olivecourse.rollout.member import Member, Setup, refused
+from olivecourse.rollout.member import Member, Setup, failure_reason
 from olivecourse.rollout.places import Phase, Why
 from olivecourse.rollout.register import Step
-from olivecourse.rollout.releases import Heard, Plan, Release, Say, Word
+from olivecourse.rollout.releases import Command, CommandReply, CommandRequest, Plan, Release
 from olivecourse.rollout.section import PlanText, RolloutConfig
-from olivecourse.rollout.store import SEEN_S, Disk, Held, NoFolder, Torn
-from olivecourse.rollout.wire import MOST, BadDatagram, Wire
+from olivecourse.rollout.store import ALIVE_INTERVAL_S, CorruptRecord, Disk, FolderLocked, FolderUnusable
+from olivecourse.rollout.wire import MAX_DATAGRAM_BYTES, BadDatagram, Wire
 
 MS, S = 1_000_000, 1_000_000_000
 TICK_NS = 20 * MS
-AGAIN_NS = 1 * S  # between two tries to get the folder
-LOOK_NS = 100 * MS  # between two looks at the list and at what has changed
-READS = 256  # datagrams a turn
-MOST_STEPS = 1024  # that wait for the disk; beyond, what would be sent is lost as a datagram may be
-MOST_TICKETS = 64
-LEARN_NS = 2 * S  # for a majority's answer to be learned here too: it comes by another way
-STOP_S = 1.0
-VERSION = "OLIVECOURSE_VERSION"  # of this build, where an operator's tools name it
+FOLDER_RETRY_NS = 1 * S  # between two tries to get the folder
+REFRESH_NS = 100 * MS  # between two looks at the list and at what has changed
+MAX_DATAGRAMS_PER_TURN = 256  # datagrams a turn
+MAX_QUEUED_STEPS = 1024  # that wait for the disk; beyond, what would be sent is lost as a datagram may be
+MAX_TICKETS = 64
+LEARN_TIMEOUT_NS = 2 * S  # for a majority's answer to be learned here too: it comes by another way
+STOP_TIMEOUT_S = 1.0
+VERSION_VARIABLE = "OLIVECOURSE_VERSION"  # of this build, where an operator's tools name it
 
 
-class NoGate:
+class DisabledGate:
     """Gates are off: nothing halts."""
 
-    def look(self, new: tuple[int, int], old: tuple[int, int]) -> str:
+    def update(self, new: tuple[int, int], old: tuple[int, int]) -> str:
         return ""
 
 
-class Gate:
+class CanaryGate:
     def __init__(self, plan: Plan) -> None:
         from olivecourse.rollout import gates  # with its libraries, only while a release with gates is on
 
-        self._gates, self._gate = gates, gates.Gate(plan.alpha, plan.worse)
+        self._gates, self._gate = gates, gates.SequentialTest(plan.alpha, plan.worse)
 
-    def look(self, new: tuple[int, int], old: tuple[int, int]) -> str:
+    def update(self, new: tuple[int, int], old: tuple[int, int]) -> str:
         sides = self._gates.Counts(*new), self._gates.Counts(*old)
-        return self._gates.describe(self._gate, *sides) if self._gate.look(*sides) else ""
+        return self._gates.describe(self._gate, *sides) if self._gate.update(*sides) else ""
 
 
 @dataclass(frozen=True)
-class Answered:
+class CommandAnswer:
     """What a majority made of an operator's word, and when that was known here."""
 
-    answer: Heard | None
+    answer: CommandReply | None
     at: int
 
 
@@ -93,9 +93,9 @@
         self.life = time.time_ns() // MS
         self.wire = Wire(self.me, self.life, keys)
         self._random = Random()  # of the system: ballots of two gateways must not collide by a seed
-        self._disk, slots, votes = self._open()
-        self._worker = Worker(host.loop, "rollout", most=MOST_STEPS)
-        version = section.version or os.environ.get(VERSION, "")
+        self._disk, slots, votes = self._open_folder()
+        self._worker = Worker(host.loop, "rollout", most=MAX_QUEUED_STEPS)
+        version = section.version or os.environ.get(VERSION_VARIABLE, "")
         setup = Setup(
             self.me,
             tuple(range(len(names))),
@@ -103,23 +103,23 @@
             {i: f"gateways:{g.office}" for i, g in enumerate(section.gateways)},
             {i: g.capacity for i, g in enumerate(section.gateways)},
             section.budgets.gateways.budget(),
-            lambda plan: Gate(plan) if plan.gates else NoGate(),
+            lambda plan: CanaryGate(plan) if plan.gates else DisabledGate(),
         )
         now = host.loop.clock.now()
         self.member = Member(setup, self.life, version, slots, self._random, now, votes)
         self.agent = Agent(
-            self.me, self.key, setup.fleet, self.member, self._random, self._go, self._come, now
+            self.me, self.key, setup.fleet, self.member, self._random, self._take_out, self._bring_back, now
         )
         self._caught_up = votes
         self._steps: deque[Step] = deque()
         self._writing = False
-        self._answers: dict[int, Answered] = {}
+        self._answers: dict[int, CommandAnswer] = {}
         self._tickets: deque[int] = deque()
         self._planner: Planner | None = None
-        self._leaves = False  # this gateway has its place to be out
+        self._draining = False  # this gateway has its place to be out
         self._left: set[int] = set()  # stores that have theirs, and get nothing from here
-        self._look_at = self._note_at = now
-        self._known: tuple[Any, ...] = ()
+        self._next_refresh_at = self._next_alive_at = now
+        self._logged_state: tuple[Any, ...] = ()
         self._ready_since: int | None = None
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
@@ -130,32 +130,32 @@
             self._sock.close()
             raise
         self._sock.setblocking(False)
-        host.loop.watch(self._sock, READ, self._ready)
+        host.loop.watch(self._sock, READ, self._on_readable)
         if (door := host.part(DoorPart)) is not None:
             door.desk.others.append(self.call)
 
-    def _open(self) -> tuple[Disk | None, dict[str, Any], bool]:
+    def _open_folder(self) -> tuple[Disk | None, dict[str, Any], bool]:
         """The folder, what it holds, and whether this member may vote by it."""
         if self.config.folder is None:
             return None, {}, False
         try:
             disk = Disk(str(self.config.folder), self.host.config.name, self._secret)
-        except Held:
+        except FolderLocked:
             return None, {}, False  # asked again every second: the process before is about to end
-        except NoFolder as error:
+        except FolderUnusable as error:
             self.host.log("rollout_folder_unusable", why=str(error))
             return None, {}, False
         try:
             slots = disk.load()
-        except Torn as error:
+        except CorruptRecord as error:
             self.host.log("rollout_folder_torn", why=str(error))
             slots = None
         if slots is None:
             self.host.log("rollout_folder_empty", folder=str(self.config.folder))
-        old = slots is not None and disk.old(time.time_ns() // S)
-        if old:
+        stale = slots is not None and disk.is_stale(time.time_ns() // S)
+        if stale:
             self.host.log("rollout_folder_old", folder=str(self.config.folder))
-        return disk, slots or {}, slots is not None and not old
+        return disk, slots or {}, slots is not None and not stale
 
     # Parts' calls -------------------------------------------------------------------------------------
 
@@ -173,12 +173,12 @@
             self.host.log("file_unusable", why=str(error))
 
     def takes_work(self) -> bool:
-        return not self._leaves
+        return not self._draining
 
     def stop(self) -> None:
         self.host.loop.forget(self._sock)
         self._sock.close()
-        self._worker.stop(STOP_S)
+        self._worker.stop(STOP_TIMEOUT_S)
         if self._disk is not None:
             self._disk.close()
 
@@ -186,43 +186,43 @@
 
     def _tick(self) -> None:
         now = self.host.loop.clock.now()
-        if now >= self._look_at:
-            self._look_at = now + LOOK_NS
-            self._see(now)
-        if now >= self._note_at:
-            self._note(now)
+        if now >= self._next_refresh_at:
+            self._next_refresh_at = now + REFRESH_NS
+            self._refresh(now)
+        if now >= self._next_alive_at:
+            self._record_alive(now)
         self.member.tick(now)
         self.agent.tick(now)
         self._flush()
         self.host.loop.after(TICK_NS, self._tick)
 
-    def _note(self, now: int) -> None:
+    def _record_alive(self, now: int) -> None:
         """That this member lives, by an empty step; without its folder, whether that can be had by now."""
         if self._disk is None and self.config.folder is not None:
-            self._note_at = now + AGAIN_NS
-            self._disk, slots, votes = self._open()
+            self._next_alive_at = now + FOLDER_RETRY_NS
+            self._disk, slots, votes = self._open_folder()
             if self._disk is not None:
-                self.member.register.rejoin(slots, votes and self.me in self.member.setup.members)
+                self.member.register.load_slots(slots, votes and self.me in self.member.setup.members)
                 self._caught_up = votes
         elif self._disk is not None and self.member.register.votes:
-            self._note_at = now + SEEN_S * S
+            self._next_alive_at = now + ALIVE_INTERVAL_S * S
             self._steps.append(Step())
             self._write()
 
-    def _see(self, now: int) -> None:
+    def _refresh(self, now: int) -> None:
         """What the list, the operators, the module and the ledger tell."""
         self._see_stores(now)
-        ready = not self.host.why_not_ready() or self._leaves
+        ready = not self.host.why_not_ready() or self._draining
         if not ready:
             self._ready_since = None
         elif self._ready_since is None:
             self._ready_since = now
         warm = self._ready_since is not None and now - self._ready_since >= self.config.section.warm_s * S
-        self.member.service = Service.DRAINS if self._leaves else Service.SERVES if warm else Service.COLD
+        self.member.service = Service.DRAINS if self._draining else Service.SERVES if warm else Service.COLD
         counts = self.host.ledger.outcomes
         self.member.ended = sum(map(sum, counts))
         self.member.bad = sum(c[1] + c[2] for c in counts) + self.host.ledger.late
-        self._apply()
+        self._apply_leases()
 
     def _see_stores(self, now: int) -> None:
         host, settings = self.host, self.host.config.settings
@@ -238,13 +238,13 @@
             capacity.setdefault(key, {})[store.cache] = store.weight or 1.0
             ramp = settings.parent_cold_ns if at_hub else settings.cold_ns
             cold = store.ready_at_ns and now - store.ready_at_ns < ramp
-            left = store.cache in self._left  # then the module's word is our own
+            leased_out_here = store.cache in self._left  # then the module's word is our own
             if (
-                store.state is not w.State.READY
+                store.state is not interface.State.READY
                 or cold
                 or host.directory.names.get(store.cache) in host.directory.manually_drained
                 or store.cache in avoided
-                and not left
+                and not leased_out_here
             ):
                 out.setdefault(key, set()).add(store.cache)
         self.member.world.out = out
@@ -256,14 +256,14 @@
             for key, found in capacity.items()
         }
 
-    def _apply(self) -> None:
+    def _apply_leases(self) -> None:
         """Places that are out: their stores get nothing from here, and this gateway itself takes no work."""
         tables = self.member.tables()
         out = {
             p.item
             for key, table in tables.items()
             if not key.startswith("gateways:")
-            for p in table.places
+            for p in table.leases
             if p.phase is Phase.OUT
         }
         for item in out ^ self._left:
@@ -275,19 +275,21 @@
                 if event is not None:
                     self.host.emit(event)
         self._left = out
-        own = self.member.table(self.key).of(self.me)
-        drained = own is not None and own.phase is Phase.OUT and own.why is Why.DRAIN
+        own_lease = self.member.table(self.key).lease_of(self.me)
+        drained = own_lease is not None and own_lease.phase is Phase.OUT and own_lease.why is Why.DRAIN
         work = self.agent.works.get(self.me)
-        self._leave(drained or work is not None and work.stage is Stage.OUT and work.begun)
+        self._set_draining(
+            drained or work is not None and work.stage is Stage.OUT and work.activation_confirmed
+        )
         release = self.member.release
-        known = (release.term, release.state, tables)
-        if known != self._known:
-            self._told(release, tables)
-            self._known = known
+        current = (release.term, release.state, tables)
+        if current != self._logged_state:
+            self._log_changes(release, tables)
+            self._logged_state = current
 
-    def _told(self, release: Release, tables: dict[str, places.Table]) -> None:
+    def _log_changes(self, release: Release, tables: dict[str, places.Table]) -> None:
         """One line for every change of state."""
-        before = self._known
+        before = self._logged_state
         if not before or before[:2] != (release.term, release.state):
             self.host.log(
                 "rollout_release",
@@ -297,8 +299,8 @@
                 wave=release.wave,
                 why=release.why,
             )
-        old = {(k, p.item): p.phase for k, t in before[2].items() for p in t.places} if before else {}
-        new = {(k, p.item): p.phase for k, t in tables.items() for p in t.places}
+        old = {(k, p.item): p.phase for k, t in before[2].items() for p in t.leases} if before else {}
+        new = {(k, p.item): p.phase for k, t in tables.items() for p in t.leases}
         for key, item in sorted(old.keys() | new.keys()):
             if old.get((key, item)) != new.get((key, item)):
                 phase = new.get((key, item))
@@ -309,19 +311,19 @@
                     phase="given back" if phase is None else phase.name.lower(),
                 )
 
-    def _leave(self, leaves: bool) -> None:
-        if leaves != self._leaves:
-            self._leaves = leaves
-            self.host.drain(leaves)
-            self.host.log("rollout_drains" if leaves else "rollout_serves", open=self.host.ledger.open)
+    def _set_draining(self, draining: bool) -> None:
+        if draining != self._draining:
+            self._draining = draining
+            self.host.drain(draining)
+            self.host.log("rollout_drains" if draining else "rollout_serves", open=self.host.ledger.open)
 
-    def _go(self, item: int) -> None:
+    def _take_out(self, item: int) -> None:
         if item == self.me:
-            self._leave(True)
+            self._set_draining(True)
 
-    def _come(self, item: int) -> None:
+    def _bring_back(self, item: int) -> None:
         if item == self.me:
-            self._leave(False)
+            self._set_draining(False)
 
     def name(self, key: str, item: int) -> str:
         if key.startswith("gateways:"):
@@ -336,7 +338,7 @@
             return
         if self._disk is None or not (step.durable or self._steps or self._writing):
             self._carry_out(step)
-        elif len(self._steps) < MOST_STEPS:
+        elif len(self._steps) < MAX_QUEUED_STEPS:
             self._steps.append(step)
             self._write()
 
@@ -348,14 +350,14 @@
         durable: dict[str, Any] = {}
         for step in steps:
             durable.update(step.durable)
-        disk, whole = self._disk, not self._caught_up and self.member.register.votes
-        job, unix_s = disk.caught_up if whole else disk.write, time.time_ns() // S
-        durable = {**self.member.register.slots, **durable} if whole else durable
+        disk, recovering = self._disk, not self._caught_up and self.member.register.votes
+        write, unix_s = disk.write_recovered if recovering else disk.write, time.time_ns() // S
+        durable = {**self.member.register.slots, **durable} if recovering else durable
         self._writing = self._worker.submit(
-            lambda: job(durable, unix_s), lambda _, error: self._written(steps, whole, error)
+            lambda: write(durable, unix_s), lambda _, error: self._on_written(steps, recovering, error)
         )
 
-    def _written(self, steps: list[Step], whole: bool, error: Exception | None) -> None:
+    def _on_written(self, steps: list[Step], recovering: bool, error: Exception | None) -> None:
         self._writing = False
         if error is not None:
             self.host.log(
@@ -365,7 +367,7 @@
             self.member.register.votes = False  # it can promise nothing that lasts; a restart tries anew
             self.member.register.rounds.clear()
             return
-        self._caught_up = self._caught_up or whole
+        self._caught_up = self._caught_up or recovering
         for step in steps:
             self._carry_out(step)
         self._write()
@@ -380,13 +382,13 @@
                 self.host.log("rollout_peer_error", why=str(error))
         for handle, answer in step.done:
             if not self.agent.told(handle, answer, self.host.loop.clock.now()) and handle in self._tickets:
-                self._answers[handle] = Answered(answer, self.host.loop.clock.now())
+                self._answers[handle] = CommandAnswer(answer, self.host.loop.clock.now())
 
-    def _ready(self, mask: int) -> None:
+    def _on_readable(self, mask: int) -> None:
         now = self.host.loop.clock.now()
-        for _ in range(READS):
+        for _ in range(MAX_DATAGRAMS_PER_TURN):
             try:
-                data, _ = self._sock.recvfrom(MOST + 1)
+                data, _ = self._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except (BlockingIOError, InterruptedError):
                 break
             except OSError as error:
@@ -412,44 +414,46 @@
         if path != "/rollout/ask" or method != "POST":
             return None
         try:
-            said = json.loads(body)
-            return self._asked(said["do"], said)
+            arguments = json.loads(body)
+            return self._handle_ask(arguments["do"], arguments)
         except (ValueError, KeyError, TypeError, RecursionError) as error:
             return _reply(400, {"ok": False, "why": f"{type(error).__name__}: {error}"})
 
-    def _asked(self, do: str, said: dict[str, Any]) -> Reply:
+    def _handle_ask(self, do: str, arguments: dict[str, Any]) -> Reply:
         now = self.host.loop.clock.now()
         if do in ("drain", "undrain"):
-            found = self._item(str(said["item"]))
+            found = self._item(str(arguments["item"]))
             if found is None:
                 return _reply(404, {"ok": False, "why": "no store of the list and no gateway has this name"})
             key, item = found
             if do == "drain":
-                self.agent.want(key, item, Why.DRAIN, now, bool(said.get("force")))
-            elif said.get("force"):
-                self._force_back(key, item, now)
+                self.agent.want(key, item, Why.DRAIN, now, bool(arguments.get("force")))
+            elif arguments.get("force"):
+                self._force_return(key, item, now)
             elif not self.agent.release_item(key, item, now):
                 return _reply(409, {"ok": False, "why": "it has no place"})
             return _reply(202, {"ok": True})
-        word = Word[do.upper()]
-        if word in (Word.NEXT, Word.END):
+        command = Command[do.upper()]
+        if command in (Command.NEXT, Command.END):
             raise ValueError("not a word of operators")
         plan = None
-        if word is Word.PLAN:
-            plan = msgspec.convert(said["plan"], PlanText).plan()
-        term = int(said.get("term", self.member.release.term))
-        say = Say(word, term, self.me, now // S, str(said.get("why", "")), plan)
-        ticket = self.member.ask(releases.KEY, say, now)
+        if command is Command.PLAN:
+            plan = msgspec.convert(arguments["plan"], PlanText).plan()
+        term = int(arguments.get("term", self.member.release.term))
+        request = CommandRequest(command, term, self.me, now // S, str(arguments.get("why", "")), plan)
+        ticket = self.member.submit(releases.KEY, request, now)
         self._tickets.append(ticket)
-        while len(self._tickets) > MOST_TICKETS:
+        while len(self._tickets) > MAX_TICKETS:
             self._answers.pop(self._tickets.popleft(), None)
         return _reply(202, {"ok": True, "ticket": ticket})
 
-    def _force_back(self, key: str, item: int, now: int) -> None:
-        place = self.member.table(key).of(item)
-        if place is not None:
-            op = places.Op(places.Act.GIVE, item, place.holder, place.token, place.why, forced=True)
-            self.member.ask(key, op, now)
+    def _force_return(self, key: str, item: int, now: int) -> None:
+        lease = self.member.table(key).lease_of(item)
+        if lease is not None:
+            op = places.LeaseOperation(
+                places.LeaseAction.FREE, item, lease.holder, lease.token, lease.why, forced=True
+            )
+            self.member.submit(key, op, now)
             self.host.log("rollout_forced", group=key, item=self.name(key, item))
 
     def _ticket(self, text: str) -> Reply:
@@ -460,8 +464,8 @@
             return _reply(200, {"pending": True})
         answered = self._answers[ticket]
         answer, waited = answered.answer, self.host.loop.clock.now() - answered.at
-        why, term = refused(answer), 0 if answer is None else answer.term
-        if not why and term > self.member.release.term and waited < LEARN_NS:
+        why, term = failure_reason(answer), 0 if answer is None else answer.term
+        if not why and term > self.member.release.term and waited < LEARN_TIMEOUT_NS:
             return _reply(200, {"pending": True})  # the next word must find here what this one has done
         return _reply(200, {"pending": False, "ok": not why, "why": why, "term": term})
 
@@ -497,8 +501,8 @@
                 {
                     "name": name,
                     "heard": not hearing.silent(i, now),
-                    "version": beat.version if (beat := hearing.beat(i)) else "",
-                    "service": beat.service.name.lower() if beat else "unknown",
+                    "version": heartbeat.version if (heartbeat := hearing.heartbeat(i)) else "",
+                    "service": heartbeat.service.name.lower() if heartbeat else "unknown",
                 }
                 for i, name in enumerate(self.names)
             ],
@@ -507,7 +511,7 @@
                 for key in sorted({self.key, *self.member.world.groups, *self.member.tables()})
             },
             "works": [
-                {"item": self.name(work.key, item), "stage": work.stage.value, "said": work.said}
+                {"item": self.name(work.key, item), "stage": work.stage.value, "said": work.status_text}
                 for item, work in self.agent.works.items()
             ],
         }
@@ -531,14 +535,18 @@
                     "phase": p.phase.name.lower(),
                     "why": p.why.name.lower(),
                 }
-                for p in table.places
+                for p in table.leases
             ],
             "waiting": [
-                {"item": self.name(key, x.item), "holder": self.names[x.holder], "since": x.since}
-                for x in table.wishes
+                {
+                    "item": self.name(key, queued.item),
+                    "holder": self.names[queued.holder],
+                    "since": queued.since,
+                }
+                for queued in table.queue
             ],
         }
 
 
-def _reply(status: int, said: dict[str, Any]) -> Reply:
-    return Reply(status, json.dumps(said).encode() + b"\n", JSON)
+def _reply(status: int, content: dict[str, Any]) -> Reply:
+    return Reply(status, json.dumps(content).encode() + b"\n", JSON)
--- a/olivecourse/rollout/releases.py
+++ b/olivecourse/rollout/releases.py
@@ -17,8 +17,8 @@
 import msgspec
 
 KEY = "release"  # the register that holds it
-MOST_VERSION = 24  # characters
-MOST_WAVES = 6
+MAX_VERSION_LENGTH = 24  # characters
+MAX_WAVES = 6
 
 
 class State(IntEnum):
@@ -69,7 +69,7 @@
         return self.state in (State.PAUSED, State.HALTED)
 
 
-class Word(IntEnum):
+class Command(IntEnum):
     PLAN = 0
     START = 1
     PAUSE = 2
@@ -80,10 +80,10 @@
     END = 7  # all have the version that is wanted
 
 
-class Say(msgspec.Struct, frozen=True, array_like=True, tag=2):
+class CommandRequest(msgspec.Struct, frozen=True, array_like=True, tag=2):
     """`term`: of the release that the speaker knows; words that let something go on need the newest."""
 
-    word: Word
+    command: Command
     term: int
     by: int
     at: int = 0
@@ -91,34 +91,34 @@
     plan: Plan | None = None
 
 
-ENDED = (State.NONE, State.DONE)
-FROM: dict[Word, tuple[State, ...]] = {
-    Word.PLAN: (*ENDED, State.PLANNED),
-    Word.START: (State.PLANNED,),
-    Word.PAUSE: (State.RUNNING,),
-    Word.HALT: (State.PLANNED, State.RUNNING, State.PAUSED, State.ROLLING_BACK, State.HALTED),
-    Word.RESUME: (State.PAUSED, State.HALTED),
-    Word.ROLLBACK: (State.RUNNING, State.PAUSED, State.HALTED),
-    Word.NEXT: (State.RUNNING,),
-    Word.END: (State.RUNNING, State.ROLLING_BACK),
+NO_RELEASE_STATES = (State.NONE, State.DONE)
+ALLOWED_FROM: dict[Command, tuple[State, ...]] = {
+    Command.PLAN: (*NO_RELEASE_STATES, State.PLANNED),
+    Command.START: (State.PLANNED,),
+    Command.PAUSE: (State.RUNNING,),
+    Command.HALT: (State.PLANNED, State.RUNNING, State.PAUSED, State.ROLLING_BACK, State.HALTED),
+    Command.RESUME: (State.PAUSED, State.HALTED),
+    Command.ROLLBACK: (State.RUNNING, State.PAUSED, State.HALTED),
+    Command.NEXT: (State.RUNNING,),
+    Command.END: (State.RUNNING, State.ROLLING_BACK),
 }
-TO = {
-    Word.PLAN: State.PLANNED,
-    Word.START: State.RUNNING,
-    Word.PAUSE: State.PAUSED,
-    Word.HALT: State.HALTED,
-    Word.RESUME: State.RUNNING,
-    Word.ROLLBACK: State.ROLLING_BACK,
-    Word.NEXT: State.RUNNING,
-    Word.END: State.DONE,
+TARGET_STATES = {
+    Command.PLAN: State.PLANNED,
+    Command.START: State.RUNNING,
+    Command.PAUSE: State.PAUSED,
+    Command.HALT: State.HALTED,
+    Command.RESUME: State.RUNNING,
+    Command.ROLLBACK: State.ROLLING_BACK,
+    Command.NEXT: State.RUNNING,
+    Command.END: State.DONE,
 }
-STOPS = (Word.PAUSE, Word.HALT)  # taken whatever term the speaker knows: never too careful
+STOPPING_COMMANDS = (Command.PAUSE, Command.HALT)  # taken whatever term the speaker knows: never too careful
 
 
-class Heard(msgspec.Struct, frozen=True, array_like=True, tag=2):
+class CommandReply(msgspec.Struct, frozen=True, array_like=True, tag=2):
     """Whether a word was taken, under which term the release stands now, and why not."""
 
-    taken: bool
+    accepted: bool
     term: int
     state: State
     reason: str = ""
@@ -138,14 +138,14 @@
     return msgspec.msgpack.encode(release)
 
 
-def flaws(plan: Plan) -> str:
+def plan_error(plan: Plan) -> str:
     """What is wrong with a plan; empty if nothing is."""
-    if not plan.version or len(plan.version) > MOST_VERSION or len(plan.before) > MOST_VERSION:
-        return f"version and before have 1 to {MOST_VERSION} characters"
+    if not plan.version or len(plan.version) > MAX_VERSION_LENGTH or len(plan.before) > MAX_VERSION_LENGTH:
+        return f"version and before have 1 to {MAX_VERSION_LENGTH} characters"
     if plan.version == plan.before:
         return "version is what was there before"
-    if not plan.waves or len(plan.waves) > MOST_WAVES:
-        return f"1 to {MOST_WAVES} waves"
+    if not plan.waves or len(plan.waves) > MAX_WAVES:
+        return f"1 to {MAX_WAVES} waves"
     if list(plan.waves) != sorted(set(plan.waves)) or plan.waves[0] < 1 or plan.waves[-1] != 100:
         return "waves are shares in percent that grow to 100"
     if not 0 <= plan.soak_s <= 86_400 or not 0 < plan.alpha < 0.5 or not 0 < plan.worse <= 100:
@@ -153,33 +153,45 @@
     return ""
 
 
-def apply(release: Release, say: Say) -> tuple[Release, Heard]:
+def apply_command(release: Release, request: CommandRequest) -> tuple[Release, CommandReply]:
     """The release after one word. A word said twice does what once does."""
-    if say.word in STOPS and release.state is TO[say.word]:
-        return release, Heard(True, release.term, release.state)
-    if say.word not in STOPS and say.term != release.term:
-        again = release.by == say.by and release.at == say.at and release.state is TO[say.word]
-        reason = "" if again else f"the release stands at term {release.term} by now, you know {say.term}"
-        return release, Heard(again, release.term, release.state, reason)
-    if release.state not in FROM[say.word]:
-        return release, Heard(False, release.term, release.state, f"it is {release.state.name.lower()}")
+    if request.command in STOPPING_COMMANDS and release.state is TARGET_STATES[request.command]:
+        return release, CommandReply(True, release.term, release.state)
+    if request.command not in STOPPING_COMMANDS and request.term != release.term:
+        repeated = (
+            release.by == request.by
+            and release.at == request.at
+            and release.state is TARGET_STATES[request.command]
+        )
+        reason = (
+            "" if repeated else f"the release stands at term {release.term} by now, you know {request.term}"
+        )
+        return release, CommandReply(repeated, release.term, release.state, reason)
+    if release.state not in ALLOWED_FROM[request.command]:
+        return release, CommandReply(
+            False, release.term, release.state, f"it is {release.state.name.lower()}"
+        )
     plan, wave = release.plan, release.wave
-    if say.word is Word.PLAN:
-        if say.plan is None or (why := flaws(say.plan)):
-            return release, Heard(False, release.term, release.state, why if say.plan else "no plan")
-        plan, wave = say.plan, 0
-    elif say.word is Word.NEXT:
+    if request.command is Command.PLAN:
+        if request.plan is None or (why := plan_error(request.plan)):
+            return release, CommandReply(
+                False, release.term, release.state, why if request.plan else "no plan"
+            )
+        plan, wave = request.plan, 0
+    elif request.command is Command.NEXT:
         if wave + 1 >= len(plan.waves):
-            return release, Heard(False, release.term, release.state, "it was the last wave")
+            return release, CommandReply(False, release.term, release.state, "it was the last wave")
         wave += 1
-    after = Release(release.term + 1, TO[say.word], wave, say.by, say.at, say.why[:40], plan)
-    return after, Heard(True, after.term, after.state)
+    after = Release(
+        release.term + 1, TARGET_STATES[request.command], wave, request.by, request.at, request.why[:40], plan
+    )
+    return after, CommandReply(True, after.term, after.state)
 
 
-def play(value: bytes, says: Sequence[Say]) -> tuple[bytes, list[Heard]]:
-    release, answers = decode(value), list[Heard]()
-    for say in says:
-        release, answer = apply(release, say)
+def apply_batch(value: bytes, requests: Sequence[CommandRequest]) -> tuple[bytes, list[CommandReply]]:
+    release, answers = decode(value), list[CommandReply]()
+    for request in requests:
+        release, answer = apply_command(release, request)
         answers.append(answer)
     return encode(release), answers
 
@@ -190,22 +202,22 @@
 def order(version: str, gateways: Sequence[int]) -> list[int]:
     """The same everywhere, another for each version, so that it is not always the same who go first."""
 
-    def place(item: int) -> bytes:
+    def sort_key(item: int) -> bytes:
         return blake2b(f"{version}/{item}".encode(), digest_size=8).digest()
 
-    return sorted(gateways, key=place)
+    return sorted(gateways, key=sort_key)
 
 
 @lru_cache(maxsize=2)  # one release is on at a time, and it is looked at many times a second
 def waves(version: str, shares: tuple[int, ...], gateways: tuple[int, ...]) -> Mapping[int, int]:
     """In which wave each gateway goes, by growing shares in percent; the first wave holds one at least."""
-    ends = [max(len(gateways) * share // 100, 1) for share in shares]
-    found, number = dict[int, int](), 0
+    last_ranks = [max(len(gateways) * share // 100, 1) for share in shares]
+    wave_numbers, number = dict[int, int](), 0
     for rank, item in enumerate(order(version, gateways)):
-        while rank >= ends[number] and number < len(ends) - 1:
+        while rank >= last_ranks[number] and number < len(last_ranks) - 1:
             number += 1
-        found[item] = number
-    return found
+        wave_numbers[item] = number
+    return wave_numbers
 
 
 def wave_of(plan: Plan, gateways: Sequence[int], item: int) -> int:
@@ -237,10 +249,10 @@
 def through(release: Release, gateways: Sequence[int], seen: Mapping[int, Seen]) -> bool:
     """Whether all of the waves so far have the version and serve; who is silent holds its wave up."""
 
-    def there(item: int) -> bool:
+    def ready(item: int) -> bool:
         return item in seen and seen[item].version == release.version and seen[item].warm
 
     if release.state is State.ROLLING_BACK:
-        return all(map(there, gateways))
+        return all(map(ready, gateways))
     wave = waves(release.plan.version, tuple(release.plan.waves), tuple(gateways))
-    return all(there(g) for g in gateways if wave[g] <= release.wave)
+    return all(ready(g) for g in gateways if wave[g] <= release.wave)
--- a/olivecourse/rollout/section.py
+++ b/olivecourse/rollout/section.py
@@ -12,10 +12,10 @@
 from olivecourse.config.address import Address, parse_address
 from olivecourse.config.sections import BadSection, read_section
 from olivecourse.rollout.budgets import Budget
-from olivecourse.rollout.releases import Plan, flaws
+from olivecourse.rollout.releases import Plan, plan_error
 from olivecourse.rollout.wire import Keys
 
-MOST_GATEWAYS, MOST_MEMBERS = 512, 7
+MAX_GATEWAYS, MAX_MEMBERS = 512, 7
 Share = Annotated[float, msgspec.Meta(gt=0, le=1)]
 
 
@@ -35,7 +35,7 @@
     gateways: Limit = Limit()
 
 
-class Place(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class GatewayEntry(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """One gateway of the fleet."""
 
     name: str
@@ -48,8 +48,8 @@
     """`gateways` in the same order everywhere. `folder`: without it this gateway asks and does not vote."""
 
     keys: str
-    gateways: Annotated[list[Place], msgspec.Meta(min_length=1, max_length=MOST_GATEWAYS)]
-    members: Annotated[list[str], msgspec.Meta(min_length=1, max_length=MOST_MEMBERS)]
+    gateways: Annotated[list[GatewayEntry], msgspec.Meta(min_length=1, max_length=MAX_GATEWAYS)]
+    members: Annotated[list[str], msgspec.Meta(min_length=1, max_length=MAX_MEMBERS)]
     folder: str | None = None
     agreement: Literal["majority", "planner"] = "majority"
     budgets: Limits = Limits()
@@ -87,12 +87,12 @@
         """The keys of datagrams, and the one of the folder's records: the first that there ever was, so that
         rotating the others leaves the folder readable. Raises BadSection."""
         try:
-            told = msgspec.convert(json.loads(self.key_file.read_text("utf-8")), KeyFile)
-            keys = {int(number): bytes.fromhex(text) for number, text in told.keys.items()}
-            return Keys(keys, told.current), keys[min(keys)]
+            contents = msgspec.convert(json.loads(self.key_file.read_text("utf-8")), KeyFile)
+            keys = {int(number): bytes.fromhex(text) for number, text in contents.keys.items()}
+            return Keys(keys, contents.current), keys[min(keys)]
         except (OSError, ValueError) as error:
-            what = getattr(error, "strerror", None) or error
-            raise BadSection(f"{self.key_file}: {what}") from None
+            cause = getattr(error, "strerror", None) or error
+            raise BadSection(f"{self.key_file}: {cause}") from None
 
     def addresses(self) -> list[Address]:
         return [parse_address(g.address) for g in self.section.gateways]
@@ -103,8 +103,10 @@
     section = read_section(path, "rollout", RolloutSection)
     if section is None:
         return None
-    here = Path(path).parent
-    config = RolloutConfig(section, here / section.folder if section.folder else None, here / section.keys)
+    base_folder = Path(path).parent
+    config = RolloutConfig(
+        section, base_folder / section.folder if section.folder else None, base_folder / section.keys
+    )
     config.read_keys()
     return config
 
@@ -121,7 +123,7 @@
     worse: float = 1.0
 
     def __post_init__(self) -> None:
-        if why := flaws(self.plan()):
+        if why := plan_error(self.plan()):
             raise ValueError(why)
 
     def plan(self) -> Plan:
--- a/olivecourse/rollout/store.py
+++ b/olivecourse/rollout/store.py
@@ -20,27 +20,27 @@
 from olivecourse.rollout.register import Slot
 
 MAP_BYTES = 16 * 2**20
-MARK, SEEN = b"member", b"seen"
-FORM = 1
-SEEN_S = 30  # between two notes that this member lives
-OLD_S = 3600  # a folder that has seen nothing for so long may be a copy of an older one
+MARKER_KEY, LAST_ALIVE_KEY = b"member", b"seen"
+FORMAT_VERSION = 1
+ALIVE_INTERVAL_S = 30  # between two notes that this member lives
+STALE_AFTER_S = 3600  # a folder that has seen nothing for so long may be a copy of an older one
 
 
-class NoFolder(OSError):
+class FolderUnusable(OSError):
     """The folder can't be used: the member asks, and does not vote."""
 
 
-class Held(NoFolder):
+class FolderLocked(FolderUnusable):
     """Another process of this gateway votes by it, as in an upgrade: two that did would not know of each
     other's promises."""
 
 
-class Torn(ValueError):
+class CorruptRecord(ValueError):
     """A record that does not hold."""
 
 
-class Mark(msgspec.Struct, frozen=True, array_like=True):
-    form: int
+class FolderMarker(msgspec.Struct, frozen=True, array_like=True):
+    format: int
     name: str
 
 
@@ -55,19 +55,19 @@
                 fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
             except OSError:
                 os.close(self._lock)
-                raise Held(f"{folder}: another process has it") from None
+                raise FolderLocked(f"{folder}: another process has it") from None
             self._env = lmdb.open(folder, map_size=MAP_BYTES, max_dbs=0, mode=0o600, metasync=True, sync=True)
-        except NoFolder:
+        except FolderUnusable:
             raise
         except (OSError, lmdb.Error) as error:
-            raise NoFolder(f"{folder}: {error}") from None
+            raise FolderUnusable(f"{folder}: {error}") from None
 
     def _seal(self, name: bytes, data: bytes) -> bytes:
         return blake3(name + b"\0" + data, key=self._secret).digest() + data
 
     def _open(self, name: bytes, data: bytes) -> bytes:
         if not hmac.compare_digest(blake3(name + b"\0" + data[32:], key=self._secret).digest(), data[:32]):
-            raise Torn(f"record {name!r}")
+            raise CorruptRecord(f"record {name!r}")
         return data[32:]
 
     def init(self, unix_s: int) -> None:
@@ -76,47 +76,54 @@
             with txn.cursor() as cursor:
                 while cursor.first():
                     cursor.delete()
-            txn.put(MARK, self._seal(MARK, msgspec.msgpack.encode(Mark(FORM, self._name))))
-            txn.put(SEEN, self._seal(SEEN, msgspec.msgpack.encode(unix_s)))
+            txn.put(
+                MARKER_KEY,
+                self._seal(MARKER_KEY, msgspec.msgpack.encode(FolderMarker(FORMAT_VERSION, self._name))),
+            )
+            txn.put(LAST_ALIVE_KEY, self._seal(LAST_ALIVE_KEY, msgspec.msgpack.encode(unix_s)))
         self._env.sync(True)
 
     def load(self) -> dict[str, Slot] | None:
         """What this member holds; None where that is not known. Raises Torn where a record does not hold."""
-        found: dict[str, Slot] = {}
+        slots: dict[str, Slot] = {}
         try:
             with self._env.begin() as txn:
-                mark = txn.get(MARK)
-                if mark is None:
+                marker = txn.get(MARKER_KEY)
+                if marker is None:
                     return None
-                if msgspec.msgpack.decode(self._open(MARK, mark), type=Mark) != Mark(FORM, self._name):
-                    raise Torn("the folder is another member's, or of another form")
+                if msgspec.msgpack.decode(self._open(MARKER_KEY, marker), type=FolderMarker) != FolderMarker(
+                    FORMAT_VERSION, self._name
+                ):
+                    raise CorruptRecord("the folder is another member's, or of another form")
                 for name, data in txn.cursor():
-                    if name not in (MARK, SEEN):
-                        found[name[1:].decode()] = msgspec.msgpack.decode(self._open(name, data), type=Slot)
+                    if name not in (MARKER_KEY, LAST_ALIVE_KEY):
+                        slots[name[1:].decode()] = msgspec.msgpack.decode(self._open(name, data), type=Slot)
         except (msgspec.MsgspecError, UnicodeDecodeError, lmdb.Error) as error:
-            raise Torn(str(error)) from None
-        return found
+            raise CorruptRecord(str(error)) from None
+        return slots
 
-    def old(self, unix_s: int) -> bool:
+    def is_stale(self, unix_s: int) -> bool:
         """Whether the folder has seen nothing for long, or comes from the future: it may be a copy, which has
         forgotten what was promised since, and its member catches up before it votes."""
         try:
             with self._env.begin() as txn:
-                data = txn.get(SEEN)
-                seen = 0 if data is None else msgspec.msgpack.decode(self._open(SEEN, data), type=int)
-        except (msgspec.MsgspecError, Torn, lmdb.Error):
+                data = txn.get(LAST_ALIVE_KEY)
+                seen = (
+                    0 if data is None else msgspec.msgpack.decode(self._open(LAST_ALIVE_KEY, data), type=int)
+                )
+        except (msgspec.MsgspecError, CorruptRecord, lmdb.Error):
             return True
-        return not unix_s - OLD_S <= seen <= unix_s + OLD_S
+        return not unix_s - STALE_AFTER_S <= seen <= unix_s + STALE_AFTER_S
 
     def write(self, slots: dict[str, Slot], unix_s: int) -> None:
         """Durable on return; raises OSError or lmdb.Error, after which nothing of it may be told."""
         with self._env.begin(write=True) as txn:
-            txn.put(SEEN, self._seal(SEEN, msgspec.msgpack.encode(unix_s)))
+            txn.put(LAST_ALIVE_KEY, self._seal(LAST_ALIVE_KEY, msgspec.msgpack.encode(unix_s)))
             for key, slot in slots.items():
                 name = b"k" + key.encode()
                 txn.put(name, self._seal(name, msgspec.msgpack.encode(slot)))
 
-    def caught_up(self, slots: dict[str, Slot], unix_s: int) -> None:
+    def write_recovered(self, slots: dict[str, Slot], unix_s: int) -> None:
         """After a lost disk: all of it at once, with the mark."""
         self.init(unix_s)
         self.write(slots, unix_s)
--- a/olivecourse/rollout/wire.py
+++ b/olivecourse/rollout/wire.py
@@ -16,29 +16,29 @@
 import msgspec
 from blake3 import blake3
 
-from olivecourse.rollout import register as r
+from olivecourse.rollout import register
 from olivecourse.rollout.hearing import Beat
-from olivecourse.rollout.member import Ask, Halted, Tell
+from olivecourse.rollout.member import HaltNotice, OperationReply, OperationRequest
 
-MOST = 256  # bytes
-MAC, HEAD = 16, 17
-WINDOW = 256  # counts by which a datagram may come late
-TEXT = 40  # characters of a reason that leave
+MAX_DATAGRAM_BYTES = 256  # bytes
+MAC_BYTES, HEADER_BYTES = 16, 17
+REPLAY_WINDOW = 256  # counts by which a datagram may come late
+MAX_REASON_CHARS = 40  # characters of a reason that leave
 KINDS: tuple[type[Any], ...] = (
-    r.Prepare,
-    r.Promise,
-    r.Accept,
-    r.Accepted,
-    r.Reject,
-    r.Learn,
-    r.Recall,
-    r.Recalled,
+    register.Prepare,
+    register.Promise,
+    register.Accept,
+    register.Accepted,
+    register.Reject,
+    register.Learn,
+    register.Recall,
+    register.RecoveryReply,
     Beat,
-    Ask,
-    Tell,
-    Halted,
+    OperationRequest,
+    OperationReply,
+    HaltNotice,
 )
-NUMBERS = {kind: number for number, kind in enumerate(KINDS)}
+KIND_NUMBERS = {kind: number for number, kind in enumerate(KINDS)}
 Body = tuple[int, int, int, int, int, msgspec.Raw]
 
 
@@ -61,64 +61,64 @@
 
     def open(self, data: bytes) -> bytes:
         """Raises BadDatagram."""
-        if len(data) <= HEAD or len(data) > MOST:
+        if len(data) <= HEADER_BYTES or len(data) > MAX_DATAGRAM_BYTES:
             raise BadDatagram(f"{len(data)} bytes")
         if data[0] not in self._keys:
             raise BadDatagram(f"key {data[0]} is not known")
-        if not hmac.compare_digest(self._mac(data[0], data[HEAD:]), data[1:HEAD]):
+        if not hmac.compare_digest(self._mac(data[0], data[HEADER_BYTES:]), data[1:HEADER_BYTES]):
             raise BadDatagram("not signed by the fleet")
-        return data[HEAD:]
+        return data[HEADER_BYTES:]
 
     def _mac(self, number: int, data: bytes) -> bytes:
-        return blake3(data, key=self._keys[number]).digest(length=MAC)
+        return blake3(data, key=self._keys[number]).digest(length=MAC_BYTES)
 
 
-class Replay:
+class ReplayWindow:
     """Which datagrams of each sender have come."""
 
     def __init__(self) -> None:
         self._seen: dict[int, tuple[int, int, int]] = {}  # life, highest count, bits of those below it
 
-    def fresh(self, sender: int, life: int, count: int) -> bool:
+    def accept(self, sender: int, incarnation: int, count: int) -> bool:
         known = self._seen.get(sender)
-        if known is None or life > known[0]:
-            self._seen[sender] = (life, count, 1)
+        if known is None or incarnation > known[0]:
+            self._seen[sender] = (incarnation, count, 1)
             return True
-        if life < known[0] or count <= known[1] - WINDOW:
+        if incarnation < known[0] or count <= known[1] - REPLAY_WINDOW:
             return False
         _, highest, bits = known
         if count > highest:
-            bits = (bits << min(count - highest, WINDOW) | 1) & (1 << WINDOW) - 1
-            self._seen[sender] = (life, count, bits)
+            bits = (bits << min(count - highest, REPLAY_WINDOW) | 1) & (1 << REPLAY_WINDOW) - 1
+            self._seen[sender] = (incarnation, count, bits)
             return True
         bit = 1 << highest - count
-        self._seen[sender] = (life, highest, bits | bit)
+        self._seen[sender] = (incarnation, highest, bits | bit)
         return not bits & bit
 
 
 class Wire:
     """One gateway's end."""
 
-    def __init__(self, me: int, life: int, keys: Keys) -> None:
-        self.me, self.life, self.keys = me, life, keys
+    def __init__(self, me: int, incarnation: int, keys: Keys) -> None:
+        self.me, self.incarnation, self.keys = me, incarnation, keys
         self._count = 0
-        self._replay = Replay()
+        self._replay = ReplayWindow()
 
     def encode(self, target: int, message: Any) -> bytes:
         """Raises ValueError where a message does not fit; what may be shortened is."""
-        if isinstance(message, Halted):
-            message = msgspec.structs.replace(message, why=message.why[:TEXT])
-        if isinstance(message, Tell):
-            message = Tell(
+        if isinstance(message, HaltNotice):
+            message = msgspec.structs.replace(message, why=message.why[:MAX_REASON_CHARS])
+        if isinstance(message, OperationReply):
+            message = OperationReply(
                 message.nonce,
-                msgspec.structs.replace(message.answer, reason=message.answer.reason[: 2 * TEXT]),
+                msgspec.structs.replace(message.answer, reason=message.answer.reason[: 2 * MAX_REASON_CHARS]),
             )
         self._count += 1
         data = msgspec.msgpack.encode(
-            (self.me, self.life, self._count, target, NUMBERS[type(message)], message)
+            (self.me, self.incarnation, self._count, target, KIND_NUMBERS[type(message)], message)
         )
         sealed = self.keys.seal(data)
-        if len(sealed) > MOST:
+        if len(sealed) > MAX_DATAGRAM_BYTES:
             raise ValueError(f"{type(message).__name__} has {len(sealed)} bytes")
         return sealed
 
@@ -126,7 +126,7 @@
         """Sender and message; raises BadDatagram."""
         body = self.keys.open(data)
         try:
-            sender, life, count, target, kind, raw = msgspec.msgpack.decode(body, type=Body)
+            sender, incarnation, count, target, kind, raw = msgspec.msgpack.decode(body, type=Body)
             if target != self.me:
                 raise BadDatagram("for another gateway")
             if not 0 <= kind < len(KINDS):
@@ -135,6 +135,6 @@
         except msgspec.MsgspecError:
             raise BadDatagram("of another form") from None
         # Last, so that nothing that can't be read moves the window.
-        if not self._replay.fresh(sender, life, count):
+        if not self._replay.accept(sender, incarnation, count):
             raise BadDatagram("come before")
         return sender, message
--- a/tests/fleetsim.py
+++ b/tests/fleetsim.py
@@ -11,12 +11,12 @@
 from olivecourse.rollout.wire import Keys, Wire
 
 MS, S = 1_000_000, 1_000_000_000
-STORES, GATES = "stores:praia", "gateways:praia"
+STORES, GATEWAYS = "stores:praia", "gateways:praia"
 TICK = 20 * MS
 
 
 class NoGate:
-    def look(self, new, old):
+    def update(self, new, old):
         return ""
 
 
@@ -29,7 +29,7 @@
     version: str = "v1"
     up: bool = True
     stopped: bool = False
-    life: int = 1
+    incarnation: int = 1
     warm_at: int = 0
     inbox: list = field(default_factory=list)
     out: set = field(default_factory=set)  # stores that it sends nothing to, by place
@@ -56,7 +56,7 @@
         twice=0.0,
         slow_ms=15,
         gates=None,
-        lease_alone=False,
+        skip_activation=False,
         disks=True,
         fences=True,
     ):
@@ -69,7 +69,7 @@
         self.sent = self.bytes = 0
         self.store_state = {100 + n: "in" for n in range(stores)}
         self.store_warm_at = dict.fromkeys(self.store_state, 0)
-        self.budget, self.lease_alone = budget, lease_alone
+        self.budget, self.skip_activation = budget, skip_activation
         self.keys = Keys({1: bytes(32)}, 1)
         self.fleet, self.members = tuple(range(nodes)), tuple(range(members))
         self.gates, self.disks, self.fences = gates, disks, fences
@@ -79,7 +79,7 @@
             self.boot(node, fresh=True)
 
     def boot(self, node, fresh=False, lost_disk=False, version=None, old_disk=False):
-        node.life += 1
+        node.incarnation += 1
         node.up, node.stopped, node.drains = True, False, False
         node.version = version or node.version
         node.inbox, node.answers = [], {}
@@ -91,7 +91,7 @@
             node.number,
             self.fleet,
             self.members,
-            dict.fromkeys(self.fleet, GATES),
+            dict.fromkeys(self.fleet, GATEWAYS),
             dict.fromkeys(self.fleet, 1.0),
             budget,
             self.gates,
@@ -100,7 +100,7 @@
         random = Random(self.random.getrandbits(32))
         node.member = Member(
             setup,
-            node.life,
+            node.incarnation,
             node.version,
             node.disk,
             random,
@@ -109,16 +109,16 @@
         )
         node.agent = Agent(
             node.number,
-            GATES,
+            GATEWAYS,
             self.fleet,
             node.member,
             random,
             lambda item: self.go(node, item),
             lambda item: self.come(node, item),
             self.clock(node),
-            self.lease_alone,
+            self.skip_activation,
         )
-        node.wire = Wire(node.number, node.life, self.keys)
+        node.wire = Wire(node.number, node.incarnation, self.keys)
 
     def clock(self, node):
         return self.now + node.skew
@@ -156,7 +156,7 @@
         node.member.service = (
             Service.DRAINS if node.drains else Service.COLD if node.warm_at > self.now else Service.SERVES
         )
-        placed = {p.item for p in node.member.table(STORES).places if p.phase == 1}
+        placed = {p.item for p in node.member.table(STORES).leases if p.phase == 1}
         node.out = placed
 
     def turn(self):
@@ -225,11 +225,11 @@
                 return True
         return until is None
 
-    def say(self, node, word, **more):
+    def send_command(self, node, command, **more):
         """A word on the release from this gateway, as its operator would say it."""
         known = node.member.release
-        what = releases.Say(word, known.term, node.number, self.clock(node) // S, **more)
-        return node.member.ask(releases.KEY, what, self.clock(node))
+        what = releases.CommandRequest(command, known.term, node.number, self.clock(node) // S, **more)
+        return node.member.submit(releases.KEY, what, self.clock(node))
 
     def answered(self, node, handle, seconds=4):
         self.run(seconds, lambda: handle in node.answers)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -9,7 +9,7 @@
 
 import msgspec
 import pytest
-from fleetsim import GATES, STORES, Fleet, S
+from fleetsim import GATEWAYS, STORES, Fleet, S
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from stage import Stage
@@ -18,19 +18,19 @@
 from benchmarks.rollout import play as play_processes
 from olivecourse.config.sections import BadSection
 from olivecourse.modelcheck.explorer import explore
-from olivecourse.modelcheck.places import FAULTS, NARROW, Model, hunt
+from olivecourse.modelcheck.places import FAULTS, NARROW_BOUNDS, Model, find_planted_fault
 from olivecourse.rollout import releases
-from olivecourse.rollout.agent import Stage as At
+from olivecourse.rollout.agent import Stage as WorkStage
 from olivecourse.rollout.budgets import Budget, Group
-from olivecourse.rollout.gates import Counts, Gate
-from olivecourse.rollout.member import RUMOR_PEERS, Halted, Member, Setup, Tell
-from olivecourse.rollout.part import LEARN_NS, Answered, RolloutPart
-from olivecourse.rollout.places import Answer, Said, Why
-from olivecourse.rollout.register import Ballot, Learn, Recall, Register, Slot
-from olivecourse.rollout.releases import Heard, Plan, State, Word, flaws
+from olivecourse.rollout.gates import Counts, SequentialTest
+from olivecourse.rollout.member import RUMOR_FANOUT, HaltNotice, Member, OperationReply, Setup
+from olivecourse.rollout.part import LEARN_TIMEOUT_NS, CommandAnswer, RolloutPart
+from olivecourse.rollout.places import Answer, Outcome, Why
+from olivecourse.rollout.register import Ballot, Learn, QuorumRegisters, Recall, Slot
+from olivecourse.rollout.releases import Command, CommandReply, Plan, State, plan_error
 from olivecourse.rollout.section import read_rollout
-from olivecourse.rollout.store import Disk, Held, Torn
-from olivecourse.rollout.wire import MOST, BadDatagram, Keys, Wire
+from olivecourse.rollout.store import CorruptRecord, Disk, FolderLocked
+from olivecourse.rollout.wire import MAX_DATAGRAM_BYTES, BadDatagram, Keys, Wire
 
 PLAN = Plan("v2", "v1", (20, 60, 100), 0.5, False)
 
@@ -50,7 +50,7 @@
     tables = [n.member.register.learned.get(key) for n in fleet.nodes if n.up]
     newest = max((t for t in tables if t), key=lambda t: t[0])
     node = next(n for n in fleet.nodes if n.up and n.member.register.learned.get(key) == newest)
-    return {p.item: p for p in node.member.table(key).places}
+    return {p.item: p for p in node.member.table(key).leases}
 
 
 def started(fleet, plan=PLAN, replaces=True):
@@ -63,9 +63,9 @@
 
     if replaces:
         fleet.replace = replace
-    for word, more in ((Word.PLAN, {"plan": plan}), (Word.START, {})):
-        answer = fleet.answered(fleet.nodes[0], fleet.say(fleet.nodes[0], word, **more))
-        assert answer.taken, answer
+    for command, more in ((Command.PLAN, {"plan": plan}), (Command.START, {})):
+        answer = fleet.answered(fleet.nodes[0], fleet.send_command(fleet.nodes[0], command, **more))
+        assert answer.accepted, answer
         fleet.run(1)
 
 
@@ -81,19 +81,19 @@
     fleet.run(1)
     works = [drain(fleet, n, 100 + n) for n in range(4)]
     fleet.run(2)
-    assert sorted(w.stage is At.OUT for w in works) == [False, False, True, True]
-    assert all("waits" in w.said for w in works if w.stage is At.WANTED)
-    out = next(w for w in works if w.stage is At.OUT)
+    assert sorted(w.stage is WorkStage.OUT for w in works) == [False, False, True, True]
+    assert all("waits" in w.status_text for w in works if w.stage is WorkStage.WANTED)
+    out = next(w for w in works if w.stage is WorkStage.OUT)
     fleet.store_state[out.item] = "down"
     fleet.run(1)
     fleet.store_state[out.item] = "in"
     fleet.store_warm_at[out.item] = fleet.now + 3 * S
     give(fleet, out.item - 100, out.item)
     fleet.run(2.5)
-    assert out.item in placed(fleet) and out.stage is At.BACK, "it is up, and cold"
-    assert sum(w.stage is At.OUT for w in works) == 1
+    assert out.item in placed(fleet) and out.stage is WorkStage.BACK, "it is up, and cold"
+    assert sum(w.stage is WorkStage.OUT for w in works) == 1
     fleet.run(3)
-    assert out.item not in placed(fleet) and sum(w.stage is At.OUT for w in works) == 2
+    assert out.item not in placed(fleet) and sum(w.stage is WorkStage.OUT for w in works) == 2
     assert fleet.over == 0
 
 
@@ -103,8 +103,8 @@
     fleet.run(1)
     work = drain(fleet, 4, 100)
     if when == "granted":  # and never heard again
-        fleet.cut = lambda a, b: a == 4 and work.stage is not At.WANTED
-    fleet.run(3, lambda: work.stage is (At.GRANTED if when == "granted" else At.OUT))
+        fleet.cut = lambda a, b: a == 4 and work.stage is not WorkStage.WANTED
+    fleet.run(3, lambda: work.stage is (WorkStage.GRANTED if when == "granted" else WorkStage.OUT))
     if when == "back":
         fleet.store_warm_at[100] = fleet.now + 4 * S
         give(fleet, 4, 100)
@@ -114,13 +114,13 @@
     others = [drain(fleet, n, 101 + n) for n in range(3)]
     fleet.run(8)
     left = {"granted": 2, "out": 1, "back": 2}[when]  # a grant falls back; who may be at work on it keeps it
-    assert sum(w.stage is At.OUT for w in others) == left and fleet.over == 0
+    assert sum(w.stage is WorkStage.OUT for w in others) == left and fleet.over == 0
     fleet.boot(fleet.nodes[4])
     fleet.run(2)
     if when == "out":
         give(fleet, 4, 100)
         fleet.run(2)
-    assert sum(w.stage is At.OUT for w in others) == 2 and 100 not in placed(fleet) and fleet.over == 0
+    assert sum(w.stage is WorkStage.OUT for w in others) == 2 and 100 not in placed(fleet) and fleet.over == 0
 
 
 def test_cut_off_members_grant_nothing_and_a_cut_one_way_stops_nobody_else():
@@ -129,14 +129,17 @@
     fleet.cut = lambda a, b: (a < 3) != (b < 3)  # halves, 3 and 2
     few, many = drain(fleet, 4, 100), drain(fleet, 0, 101)
     fleet.run(4)
-    assert (few.stage, many.stage) == (At.WANTED, At.OUT) and few.said == "no majority answered"
+    assert (few.stage, many.stage) == (
+        WorkStage.WANTED,
+        WorkStage.OUT,
+    ) and few.status_text == "no majority answered"
     fleet.cut = lambda a, b: a // 2 != b // 2  # 2, 2 and 1
     more = drain(fleet, 0, 102)
     fleet.run(4)
-    assert more.stage is At.WANTED and list(placed(fleet)) == [101]
+    assert more.stage is WorkStage.WANTED and list(placed(fleet)) == [101]
     fleet.cut = lambda a, b: a == 0  # the first member is heard by nobody, and hears all
     fleet.run(6)
-    assert few.stage is At.OUT and fleet.over == 0
+    assert few.stage is WorkStage.OUT and fleet.over == 0
     fleet.cut = lambda a, b: False
     fleet.run(4)
     assert len(placed(fleet)) == 2 and fleet.over == 0
@@ -145,34 +148,41 @@
 def test_a_store_that_dies_beside_a_drain_holds_up_all_others_and_the_last_one_is_never_taken():
     fleet = Fleet(4, stores=5)
     fleet.run(1)
-    assert drain(fleet, 0, 100).stage is At.WANTED
+    assert drain(fleet, 0, 100).stage is WorkStage.WANTED
     fleet.run(2)
     fleet.store_state[101] = fleet.store_state[102] = "down"
     late = drain(fleet, 1, 103)
     fleet.run(3)
-    assert late.stage is At.WANTED and "out already" in late.said
+    assert late.stage is WorkStage.WANTED and "out already" in late.status_text
     late.forced, fleet.store_state[104] = True, "down"
     fleet.run(2)
-    assert late.stage is At.WANTED and "last one" in late.said
+    assert late.stage is WorkStage.WANTED and "last one" in late.status_text
     group = Group("g", {1: 1.0, 2: 1.0, 3: 8.0}, Budget(2, 0.5))
-    assert not group.room([], 3) and "capacity" in group.room([1], 3) and not group.room([1], 3, forced=True)
-    assert group.room([1, 3], 2, forced=True) == "the last one of its group"
+    assert (
+        not group.denial_reason([], 3)
+        and "capacity" in group.denial_reason([1], 3)
+        and not group.denial_reason([1], 3, forced=True)
+    )
+    assert group.denial_reason([1, 3], 2, forced=True) == "the last one of its group"
 
 
 def test_a_holder_that_stood_still_for_half_a_minute_does_not_act_on_what_it_was_told_before():
     for alone, over in ((False, 0), (True, 1)):
-        fleet = Fleet(5, budget=1, lease_alone=alone)
+        fleet = Fleet(5, budget=1, skip_activation=alone)
         fleet.run(1)
         work, agent = drain(fleet, 4, 100), fleet.nodes[4].agent
-        move, agent._move = agent._move, lambda w, now, m=agent._move: w.stage is At.GRANTED or m(w, now)
-        fleet.run(3, lambda work=work: work.stage is At.GRANTED)
+        move, agent._advance = (
+            agent._advance,
+            lambda w, now, m=agent._advance: w.stage is WorkStage.GRANTED or m(w, now),
+        )
+        fleet.run(3, lambda work=work: work.stage is WorkStage.GRANTED)
         fleet.nodes[4].stopped = True  # between the grant and what comes next
-        agent._move = move
+        agent._advance = move
         other = drain(fleet, 0, 101)
         fleet.run(30)
-        assert other.stage is At.OUT
+        assert other.stage is WorkStage.OUT
         went = []
-        agent._go = went.append
+        agent._take_out = went.append
         fleet.nodes[4].stopped = False
         fleet.run(3)
         assert len(went) == over, "with a lease of its own it goes out beside the other"
@@ -183,8 +193,8 @@
     fleet.run(2)
     works = [drain(fleet, n, 100 + n) for n in range(40)]
     fleet.run(6)
-    assert sum(w.stage is At.OUT for w in works) == 2 and fleet.over == 0
-    assert all(w.said for w in works if w.stage is At.WANTED)
+    assert sum(w.stage is WorkStage.OUT for w in works) == 2 and fleet.over == 0
+    assert all(w.status_text for w in works if w.stage is WorkStage.WANTED)
 
 
 @given(st.integers(0, 10_000))
@@ -245,8 +255,8 @@
     started(fleet, Plan("v3", "v2", (20, 100), 30.0, False))
     assert fleet.run(20, lambda: sum(n.version == "v3" for n in fleet.nodes) == 1)
     fleet.run(1)
-    answer = fleet.answered(fleet.nodes[2], fleet.say(fleet.nodes[2], Word.ROLLBACK))
-    assert answer.taken and fleet.run(30, lambda: state(fleet) is State.DONE)
+    answer = fleet.answered(fleet.nodes[2], fleet.send_command(fleet.nodes[2], Command.ROLLBACK))
+    assert answer.accepted and fleet.run(30, lambda: state(fleet) is State.DONE)
     assert {n.version for n in fleet.nodes} == {"v2"} and max(most) == 1
 
 
@@ -255,10 +265,10 @@
     fleet.run(1)
     started(fleet)
     known = fleet.nodes[3].member.release.term
-    halted = fleet.say(fleet.nodes[4], Word.HALT, why="by hand")
+    halted = fleet.send_command(fleet.nodes[4], Command.HALT, why="by hand")
     fleet.run(1)
     assert all(n.member.halted for n in fleet.nodes), "within a second, a tenth of the datagrams lost"
-    assert fleet.nodes[4].answers[halted].taken
+    assert fleet.nodes[4].answers[halted].accepted
     for node in fleet.nodes:
         fleet.kill(node)
     for node in fleet.nodes:
@@ -267,12 +277,14 @@
     fleet.run(5)
     assert state(fleet, 4) is State.HALTED and [n.version for n in fleet.nodes] == versions
     late = fleet.nodes[3]
-    from olivecourse.rollout.releases import KEY, Say
+    from olivecourse.rollout.releases import KEY, CommandRequest
 
-    crossing = late.member.ask(KEY, Say(Word.RESUME, known, 3, 7), fleet.clock(late))  # sent before the halt
+    crossing = late.member.submit(
+        KEY, CommandRequest(Command.RESUME, known, 3, 7), fleet.clock(late)
+    )  # sent before the halt
     answer = fleet.answered(late, crossing)
-    assert not answer.taken and "stands at term" in answer.reason
-    assert fleet.answered(late, fleet.say(late, Word.RESUME)).taken
+    assert not answer.accepted and "stands at term" in answer.reason
+    assert fleet.answered(late, fleet.send_command(late, Command.RESUME)).accepted
     assert fleet.run(40, lambda: state(fleet) is State.DONE) and {n.version for n in fleet.nodes} == {"v2"}
 
 
@@ -282,7 +294,7 @@
     started(fleet, replaces=False)
     fleet.cut = lambda a, b: (a in (2, 3, 4)) != (b in (2, 3, 4))
     fleet.run(0.1)
-    handle = fleet.say(fleet.nodes[4], Word.HALT)
+    handle = fleet.send_command(fleet.nodes[4], Command.HALT)
     fleet.run(3)
     assert fleet.nodes[3].member.halted and not fleet.nodes[0].member.halted
     assert fleet.answered(fleet.nodes[4], handle, 3) is None
@@ -294,16 +306,16 @@
 def test_two_releases_at_once_are_one_and_a_gateway_that_missed_all_learns_it_before_it_takes_part():
     fleet = Fleet(10)
     fleet.run(1)
-    away = fleet.nodes[4]
-    fleet.kill(away)
-    first = fleet.say(fleet.nodes[0], Word.PLAN, plan=PLAN)
-    second = fleet.say(fleet.nodes[1], Word.PLAN, plan=Plan("v9", "v1", (100,), 0.0, False))
+    unavailable = fleet.nodes[4]
+    fleet.kill(unavailable)
+    first = fleet.send_command(fleet.nodes[0], Command.PLAN, plan=PLAN)
+    second = fleet.send_command(fleet.nodes[1], Command.PLAN, plan=Plan("v9", "v1", (100,), 0.0, False))
     fleet.run(3)
-    said = [fleet.nodes[0].answers[first].taken, fleet.nodes[1].answers[second].taken]
+    said = [fleet.nodes[0].answers[first].accepted, fleet.nodes[1].answers[second].accepted]
     assert sorted(said) == [False, True]
-    fleet.boot(away, lost_disk=True)
+    fleet.boot(unavailable, lost_disk=True)
     fleet.run(1)
-    assert away.member.release == fleet.nodes[0].member.release
+    assert unavailable.member.release == fleet.nodes[0].member.release
 
 
 def test_a_member_replaced_under_its_name_does_not_vote_before_it_has_caught_up():
@@ -327,7 +339,7 @@
         node.member.world.cold_ns[STORES] = 2 * S
     fleet.run(1)
     work = drain(fleet, 4, 100)
-    fleet.run(3, lambda: work.stage is At.OUT)
+    fleet.run(3, lambda: work.stage is WorkStage.OUT)
     give(fleet, 4, 100)
     fleet.run(1.5)
     assert 100 in placed(fleet)
@@ -347,22 +359,24 @@
     fleet.run(5)
     late = drain(fleet, 3, 101)
     fleet.run(4)
-    assert late.said == "no majority answered" and not any(n.member.register.votes for n in fleet.nodes[1:])
+    assert late.status_text == "no majority answered" and not any(
+        n.member.register.votes for n in fleet.nodes[1:]
+    )
     fleet.boot(fleet.nodes[0], old_disk=True)
     fleet.run(6)
-    assert late.stage is At.OUT and set(placed(fleet)) == {100, 101}
+    assert late.stage is WorkStage.OUT and set(placed(fleet)) == {100, 101}
 
 
 def test_gates_halt_a_bad_version_at_the_canary_and_a_good_one_rarely():
     rng, halted, at = Random(5), 0, []
     for trial in range(200):
         bad = trial % 2
-        gate, new, old = Gate(0.01, 1.0), [0, 0], [0, 0]
+        gate, new, old = SequentialTest(0.01, 1.0), [0, 0], [0, 0]
         for step in range(60):
             for side, rate in ((new, 0.15 if bad else 0.02), (old, 0.02)):
                 side[0] += 20
                 side[1] += sum(rng.random() < rate for _ in range(20))
-            if gate.look(Counts(*new), Counts(*old)):
+            if gate.update(Counts(*new), Counts(*old)):
                 at.append(step) if bad else None
                 halted += not bad
                 break
@@ -379,8 +393,8 @@
         Plan("v", "w", soak_s=-1.0),
         Plan("v" * 30, "w"),
     ):
-        assert flaws(plan)
-    assert not flaws(PLAN)
+        assert plan_error(plan)
+    assert not plan_error(PLAN)
 
 
 # Wire, disk, configuration -----------------------------------------------------------------------------
@@ -393,12 +407,14 @@
     here = Wire(0, 7, new)
     with pytest.raises(BadDatagram):
         here.decode(data)
-    sealed = Wire(1, 7, old).encode(0, Halted(3, 1, 0, "x" * 500))
-    assert len(sealed) <= MOST and here.decode(sealed)[0] == 1, "a key that is not current yet, or no more"
+    sealed = Wire(1, 7, old).encode(0, HaltNotice(3, 1, 0, "x" * 500))
+    assert len(sealed) <= MAX_DATAGRAM_BYTES and here.decode(sealed)[0] == 1, (
+        "a key that is not current yet, or no more"
+    )
     with pytest.raises(BadDatagram, match="come before"):
         here.decode(sealed)
     there = Wire(2, 7, Keys({2: b"b" * 32}, 2))
-    sealed = there.encode(0, Tell(5, Answer(Said.REFUSED, reason="y" * 500)))
+    sealed = there.encode(0, OperationReply(5, Answer(Outcome.REFUSED, reason="y" * 500)))
     place = len(data) * 7 % len(sealed)
     broken = bytearray(sealed)
     broken[place] ^= 1
@@ -406,7 +422,7 @@
         here.decode(bytes(broken))
     assert here.decode(sealed)[0] == 2
     with pytest.raises(BadDatagram, match="come before"):
-        here.decode(Wire(2, 6, new).encode(0, Halted(3, 1, 0)))
+        here.decode(Wire(2, 6, new).encode(0, HaltNotice(3, 1, 0)))
 
 
 def test_a_folder_holds_what_was_promised_and_one_that_does_not_hold_counts_as_empty(tmp_path):
@@ -417,14 +433,14 @@
     disk.write(slots, 10_030)
     disk.close()
     again = Disk(str(tmp_path / "a"), "n0", b"k" * 32)
-    with pytest.raises(Held):
+    with pytest.raises(FolderLocked):
         Disk(str(tmp_path / "a"), "n0", b"k" * 32)  # the other process of an upgrade
     assert again.load() == slots
-    assert [again.old(s) for s in (10_031, 10_030 + 7 * 86_400, 1)] == [False, True, True]
+    assert [again.is_stale(s) for s in (10_031, 10_030 + 7 * 86_400, 1)] == [False, True, True]
     again.close()
     for name, key in (("n1", b"k" * 32), ("n0", b"q" * 32)):
         other = Disk(str(tmp_path / "a"), name, key)
-        with pytest.raises(Torn):
+        with pytest.raises(CorruptRecord):
             other.load()
         other.close()
 
@@ -455,7 +471,7 @@
     assert done.stdout.strip() == "[]", done.stdout + done.stderr
     stage = Stage()
     try:
-        assert not stage.gateway.directory.leased_out and GATES not in str(stage.gateway.parts)
+        assert not stage.gateway.directory.leased_out and GATEWAYS not in str(stage.gateway.parts)
     finally:
         stage.close()
 
@@ -465,9 +481,9 @@
 
 @pytest.mark.parametrize("fault", FAULTS)
 def test_the_checker_finds_each_planted_fault_and_nothing_without_it(fault):
-    assert hunt(fault, seed=3, seconds=60).broken
-    found = explore(Model(**NARROW[fault]), 600)
-    assert not found.broken, found.trace
+    assert find_planted_fault(fault, seed=3, seconds=60).violation
+    found = explore(Model(**NARROW_BOUNDS[fault]), 600)
+    assert not found.violation, found.trace
 
 
 def test_real_processes_with_faults_between_them_never_overspend_and_lose_no_halt():
@@ -532,7 +548,7 @@
     members, start = (0, 1, 2), 1_700_000_000 * S
 
     def sent_in_a_minute(me):
-        register = Register(
+        register = QuorumRegisters(
             me,
             members,
             {},
@@ -555,14 +571,14 @@
     clock = SimpleNamespace(now=lambda: 5 * S)
     part = SimpleNamespace(
         _tickets=[4],
-        _answers={4: Answered(Heard(True, 2, State.HALTED), 4 * S)},
+        _answers={4: CommandAnswer(CommandReply(True, 2, State.HALTED), 4 * S)},
         host=SimpleNamespace(loop=SimpleNamespace(clock=clock)),
         member=SimpleNamespace(release=SimpleNamespace(term=1)),
     )
     assert json.loads(RolloutPart._ticket(part, "4").body) == {"pending": True}
     part.member.release.term = 2
     assert json.loads(RolloutPart._ticket(part, "4").body)["ok"]
-    part.member.release.term, clock.now = 1, lambda: 4 * S + LEARN_NS
+    part.member.release.term, clock.now = 1, lambda: 4 * S + LEARN_TIMEOUT_NS
     assert json.loads(RolloutPart._ticket(part, "4").body)["ok"]
 
 
@@ -587,8 +603,11 @@
     for sender in (1, 5, 9):
         member.heard(sender, news, now)
         member.heard(sender, known, now)
-    told = [target for target, message in member.register.step.sends if message == news]
-    assert len(told) == len(set(told)) == len(member.register.step.sends) == RUMOR_PEERS and 30 not in told
+    targets = [target for target, message in member.register.step.sends if message == news]
+    assert (
+        len(targets) == len(set(targets)) == len(member.register.step.sends) == RUMOR_FANOUT
+        and 30 not in targets
+    )
 
 
 def test_a_drain_is_known_to_a_fleet_of_a_hundred_well_before_its_beats():
@@ -598,7 +617,7 @@
     drain(fleet, 1, 101)
 
     def who_knows():
-        return sum(101 in {place.item for place in node.member.table(STORES).places} for node in fleet.nodes)
+        return sum(101 in {place.item for place in node.member.table(STORES).leases} for node in fleet.nodes)
 
     assert fleet.run(1, lambda: who_knows() >= 1)
     assert fleet.run(0.3, lambda: who_knows() == 100), who_knows()
