--- a/olivecourse/rollout/part.py
+++ b/olivecourse/rollout/part.py
@@ -351,10 +351,10 @@
         for step in steps:
             durable.update(step.durable)
         disk, recovering = self._disk, not self._caught_up and self.member.register.votes
-        write, unix_s = disk.write_recovered if recovering else disk.write, time.time_ns() // S
+        write_slots, unix_s = disk.write_recovered if recovering else disk.write, time.time_ns() // S
         durable = {**self.member.register.slots, **durable} if recovering else durable
         self._writing = self._worker.submit(
-            lambda: write(durable, unix_s), lambda _, error: self._on_written(steps, recovering, error)
+            lambda: write_slots(durable, unix_s), lambda _, error: self._on_written(steps, recovering, error)
         )
 
     def _on_written(self, steps: list[Step], recovering: bool, error: Exception | None) -> None:
--- a/olivecourse/rollout/places.py
+++ b/olivecourse/rollout/places.py
@@ -1,9 +1,10 @@
-"""Places to be out, as one register's value and the operations on it. No I/O.
+"""Disruption leases: permissions to be out of service, as the value of one register. No I/O.
 
-A place is a lease with a fencing token. `GRANTED`: may go out, is still in; `OUT`: goes out, or is; `BACK`:
-is asked again, and not warm yet. It is lease back only when what it names is in and warm, as the members that
-voted see it, never because a clock says so; only what was merely granted falls back when its holder is
-silent.
+A lease names one item (a store or a gateway) and carries a fencing token. Phase `GRANTED`: the item may go out
+of service but still serves. `OUT`: the item is going out of service or is out. `BACK`: the item receives
+requests again but may still be cold. A lease that was used ends only when the voting members see its item in
+service and warm, never because time has passed. A lease that is merely granted is reclaimed when its holder
+sends no heartbeats.
 """
 
 from __future__ import annotations
@@ -16,18 +17,20 @@
 
 from olivecourse.rollout.budgets import Group
 
-MAX_LEASES, MAX_QUEUED = 6, 4  # a value has to go into one datagram
-MAX_VALUE_BYTES = 160  # bytes
+MAX_LEASES, MAX_QUEUED = 6, 4  # per group: an encoded table must fit into one datagram
+MAX_VALUE_BYTES = 160
 
 
 class Phase(IntEnum):
+    """How far the holder of a lease has come; see the head of this module."""
+
     GRANTED = 0
     OUT = 1
     BACK = 2
 
 
 class Why(IntEnum):
-    """Who asks: an operator for a drain, a release on its way, or one on its way back."""
+    """The purpose of a lease: an operator's drain, a release, or the rollback of a release."""
 
     DRAIN = 0
     RELEASE = 1
@@ -35,7 +38,8 @@
 
 
 class Lease(msgspec.Struct, frozen=True, array_like=True):
-    """`holder` is the number of the gateway that works on it, `since` the Unix second of the grant."""
+    """A granted lease. `holder` is the number of the gateway that uses it, `since` the Unix time of the grant in
+    seconds."""
 
     item: int
     holder: int
@@ -46,6 +50,8 @@
 
 
 class QueuedRequest(msgspec.Struct, frozen=True, array_like=True):
+    """A lease request that waits for the budget; `since` is the Unix time of the request in seconds."""
+
     item: int
     holder: int
     why: Why
@@ -216,7 +222,7 @@
 def _activate(table: Table, op: LeaseOperation, view: View) -> tuple[Table, Answer]:
     current = table.lease_of(op.item)
     if current is None or current.token != op.token or current.holder != op.holder:
-        return table, Answer(Outcome.FENCED, reason="the place was lease to another or taken back")
+        return table, Answer(Outcome.FENCED, reason="the place was given to another or taken back")
     if current.phase is not Phase.GRANTED:
         return table, Answer(Outcome.DONE, current.token)
     if current.why is Why.RELEASE and (view.halted or op.release_term < view.release_term):
@@ -248,7 +254,7 @@
 def _restore(table: Table, op: LeaseOperation, view: View) -> tuple[Table, Answer]:
     current = table.lease_of(op.item)
     if current is None or current.token != op.token:
-        return table, Answer(Outcome.FENCED, reason="the place was lease to another or lease back")
+        return table, Answer(Outcome.FENCED, reason="the place was given to another or given back")
     if current.phase is Phase.BACK:
         return table, Answer(Outcome.DONE, current.token)
     restored = msgspec.structs.replace(current, phase=Phase.BACK)
--- a/olivecourse/rollout/register.py
+++ b/olivecourse/rollout/register.py
@@ -1,10 +1,11 @@
-"""Registers that a majority of the configured members keeps, by Paxos without a log. No I/O.
-
-After D. Rystsov, "CASPaxos: Replicated State Machines without logs" (2018): a change is a function of the
-value, played in two phases under one ballot. Names are the paper's: ballot, prepare, promise, accept. What
-`Step.durable` holds must be on disk before `Step.sends` leaves; a member that cannot promise that does not
-vote. A member that has lost its disk waits until no round of its former life can be open any more, and then
-takes the highest it hears from a majority that it is not part of, or from all others.
+"""Replicated registers, each agreed on by a majority of the configured members, without a log. No I/O.
+
+The protocol is CASPaxos (D. Rystsov, "CASPaxos: Replicated State Machines without logs", 2018): a change is a
+function of the current value, run in two phases under one ballot. The names are those of the paper: ballot,
+prepare, promise, accept. The caller must write `Step.durable` to disk before it sends `Step.sends`; a member
+that cannot guarantee this does not vote. A member that has lost its disk waits until no ballot that counted
+one of its earlier promises can still be open. It then adopts the newest state reported by a majority of
+members other than itself, or by all other members.
 """
 
 from __future__ import annotations
@@ -17,20 +18,24 @@
 import msgspec
 
 MS = 1_000_000
-AGAIN_NS = 60 * MS  # until what was not answered is sent again: over twice the slowest way of a datagram
-BALLOT_TIMEOUT_NS = 600 * MS  # a ballot is given up after so long, whatever may still arrive for it
-PROPOSAL_TIMEOUT_NS = 2_000 * MS  # after so long a change is answered as unknown
-MAX_BACKOFF_NS = 80 * MS  # at most, after another member's higher ballot
-QUARANTINE_NS = 3 * BALLOT_TIMEOUT_NS  # after a lost disk: no round may count a promise made before it
+AGAIN_NS = 60 * MS  # resend interval for unanswered messages: over twice the longest datagram transit time
+BALLOT_TIMEOUT_NS = 600 * MS  # a ballot is abandoned after this time, even if replies may still arrive
+PROPOSAL_TIMEOUT_NS = 2_000 * MS  # after this time the outcome of a proposal is reported as unknown
+MAX_BACKOFF_NS = 80 * MS  # upper bound of the random delay after another member's higher ballot
+QUARANTINE_NS = (
+    3 * BALLOT_TIMEOUT_NS
+)  # after a lost disk: ballots that counted its earlier promises have ended
 
 
 class Ballot(msgspec.Struct, frozen=True, array_like=True, order=True):
+    """A ballot number: a counter, made unique by the number of the proposing member."""
+
     count: int = 0
     member: int = -1
 
 
 class Slot(msgspec.Struct, frozen=True, array_like=True):
-    """What an acceptor holds of one register, all of it durable."""
+    """The durable acceptor state of one register: the promised ballot, and the last accepted ballot and value."""
 
     promised: Ballot = Ballot()
     accepted: Ballot = Ballot()
@@ -38,12 +43,14 @@
 
 
 class Prepare(msgspec.Struct, frozen=True, array_like=True):
+    """Phase 1 request: asks an acceptor to reject all lower ballots for register `key`."""
+
     key: str
     ballot: Ballot
 
 
 class Promise(msgspec.Struct, frozen=True, array_like=True):
-    """With what was accepted last, and whom this member takes to be out."""
+    """Phase 1 reply: the acceptor's last accepted ballot and value, and the items that it considers out of service."""
 
     key: str
     ballot: Ballot
@@ -53,18 +60,23 @@
 
 
 class Accept(msgspec.Struct, frozen=True, array_like=True):
+    """Phase 2 request: asks an acceptor to accept `value` under `ballot`."""
+
     key: str
     ballot: Ballot
     value: bytes
 
 
 class Accepted(msgspec.Struct, frozen=True, array_like=True):
+    """Phase 2 reply: the acceptor has accepted the value of `ballot`."""
+
     key: str
     ballot: Ballot
 
 
 class Reject(msgspec.Struct, frozen=True, array_like=True):
-    """A higher ballot was promised; `fenced`: the value rests on a release that has ended since."""
+    """Refusal of `ballot`: the acceptor has promised the higher ballot `seen`. With `fenced` set, the reason is
+    instead that the proposed value is based on an outdated release term."""
 
     key: str
     ballot: Ballot
@@ -73,7 +85,7 @@
 
 
 class Learn(msgspec.Struct, frozen=True, array_like=True):
-    """Chosen by a majority. `rumor`: to be passed on by whoever did not know it yet."""
+    """A value chosen by a majority. With `rumor` set, a receiver that did not know the value forwards it."""
 
     key: str
     ballot: Ballot
@@ -82,14 +94,14 @@
 
 
 class Recall(msgspec.Struct, frozen=True, array_like=True):
-    """A member that has lost its disk asks what is held."""
+    """Sent by a member that has lost its disk: asks another member for all register states that it holds."""
 
     nonce: int
 
 
 class RecoveryReply(msgspec.Struct, frozen=True, array_like=True):
-    """One register of so many; `total` 0: none is held. `sure`: from a member that votes, and not from one
-    whose folder may be a copy of an older one."""
+    """Reply to `Recall` with the state of one of `total` registers; a `total` of 0 means that the sender holds
+    none. `authoritative` is true if the sender votes, and false if its folder may be an outdated copy."""
 
     nonce: int
     total: int
@@ -100,11 +112,12 @@
 
 @dataclass
 class Step:
-    """What came of a call, in the order in which it must be done: write, then send, then tell."""
+    """Effects that the caller must carry out in this order: write `durable` to disk, send `sends`, and report
+    the answers in `done`."""
 
     durable: dict[str, Slot] = field(default_factory=dict)
-    sends: list[tuple[int, Any]] = field(default_factory=list)
-    done: list[tuple[int, Any]] = field(default_factory=list)  # (handle, answer); None: not known
+    sends: list[tuple[int, Any]] = field(default_factory=list)  # (target member, message)
+    done: list[tuple[int, Any]] = field(default_factory=list)  # (handle, answer); None: outcome unknown
 
 
 ApplyOperations = Callable[[str, bytes, Sequence[Any], frozenset[int]], tuple[bytes, list[Any]]]
@@ -113,10 +126,12 @@
 
 @dataclass
 class BallotRound:
+    """State of one ballot that this member has proposed and that is still open."""
+
     ballot: Ballot
     started_at: int
     sent_at: int
-    proposals: list[tuple[int, Any, int]]  # handle, operation, since when
+    proposals: list[tuple[int, Any, int]]  # (handle, operation, time of the proposal)
     promises: dict[int, Promise] = field(default_factory=dict)
     value: bytes | None = None  # proposed in the second phase
     answers: list[Any] = field(default_factory=list)
@@ -124,8 +139,12 @@
 
 
 class QuorumRegisters:
-    """One member's part in all registers. `judge` gives the next value and an answer for each operation;
-    `fence` says of a value that is to be accepted whether it rests on a release that has ended."""
+    """Proposer and acceptor of one member, for all registers.
+
+    `apply_operations` computes the next value and one answer for each operation. `fence` returns whether a
+    value that is to be accepted is based on an outdated release term. `out` lists the items of a register
+    that this member considers out of service; promises carry that list.
+    """
 
     def __init__(
         self,
@@ -138,11 +157,14 @@
         out: Callable[[str], tuple[int, ...]] = lambda key: (),
         votes: bool = True,
     ) -> None:
-        """`votes`: False for a member whose disk came back empty, until it has caught up."""
+        """`votes` is False for a member whose disk was found empty, until that member has recovered the state
+        of the other members."""
         self.me, self.members, self.slots = me, tuple(members), dict(slots)
         self._apply_operations, self._fence, self._out, self._random = apply_operations, fence, out, random
         self.votes = votes
-        self.on_chosen: Callable[[Learn], None] = lambda message: None  # called with each value chosen here
+        self.on_chosen: Callable[[Learn], None] = lambda message: (
+            None
+        )  # called for each value chosen by own ballots
         self.step = Step()
         self.learned: dict[str, tuple[Ballot, bytes]] = {}
         self.rounds: dict[str, BallotRound] = {}
@@ -151,26 +173,28 @@
         self._highest_counts: dict[str, int] = {}
         self._recovery: tuple[int, int, dict[int, dict[str, Slot]], dict[int, int]] | None = None
         self._recovery_sent_at = 0
-        self._authoritative_members: set[int] = set()  # who votes, of those that answered
+        self._authoritative_members: set[int] = set()  # members that answered a recovery request and vote
 
     @property
     def majority(self) -> int:
+        """The number of members that form a quorum."""
         return len(self.members) // 2 + 1
 
     def taken(self) -> Step:
-        """The step so far; the next one is empty."""
+        """Returns the effects collected so far and starts a new, empty step."""
         step, self.step = self.step, Step()
         return step
 
     def propose(self, key: str, handle: int, operation: Any, now: int) -> None:
-        """Plays the operation on a register; its answer comes under `handle`. Those that come while a ballot
-        is open are played together in the next."""
+        """Proposes an operation on a register; its answer appears in `Step.done` under `handle`. Operations
+        proposed while a ballot is open are batched into the next ballot."""
         self._pending.setdefault(key, []).append((handle, operation, now))
         self._start(key, now)
 
-    # A ballot of our own ------------------------------------------------------------------------------
+    # Proposer -----------------------------------------------------------------------------------------
 
     def _start(self, key: str, now: int) -> None:
+        """Starts a ballot for the pending proposals of `key`, unless a ballot is open or backoff is in effect."""
         if key in self.rounds or not self.votes or now < self._not_before.get(key, 0):
             return
         proposals = self._pending.pop(key, [])
@@ -181,7 +205,8 @@
         ballot = Ballot(count, self.me)
         self._highest_counts[key] = count
         self.rounds[key] = BallotRound(ballot, now, now, proposals)
-        # Our own promise first: it is on disk before anyone hears of the ballot, so none is ever used twice.
+        # This member promises first. The promise is on disk before any other member receives the ballot, so
+        # that no ballot number is ever used twice.
         own_reply = self._handle_prepare(Prepare(key, ballot))
         for member in self.members:
             if member != self.me:
@@ -233,12 +258,13 @@
             self._abandon(message.key, ballot_round, now)
 
     def _abandon(self, key: str, ballot_round: BallotRound, now: int) -> None:
-        """Its changes may have been made or not; each is played again, and knows itself if it was."""
+        """Gives up a ballot and queues its operations for the next one. Their changes may or may not have been
+        chosen; operations are idempotent, so that they can be applied again."""
         del self.rounds[key]
         self._pending[key] = ballot_round.proposals + self._pending.get(key, [])
         self._not_before[key] = now + int(MAX_BACKOFF_NS * self._random.random())
 
-    # Votes --------------------------------------------------------------------------------------------
+    # Acceptor -----------------------------------------------------------------------------------------
 
     def _store_slot(self, key: str, slot: Slot) -> None:
         self.slots[key] = self.step.durable[key] = slot
@@ -261,13 +287,13 @@
             self._store_slot(message.key, Slot(message.ballot, message.ballot, message.value))
         return Accepted(message.key, message.ballot)
 
-    # In and out ---------------------------------------------------------------------------------------
+    # Messages -----------------------------------------------------------------------------------------
 
     def _send(self, member: int, message: Any) -> None:
         self.step.sends.append((member, message))
 
     def heard(self, sender: int, message: Any, now: int) -> None:
-        """A message of another member; who is none is not listened to."""
+        """Handles a message from a member; messages from other senders are ignored."""
         if sender not in self.members:
             return
         if isinstance(message, Prepare) and self.votes:
@@ -288,7 +314,7 @@
             self._on_recovery_reply(sender, message)
 
     def learn(self, message: Learn) -> bool:
-        """Whether it is newer than what was known."""
+        """Records a chosen value; returns whether its ballot is newer than that of the known value."""
         known = self.learned.get(message.key)
         if known is not None and message.ballot <= known[0]:
             return False
@@ -299,8 +325,8 @@
         return True
 
     def tick(self, now: int) -> None:
-        """To be called every few tens of milliseconds."""
-        if not self.votes and self.me in self.members:  # who never votes has no vote to win back
+        """Resends and times out messages; must be called every few tens of milliseconds."""
+        if not self.votes and self.me in self.members:  # a node outside the members has no vote to recover
             self._request_recovery(now)
         for key, ballot_round in list(self.rounds.items()):
             if now - ballot_round.started_at > BALLOT_TIMEOUT_NS:
@@ -319,21 +345,23 @@
                     ):
                         self._send(member, resend)
         for key, proposals in list(self._pending.items()):
-            expired = [ask for ask in proposals if now - ask[2] > PROPOSAL_TIMEOUT_NS]
+            expired = [proposal for proposal in proposals if now - proposal[2] > PROPOSAL_TIMEOUT_NS]
             self.step.done += [(handle, None) for handle, _, _ in expired]
-            self._pending[key] = [ask for ask in proposals if ask not in expired]
+            self._pending[key] = [proposal for proposal in proposals if proposal not in expired]
             self._start(key, now)
 
     def load_slots(self, slots: dict[str, Slot], votes: bool) -> None:
-        """A member that did not vote has got its disk: what it holds, and whether it may vote by it now."""
+        """Adopts the state read from a disk that became available after the start. `votes` says whether this
+        member may vote with that state."""
         self.slots, self.votes = dict(slots), votes
         for key, slot in slots.items():
             if slot.value:
                 self.learn(Learn(key, slot.accepted, slot.value))
 
-    # A lost disk --------------------------------------------------------------------------------------
+    # Recovery after a lost disk -----------------------------------------------------------------------
 
     def _request_recovery(self, now: int) -> None:
+        """Asks the other members for their register states, once the quarantine is over."""
         if self._recovery is None:
             self._recovery = (self._random.getrandbits(31), now, {}, {})
         nonce, started_at, _, _ = self._recovery
@@ -360,8 +388,9 @@
         if message.total:
             found.setdefault(sender, {})[message.key] = message.slot
         complete = [m for m, total in totals.items() if len(found.get(m, {})) >= total]
-        # A majority without us has one of each majority that we may have been part of. Where all folders are
-        # old, as after a long power cut, all of the others together hold whatever was chosen.
+        # A majority without this member shares a member with every majority that this member may have been
+        # part of. If all folders are outdated, as after a long power cut, all other members together hold
+        # every value that was chosen.
         if (
             len(self._authoritative_members.intersection(complete)) < self.majority
             and len(complete) < len(self.members) - 1
