--- a/olivecourse/rollout/budgets.py
+++ b/olivecourse/rollout/budgets.py
@@ -1,7 +1,8 @@
-"""How much of a group may be out at once. No I/O.
+"""Disruption budgets: how much of a group may be out of service at once. No I/O.
 
-A group is the stores of an office, the hub caches of a hub, or the gateways of an office. What is out counts
-whatever the reason: with a place, drained by hand, told as draining or gone, found dead, cold and warming.
+A group is the stores of an office, the hub caches of a hub, or the gateways of an office. An item counts as
+out of service for any reason: it holds a lease, an operator has drained it, it is listed as draining or
+removed, it has failed, or it is cold and warming up.
 """
 
 from __future__ import annotations
@@ -9,12 +10,13 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass
 
-SHARE_TOLERANCE = 1e-9  # shares are products of floats
+SHARE_TOLERANCE = 1e-9  # absorbs rounding errors of the floating-point shares
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """At most `number` members, of at most `share` of the group's capacity together."""
+    """Limit on what may be out of service at once: at most `number` items, which together have at most
+    `share` of the capacity of the group."""
 
     number: int = 1
     share: float = 0.34
@@ -22,15 +24,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Group:
-    """Names and capacities of who belongs to it; `budget` for all of them together."""
+    """A group of items with the capacity of each, and the disruption budget of the group."""
 
     key: str
     capacity: Mapping[int, float]
     budget: Budget
 
     def denial_reason(self, out: Collection[int], item: int, forced: bool = False) -> str:
-        """Why `item` may not go out beside those in `out`; empty if it may. What is out and no longer listed
-        counts by number. `forced`, by an operator in need, passes the budget but never takes the last one."""
+        """Returns why `item` may not go out of service in addition to the items in `out`, or an empty string
+        if it may. Items in `out` that are no longer listed count towards the number. An operator's `forced`
+        request bypasses the budget, but never takes out the last item of a group."""
         if item not in self.capacity:
             return "not listed"
         after = set(out) | {item}
@@ -42,12 +45,11 @@
             return f"{len(after) - 1} of {self.budget.number} out already"
         total = sum(self.capacity.values())
         share = sum(self.capacity.get(name, 0.0) for name in after) / total if total else 1.0
-        if (
-            len(after) > 1 and share > self.budget.share + SHARE_TOLERANCE
-        ):  # a single one must always be possible
+        if len(after) > 1 and share > self.budget.share + SHARE_TOLERANCE:  # one item alone is always allowed
             return f"{share:.0%} of the capacity would be out, {self.budget.share:.0%} may be"
         return ""
 
     def over_budget(self, out: Collection[int]) -> bool:
-        """Whether more is out than may be, as after a death beside a drain: nothing more is granted then."""
+        """Returns whether more items are out of service than allowed, as after a failure during a drain. No
+        further lease is granted then."""
         return len(out) > self.budget.number
--- a/olivecourse/rollout/gates.py
+++ b/olivecourse/rollout/gates.py
@@ -1,9 +1,10 @@
-"""Gates on a release: does the new version serve worse than the untouched one? No I/O.
+"""Canary analysis of a release: does the new version serve worse than the old one? No I/O.
 
-A sequential test that may be looked at after every batch: the marginal likelihood of the new side's requests
-under a Beta prior, over the largest that the null hypothesis "not worse by more than `worse`" allows. This is
-an e-process (Wasserman, Ramdas and Balakrishnan, "Universal inference", 2020, section 7), so by Ville's
-inequality a good version is halted with probability alpha at most, however often one looks.
+This is a sequential test that may be evaluated after every batch. Its statistic is the marginal likelihood of
+the new version's requests under a Beta prior, divided by the largest likelihood that the null hypothesis "not
+worse by more than `worse`" allows. The statistic is an e-process (Wasserman, Ramdas and Balakrishnan,
+"Universal inference", 2020, section 7). By Ville's inequality a good version is therefore halted with
+probability alpha at most, however often the test is evaluated.
 """
 
 from __future__ import annotations
@@ -14,15 +15,15 @@
 
 from scipy.special import betaln, xlog1py, xlogy
 
-PRIOR = (0.5, 0.5)  # Jeffreys'
+PRIOR = (0.5, 0.5)  # Jeffreys prior
 UPPER_BOUND_SIGMAS = (
-    2.6  # standard errors that the untouched side's rate may lie above what was seen: one in 200
+    2.6  # standard errors from the old version's observed rate to its upper bound, exceeded in 1 of 200 cases
 )
 
 
 @dataclass(frozen=True, slots=True)
 class Counts:
-    """Requests that ended, and how many of them badly: refused, failed or late."""
+    """Number of ended requests, and of those that ended badly: refused, failed or late."""
 
     ended: int = 0
     bad: int = 0
@@ -30,14 +31,15 @@
 
 @dataclass
 class SequentialTest:
-    """One comparison, of the new version's side against the untouched one's."""
+    """One comparison of the gateways with the new version against the gateways with the old version."""
 
     alpha: float
-    worse: float  # percent points
+    worse: float  # tolerated increase of the rate of bad requests, in percentage points
     evidence: float = 0.0  # the largest logarithm of the e-process so far
 
     @property
     def should_halt(self) -> bool:
+        """Whether the evidence against the new version has reached the threshold 1 / alpha."""
         return self.evidence >= -log(self.alpha)
 
     @property
@@ -46,7 +48,7 @@
         return exp(-max(self.evidence, 0.0))
 
     def update(self, new: Counts, old: Counts) -> bool:
-        """Totals so far of each side; whether the release is to be halted."""
+        """Evaluates the total counts so far of both versions; returns whether the release must be halted."""
         if 0 <= new.bad <= new.ended and old.ended > 0:
             self.evidence = max(self.evidence, self._evidence(new, old))
         return self.should_halt
@@ -54,18 +56,19 @@
     def _evidence(self, new: Counts, old: Counts) -> float:
         good = new.ended - new.bad
         marginal = float(betaln(PRIOR[0] + new.bad, PRIOR[1] + good) - betaln(*PRIOR))
-        # The untouched side's rate is itself known from so many requests only: its upper bound counts.
+        # The rate of the old version is only an estimate from a limited number of requests: use its upper
+        # bound.
         rate = (old.bad + 1.0) / (old.ended + 2.0)
         margin = UPPER_BOUND_SIGMAS * (rate * (1 - rate) / (old.ended + 2.0)) ** 0.5
         highest_null_rate = min(rate + margin + self.worse / 100.0, 1.0 - 1e-9)
         null_rate = max(
             min(new.bad / max(new.ended, 1), highest_null_rate), 1e-9
-        )  # of all rates that the null allows
+        )  # the most likely of the rates that the null hypothesis allows
         return marginal - float(xlogy(new.bad, null_rate) + xlog1py(good, -null_rate))
 
 
 def sides(counts: Mapping[int, tuple[str, Counts]], version: str) -> tuple[Counts, Counts]:
-    """Of all gateways' counts since the release began: the new version's side, and the others'."""
+    """Sums the counts of all gateways since the release began: those with the new version, and the others."""
 
     def total(new: bool) -> Counts:
         selected = [c for gateway_version, c in counts.values() if (gateway_version == version) == new]
--- a/olivecourse/rollout/places.py
+++ b/olivecourse/rollout/places.py
@@ -1,7 +1,7 @@
 """Disruption leases: permissions to be out of service, as the value of one register. No I/O.
 
-A lease names one item (a store or a gateway) and carries a fencing token. Phase `GRANTED`: the item may go out
-of service but still serves. `OUT`: the item is going out of service or is out. `BACK`: the item receives
+A lease names one item (a store or a gateway) and carries a fencing token. Phase `GRANTED`: the item may go
+out of service but still serves. `OUT`: the item is going out of service or is out. `BACK`: the item receives
 requests again but may still be cold. A lease that was used ends only when the voting members see its item in
 service and warm, never because time has passed. A lease that is merely granted is reclaimed when its holder
 sends no heartbeats.
@@ -38,8 +38,8 @@
 
 
 class Lease(msgspec.Struct, frozen=True, array_like=True):
-    """A granted lease. `holder` is the number of the gateway that uses it, `since` the Unix time of the grant in
-    seconds."""
+    """A granted lease. `holder` is the number of the gateway that uses it, `since` the Unix time of the grant
+    in seconds."""
 
     item: int
     holder: int
@@ -59,8 +59,9 @@
 
 
 class Table(msgspec.Struct, frozen=True, array_like=True):
-    """One group's places and who waits, the first first. `token` is the last one lease; `rterm` the newest
-    term of the release that any change knew: see `starts`."""
+    """The leases of one group, and the requests that wait for one in order of arrival. `token` is the last
+    fencing token issued. `release_term` is the newest release term known to the member that made any change;
+    `member.is_fenced` compares it with the term that a voter knows."""
 
     token: int = 0
     release_term: int = 0
@@ -68,20 +69,24 @@
     queue: tuple[QueuedRequest, ...] = ()
 
     def lease_of(self, item: int) -> Lease | None:
+        """The lease of `item`, or None."""
         return next((p for p in self.leases if p.item == item), None)
 
 
 class LeaseAction(IntEnum):
-    ACQUIRE = 0  # a place, or one in the queue
-    ACTIVATE = 1  # the holder is about to take it out
-    FREE = 2  # it is back, and to be counted no more once it is warm
-    CANCEL = 3  # not wanted any more: a wish, or a place that was only granted
-    RECLAIM = 4  # by anyone: the holder is silent
-    RESTORE = 5  # the work is done: it is asked again
+    """Operations on leases."""
+
+    ACQUIRE = 0  # requests a lease, or a position in the queue
+    ACTIVATE = 1  # the holder is about to take the item out of service
+    FREE = 2  # ends the lease; granted once the item is in service and warm
+    CANCEL = 3  # withdraws a queued request, or a lease that is granted and not activated
+    RECLAIM = 4  # by any gateway: withdraws requests and granted leases of a holder without heartbeats
+    RESTORE = 5  # the work is done: the item receives requests again
 
 
 class LeaseOperation(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """`forced`: by an operator in need; `rterm`: the term of the release that the asker acts for."""
+    """One operation on the lease of `item`. `forced` is set by an operator to bypass the budget and the
+    queue; `release_term` is the term of the release on whose behalf the requester acts."""
 
     act: LeaseAction
     item: int
@@ -94,14 +99,17 @@
 
 
 class Outcome(IntEnum):
+    """Result of a lease operation."""
+
     DONE = 0
     QUEUED = 1
     REFUSED = 2
-    FENCED = 3  # the token is not, or no longer, that of the place
+    FENCED = 3  # the token of the operation is not the current token of the lease
 
 
 class Answer(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """`token` of a place; `ahead` how many wait before; `holder` and `since` of who is in the way."""
+    """Answer to a lease operation: the `token` of the lease, the number of queued requests `ahead`, and on a
+    refusal the `holder` and grant time `since` of the oldest lease of the group."""
 
     outcome: Outcome
     token: int = 0
@@ -113,8 +121,8 @@
 
 @dataclass(frozen=True)
 class View:
-    """What the member that plays a ballot knows: the group, who is out as the voters see it, the release's
-    term and whether it is halted, whose process is silent, and which items are in and warm again."""
+    """Knowledge of the member that runs the ballot: the group, the items out of service as the voters see
+    them, the term of the release and whether it is halted, and which holders send no heartbeats."""
 
     group: Group
     out: Collection[int]
@@ -124,11 +132,12 @@
 
 
 def encode(table: Table) -> bytes:
+    """Encodes a table as a register value."""
     return msgspec.msgpack.encode(table)
 
 
 def decode(value: bytes) -> Table:
-    """Raises ValueError."""
+    """Decodes a register value; an empty value is an empty table. Raises ValueError."""
     if not value:
         return Table()
     try:
@@ -138,7 +147,7 @@
 
 
 def apply_operation(table: Table, op: LeaseOperation, view: View) -> tuple[Table, Answer]:
-    """The table after one operation, and its answer. Playing an operation twice does what once does."""
+    """Returns the table after one operation, and the answer to it. Operations are idempotent."""
     after, answer = HANDLERS[op.act](table, op, view)
     if after is not table and len(encode(after)) > MAX_VALUE_BYTES:
         return table, Answer(Outcome.REFUSED, reason="the table is full")
@@ -146,7 +155,7 @@
 
 
 def apply_batch(value: bytes, ops: Sequence[LeaseOperation], view: View) -> tuple[bytes, list[Answer]]:
-    """What one ballot does: all operations in their order, the first that asked first."""
+    """Applies all operations of one ballot to a register value, in order of arrival."""
     before, answers = decode(value), list[Answer]()
     table = before
     for op in ops:
@@ -158,7 +167,7 @@
 
 
 def starts_release_work(new: Table, old: Table) -> bool:
-    """Whether something is lease, or goes out, for a release in `new` that did not in `old`."""
+    """Returns whether `new` has a release lease that was granted or activated since `old`."""
     for lease in new.leases:
         current = old.lease_of(lease.item)
         new_lease = current is None or current.token != lease.token
@@ -170,7 +179,7 @@
 
 
 def items_out(table: Table, view: View) -> set[int]:
-    """Everything that is out or may go out any moment."""
+    """All items that are out of service, or hold a lease and may go out of service at any moment."""
     return {p.item for p in table.leases} | set(view.out)
 
 
@@ -185,7 +194,7 @@
     current = table.lease_of(op.item)
     if current is not None:
         if current.holder == op.holder and current.why == op.why:
-            return table, Answer(Outcome.DONE, current.token)  # an answer that was lost
+            return table, Answer(Outcome.DONE, current.token)  # a repeated request: the first answer was lost
         return table, Answer(
             Outcome.REFUSED, reason="has a place already", holder=current.holder, since=current.since
         )
@@ -197,7 +206,8 @@
     ahead = len(table.queue) if position is None else position
     out = items_out(table, view)
     reason = view.group.denial_reason(out, op.item, op.forced)
-    # Who waits longer goes first, unless nothing that goes out now could be in its way.
+    # Requests are served in order of arrival. Forced requests, and requests for an item that is out of
+    # service anyway, do not delay the requests before them and skip the queue.
     if not reason and (op.forced or not ahead or op.item in view.out):
         reason = "" if len(table.leases) < MAX_LEASES else "the table is full"
         if not reason:
@@ -228,7 +238,8 @@
     if current.why is Why.RELEASE and (view.halted or op.release_term < view.release_term):
         return _without(table, current), Answer(Outcome.REFUSED, reason="the release is halted")
     others = {p.item for p in table.leases if p is not current} | set(view.out)
-    # A store has died since the grant: the budget is spent by nature, and who is still in waits.
+    # Other items may have failed since the grant and used up the budget: an item that still serves then
+    # loses its lease and waits.
     if op.item not in view.out and not op.forced and (reason := view.group.denial_reason(others, op.item)):
         return _without(table, current), Answer(Outcome.REFUSED, reason=reason)
     activated = msgspec.structs.replace(current, phase=Phase.OUT)
@@ -279,7 +290,9 @@
     current = table.lease_of(op.item)
     if current is None or current.token != op.token:
         return table, Answer(Outcome.DONE)
-    if current.phase is not Phase.GRANTED:  # somebody may be at work on it, whoever is silent
+    if (
+        current.phase is not Phase.GRANTED
+    ):  # work on the item may be in progress although the holder is silent
         return table, Answer(Outcome.REFUSED, reason="it is out")
     if not view.silent(current.holder):
         return table, Answer(Outcome.REFUSED, reason="its holder is heard")
@@ -299,8 +312,9 @@
 def cleanup_operations(
     table: Table, silent: Callable[[int], bool], out: Collection[int]
 ) -> list[LeaseOperation]:
-    """What anyone may do for those who are gone: take back what their holders were merely granted or wished
-    for, and give back what is asked again and warm, as its holder may have been a process before."""
+    """Operations that any gateway may submit on behalf of failed holders: reclaim granted leases and queued
+    requests of silent holders, and free leases whose item is back in service and warm, since the process that
+    held such a lease may have been replaced."""
     operations = [
         LeaseOperation(LeaseAction.RECLAIM, p.item, p.holder, p.token)
         for p in table.leases
--- a/olivecourse/rollout/register.py
+++ b/olivecourse/rollout/register.py
@@ -35,7 +35,8 @@
 
 
 class Slot(msgspec.Struct, frozen=True, array_like=True):
-    """The durable acceptor state of one register: the promised ballot, and the last accepted ballot and value."""
+    """The durable acceptor state of one register: the promised ballot, and the last accepted ballot and
+    value."""
 
     promised: Ballot = Ballot()
     accepted: Ballot = Ballot()
@@ -50,7 +51,8 @@
 
 
 class Promise(msgspec.Struct, frozen=True, array_like=True):
-    """Phase 1 reply: the acceptor's last accepted ballot and value, and the items that it considers out of service."""
+    """Phase 1 reply: the acceptor's last accepted ballot and value, and the items that it considers out of
+    service."""
 
     key: str
     ballot: Ballot
@@ -75,8 +77,8 @@
 
 
 class Reject(msgspec.Struct, frozen=True, array_like=True):
-    """Refusal of `ballot`: the acceptor has promised the higher ballot `seen`. With `fenced` set, the reason is
-    instead that the proposed value is based on an outdated release term."""
+    """Refusal of `ballot`: the acceptor has promised the higher ballot `seen`. With `fenced` set, the reason
+    is instead that the proposed value is based on an outdated release term."""
 
     key: str
     ballot: Ballot
@@ -100,8 +102,9 @@
 
 
 class RecoveryReply(msgspec.Struct, frozen=True, array_like=True):
-    """Reply to `Recall` with the state of one of `total` registers; a `total` of 0 means that the sender holds
-    none. `authoritative` is true if the sender votes, and false if its folder may be an outdated copy."""
+    """Reply to `Recall` with the state of one of `total` registers; a `total` of 0 means that the sender
+    holds none. `authoritative` is true if the sender votes, and false if its folder may be an outdated
+    copy."""
 
     nonce: int
     total: int
@@ -194,7 +197,8 @@
     # Proposer -----------------------------------------------------------------------------------------
 
     def _start(self, key: str, now: int) -> None:
-        """Starts a ballot for the pending proposals of `key`, unless a ballot is open or backoff is in effect."""
+        """Starts a ballot for the pending proposals of `key`, unless a ballot is open or backoff is in
+        effect."""
         if key in self.rounds or not self.votes or now < self._not_before.get(key, 0):
             return
         proposals = self._pending.pop(key, [])
@@ -258,8 +262,8 @@
             self._abandon(message.key, ballot_round, now)
 
     def _abandon(self, key: str, ballot_round: BallotRound, now: int) -> None:
-        """Gives up a ballot and queues its operations for the next one. Their changes may or may not have been
-        chosen; operations are idempotent, so that they can be applied again."""
+        """Gives up a ballot and queues its operations for the next one. Their changes may or may not have
+        been chosen; operations are idempotent, so that they can be applied again."""
         del self.rounds[key]
         self._pending[key] = ballot_round.proposals + self._pending.get(key, [])
         self._not_before[key] = now + int(MAX_BACKOFF_NS * self._random.random())
--- a/olivecourse/rollout/releases.py
+++ b/olivecourse/rollout/releases.py
@@ -1,9 +1,10 @@
-"""A release of the gateways' program: its plan, its states, and who may go when. No I/O.
+"""A release of the gateway program: its plan, its states, and the order in which gateways restart. No I/O.
 
     planned -> running <-> paused;  running, paused -> halted -> running (resume) | rolling_back -> done
 
-Every word raises the term. A halt is ended only by a resume or a rollback of a higher term; a word that knows
-an older term than the register's is refused, so that a resume that crosses a halt does not undo it.
+Every command raises the term. Only a resume or a rollback with a higher term ends a halt. A command that was
+issued under an older term than that of the register is refused, so that a resume that crosses a halt in
+flight does not undo the halt.
 """
 
 from __future__ import annotations
@@ -16,12 +17,14 @@
 
 import msgspec
 
-KEY = "release"  # the register that holds it
+KEY = "release"  # key of the register that holds the release
 MAX_VERSION_LENGTH = 24  # characters
 MAX_WAVES = 6
 
 
 class State(IntEnum):
+    """State of a release; the head of this module lists the transitions."""
+
     NONE = 0
     PLANNED = 1
     RUNNING = 2
@@ -32,10 +35,11 @@
 
 
 class Plan(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """`waves`: shares of the fleet in percent that have the version once each wave is through; the first is
-    the canary, the last 100. `soak_s` between the end of a wave and the next. `alpha`: how often, at most, a
-    good version may be halted by its gates; `worse`: from how much more of each hundred requests ending badly
-    on the canary's side a version counts as bad, in percent points."""
+    """The plan of a release. `waves` lists the shares of the fleet, in percent, that have the version after
+    each wave; the first wave is the canary, the last share is 100. `soak_s` is the waiting time between two
+    waves, in seconds. `alpha` is the highest acceptable probability that the gates halt a good version.
+    `worse` is the increase of the rate of bad requests, in percentage points, above which a version counts as
+    bad."""
 
     version: str
     before: str = ""
@@ -47,8 +51,8 @@
 
 
 class Release(msgspec.Struct, frozen=True, array_like=True):
-    """The register's value. `wave` counts from 0; `at` is the Unix second of the last word, `by` the member
-    that took it, `why` why it was halted."""
+    """The value of the release register. `wave` counts from 0. `at` is the Unix time of the last command in
+    seconds, `by` the gateway that issued it, and `why` the reason given with it."""
 
     term: int = 0
     state: State = State.NONE
@@ -60,28 +64,31 @@
 
     @property
     def version(self) -> str:
-        """Which version is wanted now."""
+        """The version that all gateways of the released waves should run now."""
         return self.plan.before if self.state is State.ROLLING_BACK else self.plan.version
 
     @property
     def halted(self) -> bool:
-        """Whether nobody may start to go out for it."""
+        """Whether no further gateway may go out of service for this release."""
         return self.state in (State.PAUSED, State.HALTED)
 
 
 class Command(IntEnum):
+    """Commands that change the state of a release."""
+
     PLAN = 0
     START = 1
     PAUSE = 2
     HALT = 3
     RESUME = 4
     ROLLBACK = 5
-    NEXT = 6  # the wave is through
-    END = 7  # all have the version that is wanted
+    NEXT = 6  # the current wave is complete
+    END = 7  # all gateways run the wanted version
 
 
 class CommandRequest(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """`term`: of the release that the speaker knows; words that let something go on need the newest."""
+    """One command on the release. `term` is the release term known to the sender; commands other than pause
+    and halt are refused unless it is the newest."""
 
     command: Command
     term: int
@@ -112,11 +119,12 @@
     Command.NEXT: State.RUNNING,
     Command.END: State.DONE,
 }
-STOPPING_COMMANDS = (Command.PAUSE, Command.HALT)  # taken whatever term the speaker knows: never too careful
+STOPPING_COMMANDS = (Command.PAUSE, Command.HALT)  # accepted under any term: stopping is always safe
 
 
 class CommandReply(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Whether a word was taken, under which term the release stands now, and why not."""
+    """Answer to a command: whether it was accepted, the resulting term and state, and the reason for a
+    refusal."""
 
     accepted: bool
     term: int
@@ -125,7 +133,7 @@
 
 
 def decode(value: bytes) -> Release:
-    """Raises ValueError."""
+    """Decodes a register value; an empty value is the initial release. Raises ValueError."""
     if not value:
         return Release()
     try:
@@ -135,11 +143,12 @@
 
 
 def encode(release: Release) -> bytes:
+    """Encodes a release as a register value."""
     return msgspec.msgpack.encode(release)
 
 
 def plan_error(plan: Plan) -> str:
-    """What is wrong with a plan; empty if nothing is."""
+    """Returns what is wrong with a plan, or an empty string if the plan is valid."""
     if not plan.version or len(plan.version) > MAX_VERSION_LENGTH or len(plan.before) > MAX_VERSION_LENGTH:
         return f"version and before have 1 to {MAX_VERSION_LENGTH} characters"
     if plan.version == plan.before:
@@ -154,7 +163,8 @@
 
 
 def apply_command(release: Release, request: CommandRequest) -> tuple[Release, CommandReply]:
-    """The release after one word. A word said twice does what once does."""
+    """Returns the release after one command, and the answer to it. A repeated command has no further
+    effect."""
     if request.command in STOPPING_COMMANDS and release.state is TARGET_STATES[request.command]:
         return release, CommandReply(True, release.term, release.state)
     if request.command not in STOPPING_COMMANDS and request.term != release.term:
@@ -196,11 +206,12 @@
     return encode(release), answers
 
 
-# Who goes when -----------------------------------------------------------------------------------------
+# Order of the gateways ---------------------------------------------------------------------------------
 
 
 def order(version: str, gateways: Sequence[int]) -> list[int]:
-    """The same everywhere, another for each version, so that it is not always the same who go first."""
+    """Orders the gateways pseudo-randomly by version: all gateways compute the same order, and different
+    versions start at different gateways."""
 
     def sort_key(item: int) -> bytes:
         return blake2b(f"{version}/{item}".encode(), digest_size=8).digest()
@@ -208,9 +219,10 @@
     return sorted(gateways, key=sort_key)
 
 
-@lru_cache(maxsize=2)  # one release is on at a time, and it is looked at many times a second
+@lru_cache(maxsize=2)  # one release is active at a time, and its waves are needed many times a second
 def waves(version: str, shares: tuple[int, ...], gateways: tuple[int, ...]) -> Mapping[int, int]:
-    """In which wave each gateway goes, by growing shares in percent; the first wave holds one at least."""
+    """Returns the wave number of each gateway, by growing shares in percent. The first wave has at least one
+    gateway."""
     last_ranks = [max(len(gateways) * share // 100, 1) for share in shares]
     wave_numbers, number = dict[int, int](), 0
     for rank, item in enumerate(order(version, gateways)):
@@ -221,13 +233,14 @@
 
 
 def wave_of(plan: Plan, gateways: Sequence[int], item: int) -> int:
-    """In which wave a gateway goes. Raises KeyError for one that is not of the fleet."""
+    """Returns the wave number of a gateway. Raises KeyError for a gateway that is not in the fleet."""
     return waves(plan.version, tuple(plan.waves), tuple(gateways))[item]
 
 
 def may_go(release: Release, gateways: Sequence[int], item: int, version: str) -> bool:
-    """Whether this gateway is to ask for a place now: it has another version than is wanted, and its wave is
-    on. On the way back those that went last go first, each as soon as the budget lets it."""
+    """Returns whether gateway `item`, which runs `version`, should request a lease for the release now: it
+    does not run the wanted version, and its wave has started. In a rollback every gateway with the new
+    version may request a lease at once; only the budget limits how many go at a time."""
     if version == release.version or release.state not in (State.RUNNING, State.ROLLING_BACK):
         return False
     wave = waves(release.plan.version, tuple(release.plan.waves), tuple(gateways)).get(item)
@@ -240,14 +253,15 @@
 
 @dataclass(frozen=True)
 class Seen:
-    """Of each gateway that is heard: its version, and whether it serves warm."""
+    """Version of a gateway that sends heartbeats, and whether it serves and is warm."""
 
     version: str
     warm: bool
 
 
 def through(release: Release, gateways: Sequence[int], seen: Mapping[int, Seen]) -> bool:
-    """Whether all of the waves so far have the version and serve; who is silent holds its wave up."""
+    """Returns whether all gateways of the waves so far run the wanted version and serve. A silent gateway
+    delays its wave."""
 
     def ready(item: int) -> bool:
         return item in seen and seen[item].version == release.version and seen[item].warm
