--- a/olivecourse/rollout/agent.py
+++ b/olivecourse/rollout/agent.py
@@ -1,10 +1,11 @@
-"""What this gateway does with places: for stores that its operators take out, and for itself in a release.
-No I/O.
+"""Holder of disruption leases: for stores that operators take out of service at this gateway, and for this
+gateway itself in a release. No I/O.
 
-    wanted -> granted -> begun -> out ... -> back -> (given)
+    wanted -> granted -> activated -> out ... -> back -> (lease freed)
 
-Between the majority's yes to the beginning and the deed lies at most ACT_NS on this gateway's own clock: a
-process that stood still meanwhile asks again, and is told if its place has gone to another.
+An item is taken out at most ACTIVATION_VALID_NS after this gateway requested the activation, on its own
+clock. A process that was suspended in between requests the activation again, and learns from the answer if
+the lease has gone to another holder.
 """
 
 from __future__ import annotations
@@ -20,13 +21,13 @@
 from olivecourse.rollout.releases import CommandReply, CommandRequest, Release, State
 
 MS, S = 1_000_000, 1_000_000_000
-ACTIVATION_VALID_NS = 1 * S  # as long as a yes to the beginning is good for
-RETRY_NS = 500 * MS  # between two asks of one that waits, is refused, or is not warm yet
-RELEASE_JITTER_NS = 300 * MS  # by which gateways' asks for a release are spread
+ACTIVATION_VALID_NS = 1 * S  # time for which a confirmed activation is valid
+RETRY_NS = 500 * MS  # retry interval for an item that is queued, refused, or not warm yet
+RELEASE_JITTER_NS = 300 * MS  # upper bound of the random delay of a gateway's own request in a release
 
 
 class AgreementClient(Protocol):
-    """The member, as the agent needs it."""
+    """The interface of `Member` that the agent uses."""
 
     version: str
 
@@ -44,6 +45,8 @@
 
 
 class Stage(Enum):
+    """Progress of one item: lease wanted, lease granted, item out of service, or item back in service."""
+
     WANTED = "wanted"
     GRANTED = "granted"
     OUT = "out"
@@ -52,8 +55,9 @@
 
 @dataclass
 class Work:
-    """One item that this gateway has a place for, or wants one. `wakes` is when to ask next; `asked` the open
-    ask and the time of it; `said` the last answer in words."""
+    """One item for which this gateway holds or wants a lease. `next_attempt_at` is the time of the next
+    request; `handle` and `requested_at` belong to the open request, and `handle` is 0 if there is none.
+    `status_text` is the last answer in words."""
 
     key: str
     item: int
@@ -66,13 +70,14 @@
     requested_at: int = 0
     action: LeaseAction = LeaseAction.ACQUIRE
     status_text: str = ""
-    activation_confirmed: bool = False  # asked to begin, and told yes in time
+    activation_confirmed: bool = False  # the activation was confirmed in time
     release_term: int = 0
 
 
 class Agent:
-    """`me` is this gateway's own item in `key`. `go(item)` and `come(item)` take it out and back: this
-    gateway itself, or a store at the gateways."""
+    """Requests, uses and frees the leases of one gateway. `me` is the gateway's own item in group `key`. The
+    callbacks `take_out(item)` and `bring_back(item)` take an item out of service and back; the item is this
+    gateway itself or a store."""
 
     def __init__(
         self,
@@ -86,16 +91,18 @@
         now: int,
         skip_activation: bool = False,
     ) -> None:
-        """`lease_alone`: acts on a grant without asking to begin, to show what that does."""
+        """`skip_activation`: acts on a granted lease without activating it first. Tests use this to show the
+        fault that activation prevents."""
         self.me, self.key, self._fleet, self._member, self._random = me, key, fleet, member, random
         self._take_out, self._bring_back, self._skip_activation = take_out, bring_back, skip_activation
         self.works: dict[int, Work] = {}
         self._next_own_request_at = self._next_orphan_check_at = now
 
-    # What operators want ------------------------------------------------------------------------------
+    # Requests -----------------------------------------------------------------------------------------
 
     def want(self, key: str, item: int, why: Why, now: int, forced: bool = False) -> Work:
-        """A place for an item; the same item twice is one work."""
+        """Starts to request a lease for an item; a repeated call for the same item returns the same
+        `Work`."""
         work = self.works.get(item)
         if work is None or work.stage is Stage.BACK:
             work = self.works[item] = Work(
@@ -105,7 +112,8 @@
         return work
 
     def release_item(self, key: str, item: int, now: int) -> bool:
-        """The work on it is done, or it is not wanted out any more; whether there was a place or a wish."""
+        """Brings an item back after the work on it, or withdraws a request. Returns False if the item has no
+        lease and no request."""
         work = self.works.get(item)
         if work is None:
             lease = self._member.table(key).lease_of(item)
@@ -127,7 +135,7 @@
         self.works.pop(work.item, None)
         self._member.submit(work.key, LeaseOperation(LeaseAction.CANCEL, work.item, self.me, work.token), now)
 
-    # Time and answers ---------------------------------------------------------------------------------
+    # Timer and answers --------------------------------------------------------------------------------
 
     def tick(self, now: int) -> None:
         self._tick_own_item(now)
@@ -139,8 +147,8 @@
                 self._advance(work, now)
 
     def _cancel_orphans(self, now: int) -> None:
-        """Grants and wishes in our name that nobody here wants any more: an answer came too late, or to a
-        process before this one."""
+        """Cancels granted leases and queued requests of this gateway that it no longer wants: their answer
+        came too late, or an earlier process requested them."""
         for key, table in self._member.tables().items():
             unwanted = [p.item for p in table.leases if p.phase is Phase.GRANTED and p.holder == self.me]
             unwanted += [queued.item for queued in table.queue if queued.holder == self.me]
@@ -149,13 +157,13 @@
                     self._member.submit(key, LeaseOperation(LeaseAction.CANCEL, item, self.me), now)
 
     def _tick_own_item(self, now: int) -> None:
-        """This gateway itself: a place left over from the process before, and what the release wants."""
+        """Handles this gateway's own item: a lease left over from an earlier process, and the release."""
         work, release = self.works.get(self.me), self._member.release
         if work is None:
             leftover = self._member.table(self.key).lease_of(self.me)
             if leftover is not None and leftover.holder == self.me and leftover.why is not Why.DRAIN:
                 work = self.works[self.me] = self._adopt(self.key, leftover)
-                if work.stage is Stage.GRANTED:  # of a process that ended before it went
+                if work.stage is Stage.GRANTED:  # the earlier process ended before it went out
                     self._forget(work, now)
                 else:
                     work.stage = Stage.BACK
@@ -169,7 +177,8 @@
                 work = self.want(self.key, self.me, why, now)
                 work.next_attempt_at = now + int(RELEASE_JITTER_NS * self._random.random())
         elif work is not None and work.why is not Why.DRAIN and work.stage is not Stage.BACK and not allowed:
-            # Halted, or not wanted any more, and not replaced yet: it stays in, or comes back as it is.
+            # The release was halted or no longer concerns this gateway, which has not been replaced yet: it
+            # stays in service, or returns to service with its current version.
             self._next_own_request_at = now + RETRY_NS
             self.release_item(self.key, self.me, now)
 
@@ -199,7 +208,8 @@
         work.handle = self._member.submit(work.key, operation, now)
 
     def told(self, handle: int, answer: Answer | CommandReply | None, now: int) -> bool:
-        """Whether the answer was for one of these."""
+        """Handles the answer to a request; returns whether `handle` belongs to one of this agent's
+        requests."""
         work = next((w for w in self.works.values() if w.handle == handle), None)
         if work is None:
             return False
@@ -224,17 +234,17 @@
         return True
 
     def _on_activation_reply(self, work: Work, answer: Answer, now: int) -> None:
-        if answer.outcome is not Outcome.DONE:  # fenced, halted, or another died meanwhile: from the start
+        if answer.outcome is not Outcome.DONE:  # fenced, halted, or budget used up by a failure: start over
             work.stage, work.token = Stage.WANTED, 0
         elif now - work.requested_at > ACTIVATION_VALID_NS:
-            work.next_attempt_at = now  # the yes is old: it may have been for a life before a standstill
+            work.next_attempt_at = now  # confirmed too long ago: the process may have been suspended
         else:
             work.stage, work.activation_confirmed = Stage.OUT, True
             self._take_out(work.item)
 
     @property
     def replaceable(self) -> str:
-        """The version that may take this process's place now; empty while none may."""
+        """The version that may replace this process now, or an empty string if none may."""
         work = self.works.get(self.me)
         if (
             work is None
--- a/olivecourse/rollout/places.py
+++ b/olivecourse/rollout/places.py
@@ -78,7 +78,7 @@
 
     ACQUIRE = 0  # requests a lease, or a position in the queue
     ACTIVATE = 1  # the holder is about to take the item out of service
-    FREE = 2  # ends the lease; granted once the item is in service and warm
+    FREE = 2  # ends the lease; refused until the item is in service and warm
     CANCEL = 3  # withdraws a queued request, or a lease that is granted and not activated
     RECLAIM = 4  # by any gateway: withdraws requests and granted leases of a holder without heartbeats
     RESTORE = 5  # the work is done: the item receives requests again
--- a/olivecourse/rollout/section.py
+++ b/olivecourse/rollout/section.py
@@ -1,4 +1,4 @@
-"""The `rollout:` section of an operator's file, and its key file, checked by type."""
+"""The `rollout:` section of an operator's file, its key file and the release plan file, validated by type."""
 
 from __future__ import annotations
 
@@ -20,23 +20,27 @@
 
 
 class Limit(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How many of one group may be out at once, and how much of its capacity."""
+    """Disruption budget of one kind of group: the largest number of items, and the largest share of the
+    group's capacity, that may be out of service at once."""
 
     number: Annotated[int, msgspec.Meta(ge=1, le=6)] = 1
     share: Share = 0.34
 
     def budget(self) -> Budget:
+        """The same limit as a `Budget`."""
         return Budget(self.number, self.share)
 
 
 class Limits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Disruption budgets of each group of stores, of each hub's caches, and of each office's gateways."""
+
     stores: Limit = Limit()
     hubs: Limit = Limit()
     gateways: Limit = Limit()
 
 
 class GatewayEntry(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One gateway of the fleet."""
+    """One gateway of the fleet, with its office and relative capacity."""
 
     name: str
     address: str
@@ -45,7 +49,8 @@
 
 
 class RolloutSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`gateways` in the same order everywhere. `folder`: without it this gateway asks and does not vote."""
+    """The `rollout:` section. `gateways` must be in the same order on all gateways. Without a `folder` this
+    gateway submits requests and does not vote."""
 
     keys: str
     gateways: Annotated[list[GatewayEntry], msgspec.Meta(min_length=1, max_length=MAX_GATEWAYS)]
@@ -59,17 +64,17 @@
     def __post_init__(self) -> None:
         names = [g.name for g in self.gateways]
         if len(set(names)) != len(names):
-            raise ValueError("gateways: a name stands twice")
+            raise ValueError("gateways: the names must be unique")
         if not set(self.members) <= set(names) or len(set(self.members)) != len(self.members):
-            raise ValueError("members: each is one of the gateways, and stands once")
+            raise ValueError("members: each must be the name of one of the gateways, and be listed once")
         if self.agreement == "planner" and len(self.members) != 1:
-            raise ValueError("members: with a planner, it alone")
+            raise ValueError("members: the planner must be the only member")
         for gateway in self.gateways:
             parse_address(gateway.address)
 
 
 class KeyFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`{"current": 1, "keys": {"1": "64 hex digits"}}`"""
+    """The key file: `{"current": 1, "keys": {"1": "64 hex digits"}}`."""
 
     current: int
     keys: dict[str, str]
@@ -77,15 +82,16 @@
 
 @dataclass(frozen=True)
 class RolloutConfig:
-    """The section with its paths resolved."""
+    """The `rollout:` section with its paths resolved against the folder of the operator's file."""
 
     section: RolloutSection
     folder: Path | None
     key_file: Path
 
     def read_keys(self) -> tuple[Keys, bytes]:
-        """The keys of datagrams, and the one of the folder's records: the first that there ever was, so that
-        rotating the others leaves the folder readable. Raises BadSection."""
+        """Returns the datagram keys, and the key for the records of the folder. The latter is the key with
+        the lowest number, so that the folder stays readable when the other keys are rotated. Raises
+        BadSection."""
         try:
             contents = msgspec.convert(json.loads(self.key_file.read_text("utf-8")), KeyFile)
             keys = {int(number): bytes.fromhex(text) for number, text in contents.keys.items()}
@@ -95,11 +101,13 @@
             raise BadSection(f"{self.key_file}: {cause}") from None
 
     def addresses(self) -> list[Address]:
+        """The datagram addresses of all gateways, in the order of the section."""
         return [parse_address(g.address) for g in self.section.gateways]
 
 
 def read_rollout(path: str) -> RolloutConfig | None:
-    """The section of the operator's file at `path`, or None without one; raises BadSection."""
+    """Reads the `rollout:` section of the operator's file at `path`; None if there is none. Raises
+    BadSection."""
     section = read_section(path, "rollout", RolloutSection)
     if section is None:
         return None
@@ -112,7 +120,7 @@
 
 
 class PlanText(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A release's plan as operators write it: see `releases.Plan`."""
+    """A release plan as operators write it; `releases.Plan` explains the fields."""
 
     version: str
     before: str
@@ -127,4 +135,5 @@
             raise ValueError(why)
 
     def plan(self) -> Plan:
+        """The same plan as a `releases.Plan`."""
         return Plan(self.version, self.before, self.waves, self.soak_s, self.gates, self.alpha, self.worse)
--- a/olivecourse/rollout/store.py
+++ b/olivecourse/rollout/store.py
@@ -1,9 +1,10 @@
-"""Promises, places and halts on disk, in an LMDB environment of the operator's folder.
+"""Durable acceptor state of a member, in an LMDB environment in the operator's folder.
 
-A record is `msgpack [key, slot]` behind a keyed BLAKE3 MAC that also covers the record's name. What was
-promised is synced before the promise leaves. A folder without the mark of `olivecourse rollout init`, or of
-another member, or with one record that does not hold, is an empty one: its member does not vote until it has
-caught up, as it may have promised what it has forgotten.
+A record is a msgpack value behind a keyed BLAKE3 MAC that also covers the name of the record. A promise is
+synced to disk before it is sent. A folder counts as empty if it lacks the marker that `olivecourse rollout
+init` writes, if it belongs to another member, or if any record is corrupt. The member of an empty folder does
+not vote until it has recovered the state of the other members, since it may have made promises that the
+folder no longer shows.
 """
 
 from __future__ import annotations
@@ -22,31 +23,35 @@
 MAP_BYTES = 16 * 2**20
 MARKER_KEY, LAST_ALIVE_KEY = b"member", b"seen"
 FORMAT_VERSION = 1
-ALIVE_INTERVAL_S = 30  # between two notes that this member lives
-STALE_AFTER_S = 3600  # a folder that has seen nothing for so long may be a copy of an older one
+ALIVE_INTERVAL_S = 30  # interval at which a running member updates the time stamp of its folder
+STALE_AFTER_S = 3600  # a folder without updates for this long may be an outdated copy
 
 
 class FolderUnusable(OSError):
-    """The folder can't be used: the member asks, and does not vote."""
+    """The folder is unusable: the gateway submits requests and does not vote."""
 
 
 class FolderLocked(FolderUnusable):
-    """Another process of this gateway votes by it, as in an upgrade: two that did would not know of each
-    other's promises."""
+    """Another process of this gateway votes with the folder, as during an upgrade. Two voting processes would
+    not know each other's promises."""
 
 
 class CorruptRecord(ValueError):
-    """A record that does not hold."""
+    """A record with a wrong MAC or an unreadable value, or a folder of another member."""
 
 
 class FolderMarker(msgspec.Struct, frozen=True, array_like=True):
+    """The record that marks a folder as initialized: the format version and the name of the member."""
+
     format: int
     name: str
 
 
 class Disk:
+    """The opened folder of one member."""
+
     def __init__(self, folder: str, name: str, secret: bytes) -> None:
-        """Raises NoFolder; Held while another process has it."""
+        """Raises FolderUnusable, and its subclass FolderLocked while another process has the folder open."""
         self._name, self._secret = name, secret
         try:
             Path(folder).mkdir(mode=0o700, parents=True, exist_ok=True)
@@ -71,7 +76,7 @@
         return data[32:]
 
     def init(self, unix_s: int) -> None:
-        """Marks the folder as this member's from the start of the fleet; its records, if any, are dropped."""
+        """Initializes the folder for this member of a new fleet; existing records are deleted."""
         with self._env.begin(write=True) as txn:
             with txn.cursor() as cursor:
                 while cursor.first():
@@ -84,7 +89,8 @@
         self._env.sync(True)
 
     def load(self) -> dict[str, Slot] | None:
-        """What this member holds; None where that is not known. Raises Torn where a record does not hold."""
+        """Returns the register states of this member, or None if the folder has no marker. Raises
+        CorruptRecord."""
         slots: dict[str, Slot] = {}
         try:
             with self._env.begin() as txn:
@@ -103,8 +109,9 @@
         return slots
 
     def is_stale(self, unix_s: int) -> bool:
-        """Whether the folder has seen nothing for long, or comes from the future: it may be a copy, which has
-        forgotten what was promised since, and its member catches up before it votes."""
+        """Returns whether the time stamp of the folder is missing, long past or in the future. Such a folder
+        may be an outdated copy that lacks later promises, so its member recovers from the others before it
+        votes."""
         try:
             with self._env.begin() as txn:
                 data = txn.get(LAST_ALIVE_KEY)
@@ -116,7 +123,8 @@
         return not unix_s - STALE_AFTER_S <= seen <= unix_s + STALE_AFTER_S
 
     def write(self, slots: dict[str, Slot], unix_s: int) -> None:
-        """Durable on return; raises OSError or lmdb.Error, after which nothing of it may be told."""
+        """Writes register states; they are durable on return. Raises OSError or lmdb.Error, after which no
+        message that depends on them may be sent."""
         with self._env.begin(write=True) as txn:
             txn.put(LAST_ALIVE_KEY, self._seal(LAST_ALIVE_KEY, msgspec.msgpack.encode(unix_s)))
             for key, slot in slots.items():
@@ -124,10 +132,11 @@
                 txn.put(name, self._seal(name, msgspec.msgpack.encode(slot)))
 
     def write_recovered(self, slots: dict[str, Slot], unix_s: int) -> None:
-        """After a lost disk: all of it at once, with the mark."""
+        """Initializes a folder that was empty and writes the complete recovered state."""
         self.init(unix_s)
         self.write(slots, unix_s)
 
     def close(self) -> None:
+        """Closes the environment and releases the lock."""
         self._env.close()
         os.close(self._lock)
--- a/olivecourse/rollout/wire.py
+++ b/olivecourse/rollout/wire.py
@@ -1,10 +1,11 @@
 """Datagrams between gateways: a keyed MAC, a guard against replay, keys that rotate. No I/O.
 
-    key id (1) | MAC (16) | msgpack [sender, life, count, target, kind, body]
+    key id (1) | MAC (16) | msgpack [sender, incarnation, count, target, kind, body]
 
-The MAC is keyed BLAKE3 over all that follows it. `life` is the Unix ms at which the sender's process began,
-`count` grows with each datagram: per sender only newer lives, and in the life at hand only counts that have
-not come yet, are taken; a window allows for datagrams that overtake each other (as in RFC 4303, 3.4.3).
+The MAC is keyed BLAKE3 over all bytes that follow it. `incarnation` is the Unix time in milliseconds at which
+the sender's process started; `count` grows with each datagram. A receiver drops datagrams of earlier
+incarnations of a sender and counts that it has already received. A window tolerates datagrams that arrive out
+of order (as in RFC 4303, 3.4.3).
 """
 
 from __future__ import annotations
@@ -22,8 +23,8 @@
 
 MAX_DATAGRAM_BYTES = 256  # bytes
 MAC_BYTES, HEADER_BYTES = 16, 17
-REPLAY_WINDOW = 256  # counts by which a datagram may come late
-MAX_REASON_CHARS = 40  # characters of a reason that leave
+REPLAY_WINDOW = 256  # a datagram is dropped if its count is this far below the highest one received
+MAX_REASON_CHARS = 40  # longer reasons are cut off before sending
 KINDS: tuple[type[Any], ...] = (
     register.Prepare,
     register.Promise,
@@ -43,24 +44,27 @@
 
 
 class BadDatagram(ValueError):
-    """One that is not taken; the text says why, without its contents."""
+    """A rejected datagram; the text gives the reason, without the contents of the datagram."""
 
 
 class Keys:
-    """MAC keys by number. What leaves is signed with `current`; what comes may be signed with any: a key is
-    first added everywhere, then made current, then taken away everywhere."""
+    """MAC keys by number. Outgoing datagrams are signed with `current`; incoming ones may be signed with any
+    key. To rotate keys, operators first add the new key on all gateways, then make it current, and then
+    remove the old key on all gateways."""
 
     def __init__(self, keys: Mapping[int, bytes], current: int) -> None:
-        """Raises ValueError: keys have 32 bytes and numbers of 0 to 255."""
+        """Raises ValueError if `current` is not among the keys, if a key is not 32 bytes long, or if a number
+        is not in 0 to 255."""
         if current not in keys or any(len(k) != 32 or not 0 <= n <= 255 for n, k in keys.items()):
             raise ValueError("keys have 32 bytes and a number of 0 to 255, and the current one is among them")
         self._keys, self._current = dict(keys), current
 
     def seal(self, data: bytes) -> bytes:
+        """Prepends the number of the current key and the MAC."""
         return bytes([self._current]) + self._mac(self._current, data) + data
 
     def open(self, data: bytes) -> bytes:
-        """Raises BadDatagram."""
+        """Verifies the MAC and returns the signed bytes. Raises BadDatagram."""
         if len(data) <= HEADER_BYTES or len(data) > MAX_DATAGRAM_BYTES:
             raise BadDatagram(f"{len(data)} bytes")
         if data[0] not in self._keys:
@@ -74,12 +78,15 @@
 
 
 class ReplayWindow:
-    """Which datagrams of each sender have come."""
+    """Records which datagrams of each sender have been received."""
 
     def __init__(self) -> None:
-        self._seen: dict[int, tuple[int, int, int]] = {}  # life, highest count, bits of those below it
+        self._seen: dict[
+            int, tuple[int, int, int]
+        ] = {}  # incarnation, highest count, bit mask of received counts
 
     def accept(self, sender: int, incarnation: int, count: int) -> bool:
+        """Records a datagram; returns False if it is a repetition or too old."""
         known = self._seen.get(sender)
         if known is None or incarnation > known[0]:
             self._seen[sender] = (incarnation, count, 1)
@@ -97,7 +104,7 @@
 
 
 class Wire:
-    """One gateway's end."""
+    """Encodes and decodes the datagrams of one gateway."""
 
     def __init__(self, me: int, incarnation: int, keys: Keys) -> None:
         self.me, self.incarnation, self.keys = me, incarnation, keys
@@ -105,7 +112,8 @@
         self._replay = ReplayWindow()
 
     def encode(self, target: int, message: Any) -> bytes:
-        """Raises ValueError where a message does not fit; what may be shortened is."""
+        """Encodes and signs a message for `target`. Reasons are shortened; raises ValueError if the message
+        is still too large for a datagram."""
         if isinstance(message, HaltNotice):
             message = msgspec.structs.replace(message, why=message.why[:MAX_REASON_CHARS])
         if isinstance(message, OperationReply):
@@ -123,7 +131,7 @@
         return sealed
 
     def decode(self, data: bytes) -> tuple[int, Any]:
-        """Sender and message; raises BadDatagram."""
+        """Returns sender and message of a datagram. Raises BadDatagram."""
         body = self.keys.open(data)
         try:
             sender, incarnation, count, target, kind, raw = msgspec.msgpack.decode(body, type=Body)
@@ -134,7 +142,7 @@
             message = msgspec.msgpack.decode(raw, type=KINDS[kind])
         except msgspec.MsgspecError:
             raise BadDatagram("of another form") from None
-        # Last, so that nothing that can't be read moves the window.
+        # The replay check comes last, so that an unreadable datagram does not move the window.
         if not self._replay.accept(sender, incarnation, count):
             raise BadDatagram("come before")
         return sender, message
