--- a/olivecourse/modelcheck/explorer.py
+++ b/olivecourse/modelcheck/explorer.py
@@ -1,5 +1,8 @@
-"""All interleavings within bounds, breadth first, so that the first fault found has a shortest trace; and
-seeded walks beyond those bounds. A state is whatever has `moves()`, `broken()` and `key()`."""
+"""Explicit-state search: breadth first over all interleavings within bounds, and seeded random walks.
+
+Breadth-first search makes the trace of the first violation a shortest one. Random walks reach states beyond
+the bounds. A state is any object with `moves()`, `violation()` and `key()`.
+"""
 
 from __future__ import annotations
 
@@ -14,22 +17,26 @@
 
 
 class State(Protocol):
+    """One state of a model."""
+
     def moves(self: StateT) -> Iterator[tuple[str, Callable[[], StateT]]]:
-        """Every step that may come next, in words, and what makes the state after it."""
+        """Yields every possible transition: its description, and a function that creates the successor
+        state."""
         ...
 
     def violation(self) -> str:
-        """The invariant that does not hold here, or nothing."""
+        """Returns the invariant that this state violates, or an empty string."""
         ...
 
     def key(self) -> Hashable:
-        """Equal for states that behave alike."""
+        """Returns a value that is equal for states with the same further behaviour."""
         ...
 
 
 @dataclass
 class SearchResult(Generic[StateT]):
-    """`states` told apart; `whole` if none was left out; `trace` to the first broken one."""
+    """Result of a search: the number of distinct states, whether the search was exhaustive, and the violated
+    invariant with the transitions that lead to it, if one was found."""
 
     states: int
     complete: bool
@@ -38,7 +45,7 @@
 
 
 def explore(start: StateT, max_states: int, seconds: float = 1e9) -> SearchResult[StateT]:
-    """Breadth first, at most so many states and seconds."""
+    """Searches breadth first, up to a number of states and seconds."""
     deadline = time.monotonic() + seconds
     predecessors: dict[Hashable, tuple[Hashable, str] | None] = {start.key(): None}
     queue: deque[StateT] = deque([start])
@@ -70,7 +77,8 @@
 def random_walks(
     start: StateT, walks: int, depth: int, seed: int, seconds: float = 1e9
 ) -> SearchResult[StateT]:
-    """Seeded random walks: deeper than all interleavings can go, and never whole."""
+    """Follows seeded random walks of up to `depth` transitions. These reach greater depths than an exhaustive
+    search, and the result is never marked complete."""
     deadline, random = time.monotonic() + seconds, Random(seed)
     seen_hashes = set[Hashable]()
     for _ in range(walks):
--- a/olivecourse/modelcheck/places.py
+++ b/olivecourse/modelcheck/places.py
@@ -1,11 +1,13 @@
-"""The agreement on places and halts, checked: three members, two items of which one may be out, messages
-lost, doubled and in any order, crashes with the disk kept, ballots given up. What is checked is the Register
-and the operations that gateways run; time is left out: a ballot may end, and a holder be taken for silent, at
-any moment.
-
-Invariants: never more out than the budget; no token for two; what a release starts after its halt was
-acknowledged never goes out; an acknowledged halt is with a majority. Five planted faults show that it
-finds what is there.
+"""Model check of the agreement on leases and halts.
+
+The model has three members and two items, of which one may be out of service. Messages are lost, duplicated
+and reordered; members crash and restart with their disk; ballots are abandoned. The checked code is the
+register implementation and the operations that gateways run. Time is not modelled: a ballot may end, and a
+holder may be considered silent, at any moment.
+
+Invariants: the budget is never exceeded; no token is granted for two items; a lease request made for a
+release after its halt was acknowledged never takes an item out of service; an acknowledged halt is durable at
+a majority. Five planted faults verify that the check detects violations.
 """
 
 from __future__ import annotations
@@ -27,7 +29,7 @@
 from olivecourse.rollout.releases import Command, CommandReply, CommandRequest, Plan, Release, State
 
 KEY = "gateways"
-ITEMS = (0, 1)  # each is the gateway of that number, which asks for itself
+ITEMS = (0, 1)  # each item is the gateway of that number, which requests leases for itself
 GROUP = Group(KEY, {0: 1.0, 1: 1.0, 2: 1.0}, Budget(1, 0.5))
 FAULTS = (
     "no fencing",
@@ -40,14 +42,15 @@
 
 
 class NoDelays(Random):
-    """Waits are not modelled."""
+    """Random source for the backoff, which is always zero because time is not modelled."""
 
     def random(self) -> float:
         return 0.0
 
 
 class Model:
-    """One state. `left`: how many crashes, doublings, ballots given up, reclaims and asks may still come."""
+    """One state of the model. `remaining` says how many crashes, duplicated messages, abandoned ballots,
+    reclaim operations and repeated lease requests may still occur."""
 
     def __init__(
         self,
@@ -62,7 +65,10 @@
         granted: bool = False,
         crashable: tuple[int, ...] = (0, 1, 2),
     ) -> None:
-        """`weak`: the members that may crash; `granted`: the first item has its place already."""
+        """Creates a start state. `why` is the purpose of all leases; with `halts` set, member 2 may halt the
+        release; `fault` is one of FAULTS. `crashes`, `twice`, `ends`, `reclaims` and `asks` bound the events
+        of `remaining`. `crashable` lists the members that may crash. With `granted` set, the first item
+        already has a lease."""
         self.why, self.halts, self.fault = why, halts, fault
         self.remaining = {"crash": crashes, "twice": twice, "end": ends, "reclaim": reclaims, "ask": asks}
         release = {releases.KEY: Slot(value=releases.encode(RUNNING))}
@@ -73,23 +79,23 @@
         self.disks: list[dict[str, Slot]] = [dict(release) for _ in range(3)]
         self.nodes = [self._boot(n) for n in range(3)]
         self.net: tuple[tuple[int, int, Any], ...] = ()
-        self.stage = dict.fromkeys(ITEMS, "in")  # asks, granted, begins, yes, out, back
+        self.stage = dict.fromkeys(ITEMS, "in")  # then: asks, granted, begins, yes, out, back
         self.token = dict.fromkeys(ITEMS, 0)
         if granted:
             self.stage[0], self.token[0] = "granted", 1
-        self.granted_items: dict[int, int] = {}  # by token: to which item
+        self.granted_items: dict[int, int] = {}  # token -> item
         self.token_reused = False
-        self.halt = "" if halts else "never"  # asked, acknowledged
-        self.started_after_halt = (
-            False  # went out on a yes that was asked for after the halt was acknowledged
-        )
-        self.asked_after_halt: frozenset[int] = frozenset()  # items whose ask began after it
+        self.halt = "" if halts else "never"  # then: asked, acknowledged
+        # Whether an item went out that requested its lease or activation after the halt was acknowledged.
+        self.started_after_halt = False
+        self.asked_after_halt: frozenset[int] = frozenset()  # items with such a request
         self.handles: dict[tuple[int, int], str] = {}
         self.count = 0
 
     # Members ------------------------------------------------------------------------------------------
 
     def _boot(self, number: int) -> QuorumRegisters:
+        """Starts the process of a member from its disk."""
         register = QuorumRegisters(
             number,
             (0, 1, 2),
@@ -104,14 +110,15 @@
         return register
 
     def _bind(self, node: QuorumRegisters) -> None:
-        """A copied member decides by its own slots."""
+        """Binds the callbacks of a copied member to the copy, so that it decides by its own register
+        states."""
         node._apply_operations = lambda key, value, ops, out: self._apply_at(node, key, value, ops)
         node._fence = lambda key, value: is_fenced(node.slots, key, value)
 
     def _apply_operations(
         self, key: str, value: bytes, ops: Sequence[Any], out: frozenset[int]
     ) -> tuple[bytes, list[Any]]:
-        raise AssertionError("bound anew before every step")
+        raise AssertionError("must be replaced by _bind before every step")
 
     def _apply_at(
         self, node: QuorumRegisters, key: str, value: bytes, ops: Sequence[Any]
@@ -127,7 +134,7 @@
         after, answers = places.apply_batch(value, ops, view)
         if self.fault == "no fencing":
             answers = [
-                Answer(Outcome.DONE, a.token) if op.act is LeaseAction.ACTIVATE else a
+                Answer(Outcome.DONE, a.token) if op.action is LeaseAction.ACTIVATE else a
                 for op, a in zip(ops, answers, strict=True)
             ]
         return after, list(answers)
@@ -171,7 +178,7 @@
         return copied
 
     def _carry_out(self, number: int) -> None:
-        """Carries out a member's step: disk first, then messages, then answers."""
+        """Carries out a member's effects: first the disk writes, then the messages, then the answers."""
         step = self.nodes[number].taken()
         self.disks[number].update(step.durable)
         sends = [
@@ -204,7 +211,7 @@
         self.nodes[number].propose(key, self.count, op, 0)
         self._carry_out(number)
 
-    # Moves --------------------------------------------------------------------------------------------
+    # Transitions --------------------------------------------------------------------------------------
 
     def moves(self) -> Iterator[tuple[str, Callable[[], Model]]]:
         for i, (source, target, message) in enumerate(self.net):
@@ -302,7 +309,8 @@
         return successor
 
     def _after_crash(self, number: int) -> Model:
-        """The process ends, and a new one starts from its disk; its holder's hopes go with it."""
+        """The process of a member ends and a new one starts from its disk. The open requests of its item are
+        lost with the process."""
         successor = self._copy()
         successor.remaining["crash"] -= 1
         if self.fault == FAULTS[1]:
@@ -330,9 +338,10 @@
         successor._carry_out(number)
         return successor
 
-    # What must hold -----------------------------------------------------------------------------------
+    # Invariants ---------------------------------------------------------------------------------------
 
     def violation(self) -> str:
+        """Returns the violated invariant of this state, or an empty string."""
         if sum(stage == "out" for stage in self.stage.values()) > GROUP.budget.number:
             return "over budget"
         if self.token_reused:
@@ -348,6 +357,7 @@
         return ""
 
     def key(self) -> Hashable:
+        """Returns a hash of everything in this state that influences its further transitions."""
         nodes = tuple(
             (
                 tuple(sorted(n.slots.items())),
@@ -397,13 +407,14 @@
 
 
 def find_planted_fault(fault: str, seed: int = 1, seconds: float = 20.0) -> SearchResult[Model]:
-    """Looks for a planted fault within narrow bounds in which it can show."""
+    """Searches for a violation caused by a planted fault, within narrow bounds that allow it to occur."""
     return random_walks(Model(fault=fault, **NARROW_BOUNDS[fault]), 1_000_000, 40, seed, seconds)
 
 
 def check_all(short: bool = True, seed: int = 1) -> dict[str, int]:
-    """States told apart without a fault, and how many of the planted ones were found, each within bounds in
-    which the code without it is checked too. Raises AssertionError with the trace of what was not planted."""
+    """Checks the correct code, and searches for each planted fault within bounds in which the correct code is
+    checked too. Returns the number of distinct states of the correct code, and the numbers of planted and
+    found faults. Raises AssertionError with the trace if the correct code violates an invariant."""
     max_states, seconds = (600, 0.5) if short else (60_000, 25.0)
     scenarios: tuple[dict[str, Any], ...] = ({}, {"why": Why.RELEASE, "halts": True}, {"why": Why.ROLLBACK})
     states = 0
--- a/olivecourse/rollout/commands.py
+++ b/olivecourse/rollout/commands.py
@@ -1,4 +1,5 @@
-"""`olivecourse rollout`, `drain` and `undrain`: releases and places, at any gateway's operators' door."""
+"""The commands `olivecourse rollout`, `drain` and `undrain`, which call the management address of a
+gateway."""
 
 from __future__ import annotations
 
@@ -14,21 +15,22 @@
 
 from olivecourse.config.address import parse_address
 
-REQUEST_TIMEOUT_S = 5.0  # the door owes its answer within one second
-TICKET_TIMEOUT_S = 6.0  # a word that no majority has answered by then may still come true: look at the status
+REQUEST_TIMEOUT_S = 5.0  # a gateway answers management calls within one second
+TICKET_TIMEOUT_S = 6.0  # a command without an answer by then may still take effect; the status shows it
 POLL_INTERVAL_S = 0.2
 ADDRESS = click.option(
     "--address",
     envvar=["EDGE_MGMT", "EDGE_ADMIN"],
     required=True,
     metavar="HOST:PORT",
-    help="Any gateway's operators' door; without it $EDGE_MGMT or $EDGE_ADMIN.",
+    help="Management address of any gateway; the default is $EDGE_MGMT or $EDGE_ADMIN.",
 )
 JSON = click.option("--json", "plain", is_flag=True, help="Print JSON.")
 
 
 def call(address: str, method: str, path: str, body: dict[str, Any] | None = None) -> dict[str, Any]:
-    """The reply's object; ends the program with 3 where nobody answers, with 1 where the answer is a no."""
+    """Calls a gateway and returns the JSON object of its reply. Exits with code 3 if no gateway answers, and
+    with code 1 if the gateway refuses the call."""
     try:
         host, port = parse_address(address)
     except ValueError as error:
@@ -37,29 +39,29 @@
     try:
         connection.request(method, path, None if body is None else json.dumps(body))
         reply = connection.getresponse()
-        found = json.loads(reply.read())
+        reply_body = json.loads(reply.read())
     except (OSError, ValueError, http.client.HTTPException) as error:
         click.echo(f"olivecourse: no answer from {address}: {str(error) or type(error).__name__}", err=True)
         sys.exit(3)
     finally:
         connection.close()
     if not 200 <= reply.status < 300:
-        click.echo(f"olivecourse: no: {found.get('why', 'rollouts are off there')}", err=True)
+        click.echo(f"olivecourse: no: {reply_body.get('why', 'rollouts are off there')}", err=True)
         sys.exit(1)
-    return dict(found)
+    return dict(reply_body)
 
 
-def send_command(address: str, do: str, **more: Any) -> None:
-    """One word on the release; waits for what a majority makes of it."""
-    ticket = call(address, "POST", "/rollout/ask", {"do": do, **more})["ticket"]
+def send_command(address: str, do: str, **arguments: Any) -> None:
+    """Sends one command on the release, and waits until a majority of the members has answered it."""
+    ticket = call(address, "POST", "/rollout/ask", {"do": do, **arguments})["ticket"]
     end = time.monotonic() + TICKET_TIMEOUT_S
     while time.monotonic() < end:
-        found = call(address, "GET", f"/rollout/ticket/{ticket}")
-        if not found["pending"]:
-            if found["ok"]:
-                click.echo(f"{do}: done, term {found['term']}")
+        ticket_status = call(address, "GET", f"/rollout/ticket/{ticket}")
+        if not ticket_status["pending"]:
+            if ticket_status["ok"]:
+                click.echo(f"{do}: done, term {ticket_status['term']}")
                 return
-            click.echo(f"{do}: no: {found['why']}", err=True)
+            click.echo(f"{do}: no: {ticket_status['why']}", err=True)
             sys.exit(1)
         time.sleep(0.05)
     click.echo(f"{do}: no majority has answered; look at `olivecourse rollout status`", err=True)
@@ -67,13 +69,14 @@
 
 
 def since(unix_s: int) -> str:
+    """Formats a Unix time in seconds as the time of day; 0 stands for an unknown time."""
     return datetime.fromtimestamp(unix_s, UTC).strftime("%H:%M:%S UTC") if unix_s else "unknown"
 
 
 def lines(status: dict[str, Any]) -> list[str]:
-    """The status in words, one line a fact."""
+    """Formats the status as text, with one fact on each line."""
     release = status["release"]
-    found = [
+    text = [
         f"release: {release['state']} (term {release['term']})"
         + (
             f", version {release['version']}, wave {release['wave'] + 1}/{len(release['waves'])}"
@@ -83,25 +86,30 @@
         + (f": {release['why']}" if release["why"] else "")
         + (", held here" if release["held_here"] else "")
     ]
-    found += [
+    text += [
         f"gateway {g['name']}: {g['service'] if g['heard'] else 'silent'} {g['version']}".rstrip()
         for g in status["gateways"]
     ]
     for key, group in status["groups"].items():
-        found.append(f"{key}: {len(group['out'])} of {group['of']} out, {group['may']} may be")
-        found += [
+        text.append(f"{key}: {len(group['out'])} of {group['of']} out, {group['may']} may be")
+        text += [
             f"  {p['item']}: {p['phase']} since {since(p['since'])}, {p['why']} by {p['holder']}"
             for p in group["places"]
         ]
         placed = {p["item"] for p in group["places"]}
-        found += [f"  {name}: out without a place" for name in group["out"] if name not in placed]
-        found += [
-            f"  {x['item']}: waits since {since(x['since'])}, for {x['holder']}" for x in group["waiting"]
+        text += [f"  {name}: out without a place" for name in group["out"] if name not in placed]
+        text += [
+            f"  {queued['item']}: waits since {since(queued['since'])}, for {queued['holder']}"
+            for queued in group["waiting"]
         ]
-    return found + [f"work {x['item']}: {x['stage']} {x['said']}".rstrip() for x in status["works"]]
+    return text + [
+        f"work {work['item']}: {work['stage']} {work['said']}".rstrip() for work in status["works"]
+    ]
 
 
 def table(status: dict[str, Any]) -> None:
+    """Prints the status as a table of groups, followed by one line for each gateway and each item worked
+    on."""
     from rich.console import Console
     from rich.table import Table
 
@@ -111,7 +119,9 @@
             (p["item"], p["phase"], f"{p['why']} by {p['holder']}", since(p["since"]))
             for p in group["places"]
         ]
-        rows += [(x["item"], "waits", x["holder"], since(x["since"])) for x in group["waiting"]]
+        rows += [
+            (queued["item"], "waits", queued["holder"], since(queued["since"])) for queued in group["waiting"]
+        ]
         for i, row in enumerate(rows or [("", "", "", "")]):
             head = (key, f"{len(group['out'])} of {group['of']}", str(group["may"]))
             grid.add_row(*(("", "", "") if i else head), *row)
@@ -123,9 +133,10 @@
 
 @click.group()
 def rollout() -> None:
-    """Releases and drains that the whole fleet agrees on.
+    """Releases and drains on which the whole fleet agrees.
 
-    Exit codes: 0 done, 1 no (the reason is printed), 2 wrong words, 3 nobody answers, 4 no majority answered.
+    Exit codes: 0 done, 1 refused (the reason is printed), 2 invalid usage or file, 3 the gateway does not
+    answer, 4 no majority answered.
     """
 
 
@@ -133,8 +144,8 @@
 @click.option("--operator", required=True, type=click.Path(), help="The operator's file with `rollout:`.")
 @click.option("--name", required=True, help="This gateway's name.")
 def init(operator: str, name: str) -> None:
-    """Mark the folder as a member's of a fleet that starts now. Once for each member, and never for one that
-    takes another's place: that one catches up by itself."""
+    """Initialize the folder of a voting member of a new fleet. Run this once for each member, and never for a
+    member that replaces another one: a replacement recovers the state of the others by itself."""
     from olivecourse.config.sections import BadSection
     from olivecourse.rollout.section import read_rollout
     from olivecourse.rollout.store import Disk, FolderUnusable
@@ -156,37 +167,39 @@
 @click.argument("file", type=click.Path())
 @ADDRESS
 def plan(file: str, address: str) -> None:
-    """Read a release's plan from a YAML FILE and propose it; nothing starts yet."""
+    """Read a release plan from a YAML FILE and propose it; this does not start the release."""
     import msgspec
 
     from olivecourse.config.sections import BadSection, read_section
     from olivecourse.rollout.section import PlanText
 
     try:
-        found = read_section(file, "release", PlanText)
-        if found is None:
+        plan_text = read_section(file, "release", PlanText)
+        if plan_text is None:
             raise BadSection(f"{file}: no release section")
     except BadSection as error:
         click.echo(f"olivecourse: {error}", err=True)
         sys.exit(2)
-    send_command(address, "plan", plan=msgspec.to_builtins(found))
+    send_command(address, "plan", plan=msgspec.to_builtins(plan_text))
 
 
 def _add_command(name: str, text: str) -> None:
     @rollout.command(name, help=text)
     @ADDRESS
-    @click.option("--why", default="", help="A few words for the others; 40 characters are kept.")
-    @click.option("--term", type=int, default=None, help="Refused if the release stands at another by now.")
+    @click.option("--why", default="", help="Reason shown to other operators; cut off after 40 characters.")
+    @click.option(
+        "--term", type=int, default=None, help="Refuse the command if the release has another term by now."
+    )
     def command(address: str, why: str, term: int | None) -> None:
         send_command(address, name, why=why, **({} if term is None else {"term": term}))
 
 
 for _name, _text in (
     ("start", "Start the planned release."),
-    ("pause", "Let nobody more go; resume goes on."),
-    ("halt", "Stop the release everywhere; only a resume or a rollback ends that."),
-    ("resume", "Go on with a paused or halted release."),
-    ("rollback", "Bring the version before back, within the same budgets."),
+    ("pause", "Let no further gateway restart until a resume."),
+    ("halt", "Stop the release everywhere; only a resume or a rollback ends the halt."),
+    ("resume", "Continue a paused or halted release."),
+    ("rollback", "Return all gateways to the previous version, within the same budgets."),
 ):
     _add_command(_name, _text)
 
@@ -196,13 +209,14 @@
 @JSON
 @click.option("--watch", is_flag=True, help="Print it again with every change, until Ctrl-C.")
 def status(address: str, plain: bool, watch: bool) -> None:
-    """What is out, who waits, and how the release stands, as this gateway knows it."""
+    """Show what is out of service, which requests wait, and the state of the release, as known to the
+    gateway."""
     before: dict[str, Any] = {}
     while True:
-        found = call(address, "GET", "/rollout/status")
-        if found != before:
-            click.echo(json.dumps(found)) if plain else table(found)
-        before = found
+        current = call(address, "GET", "/rollout/status")
+        if current != before:
+            click.echo(json.dumps(current)) if plain else table(current)
+        before = current
         if not watch:
             return
         time.sleep(POLL_INTERVAL_S)
@@ -212,7 +226,7 @@
 @click.argument("log", type=click.Path())
 @JSON
 def explain(log: str, plain: bool) -> None:
-    """From a gateway's LOG: when places were given and taken back, and how the release went."""
+    """Show from a gateway's LOG when leases were granted and ended, and how the release progressed."""
     try:
         text = Path(log).read_text("utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -248,16 +262,20 @@
     default=None,
     is_flag=False,
     flag_value=600.0,
-    help="Wait for the place, 600 s without a number; else only ask.",
+    help="Wait until the item is out, 600 s if no number is given; without --wait only request it.",
+)
+@click.option(
+    "--force",
+    is_flag=True,
+    help="Bypass the budget and the queue; the last item of a group still stays in service.",
 )
-@click.option("--force", is_flag=True, help="Pass the budget and the queue; never the last one of a group.")
 def drain(item: str, address: str, seconds: float | None, force: bool) -> None:
-    """Take a store or a gateway out, as soon as the fleet's budget lets it."""
+    """Take a store or a gateway out of service as soon as the disruption budget of its group allows it."""
     call(address, "POST", "/rollout/ask", {"do": "drain", "item": item, "force": force})
     end, last = time.monotonic() + (seconds or 0.0), ""
     while True:
-        found = call(address, "GET", "/rollout/status")
-        work = next((x for x in found["works"] if x["item"] == item), None)
+        current = call(address, "GET", "/rollout/status")
+        work = next((x for x in current["works"] if x["item"] == item), None)
         if work is not None and work["stage"] == "out":
             click.echo(f"{item} is out")
             return
@@ -273,8 +291,8 @@
 @click.command()
 @click.argument("item")
 @ADDRESS
-@click.option("--force", is_flag=True, help="Give the place back now, also one of a gateway that is gone.")
+@click.option("--force", is_flag=True, help="End the lease now, even if its holder has failed.")
 def undrain(item: str, address: str, force: bool) -> None:
-    """Use it again; its place is given back once it is warm."""
+    """Return a store or a gateway to service; its lease ends once it is warm."""
     call(address, "POST", "/rollout/ask", {"do": "undrain", "item": item, "force": force})
     click.echo(f"{item} is asked again")
--- a/olivecourse/rollout/member.py
+++ b/olivecourse/rollout/member.py
@@ -1,7 +1,7 @@
-"""One gateway's part in the agreement: messages and news in, what must be written, sent and done out. No I/O.
+"""One gateway's state machine of the agreement: it takes messages and time, and returns effects. No I/O.
 
-Clock and randomness are passed in. Who asks for a place need not vote: an operation goes to the first member
-that is heard, and to the next one if no answer comes. Playing an operation twice does what once does.
+Clock and randomness are passed in. A gateway that does not vote sends its operations to a voting member: to
+the first one that sends heartbeats, and to the next one if no answer arrives. Operations are idempotent.
 """
 
 from __future__ import annotations
@@ -22,34 +22,36 @@
 from olivecourse.rollout.releases import Command, CommandReply, CommandRequest, Release, State
 
 MS, S = 1_000_000, 1_000_000_000
-RESEND_NS, FAILOVER_NS = 150 * MS, 450 * MS  # an ask is sent again, and then to another member
+RESEND_NS, FAILOVER_NS = 150 * MS, 450 * MS  # until a request is sent again, and then to another member
 REQUEST_TIMEOUT_NS = 3 * S
-SUPERVISION_NS = 250 * MS  # between two looks at what is to be reclaimed, and at the release
-ANTI_ENTROPY_NS = 200 * MS  # between two times that one peer is told all that is known here
-MAX_REPORTED_OUT = 8  # of a group's that a vote names: more than any budget
-HALT_FANOUT = 6  # peers that a halt is told by each who hears of it, in a fleet that is larger
-RUMOR_FANOUT = 12  # peers that a learned value is passed on to: of n nodes, n / e^12 miss it on the mean
+SUPERVISION_NS = 250 * MS  # interval at which the coordinator reclaims leases and advances the release
+ANTI_ENTROPY_NS = 200 * MS  # shortest interval between two transfers of all learned values to one peer
+MAX_REPORTED_OUT = 8  # items of a group that a promise lists as out of service: more than any budget allows
+HALT_FANOUT = 6  # peers to which each gateway forwards a halt, in a fleet of more than twice as many
+RUMOR_FANOUT = 12  # peers to which a learned value is forwarded: on average n / e^12 of n nodes miss it
 MAX_PENDING_REQUESTS = 64
-MIN_GATE_REQUESTS, MAX_SOAK_PERIODS = (
-    50,
-    10,
-)  # requests that a gate wants of the new version; soaks it waits for them
+# A gate needs this many requests to the new version; a wave waits for them for up to so many soak periods.
+MIN_GATE_REQUESTS, MAX_SOAK_PERIODS = 50, 10
 
 
 class OperationRequest(msgspec.Struct, frozen=True, array_like=True):
+    """Asks a voting member to run a ballot for an operation on register `key`."""
+
     nonce: int
     key: str
     operation: LeaseOperation | CommandRequest
 
 
 class OperationReply(msgspec.Struct, frozen=True, array_like=True):
+    """The answer of a voting member to the request with the same nonce."""
+
     nonce: int
     answer: Answer | CommandReply
 
 
 class HaltNotice(msgspec.Struct, frozen=True, array_like=True):
-    """Said by whoever hears a halt, at once; binding for who hears it, whether a majority has taken it or
-    not. `term` is that of the release as it ran."""
+    """Halt of a release, forwarded at once by every gateway that receives it. The halt is binding for the
+    receiver, whether or not a majority has accepted it yet. `term` is the term of the release when it ran."""
 
     term: int
     by: int
@@ -58,14 +60,18 @@
 
 
 class ReleaseGate(Protocol):
+    """Compares the new version of a release with the old one."""
+
     def update(self, new: tuple[int, int], old: tuple[int, int]) -> str:
-        """Totals (ended, badly) of the new version's side and of the others; why to halt, or nothing."""
+        """Takes the total counts (ended, bad) of the gateways with the new version and of the others; returns
+        the reason to halt, or an empty string."""
         ...
 
 
 @dataclass(frozen=True)
 class Setup:
-    """`fleet` numbers the gateways, `members` those that vote, `office` the register of each one's group."""
+    """Static configuration of a member. `fleet` has the numbers of all gateways, and `members` of those that
+    vote. `offices` maps each gateway to the register of its group."""
 
     me: int
     fleet: tuple[int, ...]
@@ -74,12 +80,12 @@
     capacities: Mapping[int, float]
     budget: Budget
     make_gate: Callable[[releases.Plan], ReleaseGate] | None = None
-    fences: bool = True  # False only to show what fences are for
+    fences: bool = True  # tests set False to show the fault that fencing prevents
 
 
 @dataclass
 class PendingRequest:
-    """An ask on its way to a member."""
+    """An operation request that has not been answered yet."""
 
     handle: int
     request: OperationRequest
@@ -90,8 +96,8 @@
 
 @dataclass
 class ObservedStores:
-    """Groups of stores as the list tells them, whom this gateway takes to be out of each, whatever the reason
-    but a place, and how long one of them is cold at most."""
+    """What this gateway observes of the stores, by group: the group as listed, the items that are out of
+    service for any reason other than a lease, and the longest time for which an item can be cold."""
 
     groups: dict[str, Group] = field(default_factory=dict)
     out: dict[str, set[int]] = field(default_factory=dict)
@@ -99,6 +105,9 @@
 
 
 class Member:
+    """Agreement state of one gateway: heartbeats, registers, open requests, and the supervision of
+    releases."""
+
     def __init__(
         self,
         setup: Setup,
@@ -109,7 +118,8 @@
         now: int,
         votes: bool = True,
     ) -> None:
-        """`life`: Unix ms of the start. `votes` as for a Register."""
+        """`incarnation` is the Unix time of the process start in milliseconds; `votes` is explained at
+        `QuorumRegisters`."""
         self.setup, self.incarnation, self.version, self._random = setup, incarnation, version, random
         self.hearing = Hearing(setup.me, setup.fleet, now)
         self._peers = [node for node in setup.fleet if node != setup.me]
@@ -128,14 +138,13 @@
             self._reported_out,
             votes and setup.me in setup.members,
         )
-        self._restored_since: dict[
-            tuple[str, int, int], int
-        ] = {}  # key, item, token: since when it is asked again
-        self.halted_term = 0  # the term under which a halt was heard of
+        # By key, item and token of a lease: the time since when the item is known to receive requests again.
+        self._restored_since: dict[tuple[str, int, int], int] = {}
+        self.halted_term = 0  # the highest release term for which a halt is known
         self._now = now
         self._pending: dict[int, PendingRequest] = {}
-        self._coordinated: dict[int, tuple[int, int]] = {}  # our handle -> who asked, and under which nonce
-        self._count = 0
+        self._coordinated: dict[int, tuple[int, int]] = {}  # handle -> (requesting gateway, nonce)
+        self._last_handle = 0
         self._next_heartbeat_at = self._next_supervision_at = now
         self._synced_at: dict[int, int] = {}
         self._gate: tuple[int, ReleaseGate] | None = None
@@ -143,10 +152,11 @@
         self._learn_accepted_values()
         self.register.on_chosen = self._gossip
 
-    # What is known ------------------------------------------------------------------------------------
+    # Known values -------------------------------------------------------------------------------------
 
     def _learn_accepted_values(self) -> None:
-        """What was accepted here may have been chosen: it is known at once, and makes only more careful."""
+        """Treats values that this member has accepted as learned at the start. They may not have been chosen,
+        but taking them into account can only make this gateway more cautious."""
         for key, slot in self.register.slots.items():
             if slot.value:
                 self.register.learn(Learn(key, slot.accepted, slot.value))
@@ -157,21 +167,25 @@
 
     @property
     def release(self) -> Release:
+        """The newest release known to this gateway."""
         return releases.decode(self._learned_value(releases.KEY))
 
     @property
     def halted(self) -> bool:
+        """Whether the release is paused or halted, or a halt of it has been received."""
         release = self.release
         return release.halted or 0 < release.term <= self.halted_term
 
     def table(self, key: str) -> places.Table:
+        """The newest lease table of a group known to this gateway."""
         return places.decode(self._learned_value(key))
 
     def tables(self) -> dict[str, places.Table]:
+        """The newest known lease tables of all groups."""
         return {key: self.table(key) for key in self.register.learned if key != releases.KEY}
 
     def group(self, key: str) -> Group:
-        """The stores of that name, or the gateways of an office."""
+        """The group of that key: stores as observed, or the gateways of an office."""
         store_group = self.world.groups.get(key)
         if store_group is not None:
             return store_group
@@ -179,7 +193,8 @@
         return Group(key, office_nodes, self.setup.budget)
 
     def out(self, key: str) -> set[int]:
-        """Whom we take to be out, whatever the reason but a place."""
+        """The items of a group that this gateway considers out of service for any reason other than a
+        lease."""
         office_nodes = self._office_nodes.get(key, ())
         out = set(self.world.out.get(key, ())) | {
             n for n in office_nodes if self.hearing.unavailable(n, self._now)
@@ -187,8 +202,9 @@
         return out | self._possibly_cold(key)
 
     def _possibly_cold(self, key: str) -> set[int]:
-        """What has come back and may be cold: the list may tell of its start after its holder did, and a
-        voter that has just started knows nothing of before. Each counts from when it heard of it."""
+        """Items that receive requests again and may still be cold. The list may show the restart of an item
+        later than its holder does, and a voter that has just started does not know when the item came back.
+        Each voter therefore counts the cold period from the time at which it learned of the return."""
         cold = self.world.cold_ns.get(key, 0)
         restored = {(key, p.item, p.token) for p in self.table(key).leases if p.phase is places.Phase.BACK}
         for entry in [known for known in self._restored_since if known[0] == key and known not in restored]:
@@ -200,13 +216,14 @@
         }
 
     def _reported_out(self, key: str) -> tuple[int, ...]:
-        """For a vote: those with a place are counted anyway, and go last where not all find room."""
+        """The items to list in a promise. Items with a lease are counted anyway, so they come last and are
+        the first to be omitted from a full list."""
         if key == releases.KEY:
             return ()
         leased = {p.item for p in self.table(key).leases}
         return tuple(sorted(self.out(key), key=lambda item: (item in leased, item))[:MAX_REPORTED_OUT])
 
-    # Decisions of a ballot ----------------------------------------------------------------------------
+    # Callbacks of the registers -----------------------------------------------------------------------
 
     def _apply_operations(
         self, key: str, value: bytes, operations: Sequence[Any], voted: frozenset[int]
@@ -228,13 +245,14 @@
     def _fenced(self, key: str, value: bytes) -> bool:
         return self.setup.fences and is_fenced(self.register.slots, key, value)
 
-    # Asking -------------------------------------------------------------------------------------------
+    # Requests -----------------------------------------------------------------------------------------
 
     def submit(self, key: str, operation: LeaseOperation | CommandRequest, now: int) -> int:
-        """Its answer comes in a later step under the number that is returned; None: not known."""
+        """Submits an operation and returns its handle. The answer appears under that handle in a later step;
+        an answer of None means that the outcome is unknown."""
         self._now = now
-        self._count += 1
-        handle = self._count
+        self._last_handle += 1
+        handle = self._last_handle
         if isinstance(operation, CommandRequest) and operation.command is Command.HALT:
             self._on_halt(
                 HaltNotice(max(operation.term, self.release.term), operation.by, operation.at, operation.why),
@@ -249,11 +267,12 @@
         return handle
 
     def _coordinators(self) -> list[int]:
-        """Members in the order in which they are asked: those that are heard first."""
+        """Voting members in the order in which requests go to them; silent members come last."""
         return sorted(self.setup.members, key=lambda m: (self.hearing.silent(m, self._now), m))
 
     @property
     def coordinates(self) -> bool:
+        """Whether this gateway votes and is the first voting member that is not silent."""
         return self.register.votes and self._coordinators()[0] == self.setup.me
 
     def _dispatch(self, pending: PendingRequest, now: int) -> None:
@@ -266,14 +285,14 @@
             self._send(target, pending.request)
 
     def _coordinate(self, sender: int, request: OperationRequest, now: int) -> None:
-        """Plays a ballot for whoever asks; the same ask twice is one, while the first is open."""
+        """Runs a ballot for a request. A repeated request is ignored while the first one is open."""
         if (sender, request.nonce) in self._coordinated.values() or len(
             self._coordinated
         ) >= 4 * MAX_PENDING_REQUESTS:
             return
-        self._count += 1
-        self._coordinated[self._count] = (sender, request.nonce)
-        self.register.propose(request.key, self._count, request.operation, now)
+        self._last_handle += 1
+        self._coordinated[self._last_handle] = (sender, request.nonce)
+        self.register.propose(request.key, self._last_handle, request.operation, now)
 
     def _on_reply(self, sender: int, reply: OperationReply) -> None:
         pending = self._pending.pop(reply.nonce, None)
@@ -286,7 +305,7 @@
         self.register.step.sends.append((target, message))
 
     def heard(self, sender: int, message: Any, now: int) -> None:
-        """One message of another gateway of the fleet, whose sender the wire has proved."""
+        """Handles a message of another gateway; the caller has authenticated the sender."""
         self._now = now
         if isinstance(message, Beat):
             self.hearing.heard(sender, message, now)
@@ -315,17 +334,19 @@
             self.register.heard(sender, message, now)
 
     def _gossip(self, message: Learn) -> None:
-        """Rumor mongering (Demers et al., 1987, section 1.4): whoever learns a rumor passes it on once.
+        """Rumor mongering (Demers et al., 1987, section 1.4): a gateway that learns a rumor forwards it once.
 
-        All know it within a few hops. Whom that misses learns it by beats, which are the anti-entropy; what
-        those bring is no rumor, or each start of a process would flood the fleet with all that is known.
+        All gateways know the value within a few hops. Gateways that the rumor misses learn the value by
+        anti-entropy, which compares the checksums of heartbeats. Values transferred by anti-entropy are not
+        rumors; otherwise each process start would flood the fleet with all known values.
         """
         small_fleet = len(self._peers) <= RUMOR_FANOUT
         for peer in self._peers if small_fleet else self._random.sample(self._peers, RUMOR_FANOUT):
             self._send(peer, message)
 
     def _on_halt(self, message: HaltNotice, now: int) -> None:
-        """Nobody here starts to go out for that release from now on; told on at once, and made to last."""
+        """Stops this gateway from going out of service for the halted release, forwards the halt at once, and
+        proposes it so that it becomes durable."""
         release = self.release
         if message.term <= self.halted_term or message.term < release.term:
             return
@@ -334,12 +355,12 @@
         for peer in peers if len(peers) <= 2 * HALT_FANOUT else self._random.sample(peers, HALT_FANOUT):
             self._send(peer, message)
         if self.register.votes and release.state is not State.HALTED:
-            self._count += 1
+            self._last_handle += 1
             command = CommandRequest(Command.HALT, message.term, message.by, message.at, message.why)
-            self.register.propose(releases.KEY, self._count, command, now)
+            self.register.propose(releases.KEY, self._last_handle, command, now)
 
     def _refresh_halt(self) -> None:
-        """A newer release: what was held under an older term is over."""
+        """Clears a received halt when a release of a newer term is known that is not halted."""
         release = self.release
         if release.term > self.halted_term:
             self.halted_term = release.term if release.state is State.HALTED else 0
@@ -351,7 +372,7 @@
     # Time ---------------------------------------------------------------------------------------------
 
     def tick(self, now: int) -> None:
-        """To be called every few tens of milliseconds."""
+        """Handles time-outs and periodic work; must be called every few tens of milliseconds."""
         self._now = now
         self.register.tick(now)
         for pending in list(self._pending.values()):
@@ -386,7 +407,7 @@
             self._send(target, heartbeat)
 
     def _supervise(self, now: int) -> None:
-        """The first member that is heard clears up after the silent and moves the release on."""
+        """Run by the coordinating member: reclaims leases of silent holders and advances the release."""
         for key, table in self.tables().items():
             for op in places.cleanup_operations(
                 table, lambda holder: self.hearing.silent(holder, now), self.out(key)
@@ -419,7 +440,7 @@
             self.submit(releases.KEY, CommandRequest(command, release.term, self.setup.me, now // S), now)
 
     def _has_too_few_requests(self, release: Release) -> bool:
-        """Whether gates are on and the new version has been asked too little to be judged."""
+        """Returns whether gates are on and the new version has had too few requests to be judged."""
         if self._gate is None:
             return False
         requests = sum(
@@ -430,7 +451,8 @@
         return requests < MIN_GATE_REQUESTS
 
     def _halted_by_gate(self, release: Release, now: int) -> bool:
-        """Whether the new version was found to serve worse, and the release is being halted for it."""
+        """Evaluates the gate of the release; returns True, after submitting a halt, if the new version serves
+        worse."""
         if release.state is not State.RUNNING or self.setup.make_gate is None or not release.plan.gates:
             self._gate = None
             return False
@@ -459,10 +481,10 @@
             if (heartbeat := self.hearing.heartbeat(n)) is not None
         }
 
-    # Out ----------------------------------------------------------------------------------------------
+    # Effects ------------------------------------------------------------------------------------------
 
     def taken(self) -> Step:
-        """The step so far. Answers for others are among its messages."""
+        """Returns the effects collected so far. Answers to other gateways are among the messages to send."""
         step = self.register.taken()
         done: list[tuple[int, Any]] = []
         for handle, answer in step.done:
@@ -482,8 +504,9 @@
 
 
 def is_fenced(slots: Mapping[str, Slot], key: str, value: bytes) -> bool:
-    """What starts for a release by a member who knows an older term than the voter does is not accepted:
-    after a halt that a majority has taken, no majority takes a start that did not know of it."""
+    """Returns whether a voter must refuse `value`: it grants or activates a release lease, and its proposer
+    knew an older release term than this voter does. After a majority has accepted a halt, no majority accepts
+    such a change by a proposer that does not know the halt."""
     if key == releases.KEY:
         return False
     release_value, lease_value = (slots.get(k, Slot()).value for k in (releases.KEY, key))
@@ -494,7 +517,7 @@
 
 
 def failure_reason(answer: Answer | CommandReply | None) -> str:
-    """Why an ask was not done; empty if it was, or waits in the queue."""
+    """Returns why an operation failed, or an empty string if it was done or is queued."""
     if answer is None:
         return "no majority answered"
     if isinstance(answer, CommandReply):
--- a/olivecourse/rollout/part.py
+++ b/olivecourse/rollout/part.py
@@ -1,7 +1,7 @@
-"""A gateway's part in the rollout carried out: datagrams, the disk, stores left alone, this gateway drained.
+"""Runtime of the rollout agreement in a gateway: sockets, disk, the drains of stores and of this gateway.
 
-What a step promises is written by a thread; until it is on the disk nothing of that step, or of a later one,
-is sent or told.
+A worker thread writes the durable part of each step. No message or answer of a step, or of a later one,
+leaves the process before that part is on disk.
 """
 
 from __future__ import annotations
@@ -40,26 +40,28 @@
 
 MS, S = 1_000_000, 1_000_000_000
 TICK_NS = 20 * MS
-FOLDER_RETRY_NS = 1 * S  # between two tries to get the folder
-REFRESH_NS = 100 * MS  # between two looks at the list and at what has changed
-MAX_DATAGRAMS_PER_TURN = 256  # datagrams a turn
-MAX_QUEUED_STEPS = 1024  # that wait for the disk; beyond, what would be sent is lost as a datagram may be
+FOLDER_RETRY_NS = 1 * S  # interval between attempts to open the folder
+REFRESH_NS = 100 * MS  # interval at which the observed stores and the leases are re-evaluated
+MAX_DATAGRAMS_PER_TURN = 256  # read in one turn of the event loop
+MAX_QUEUED_STEPS = 1024  # steps that wait for the disk; further steps are dropped, like lost datagrams
 MAX_TICKETS = 64
-LEARN_TIMEOUT_NS = 2 * S  # for a majority's answer to be learned here too: it comes by another way
+LEARN_TIMEOUT_NS = 2 * S  # for this gateway to learn a change that a majority has accepted
 STOP_TIMEOUT_S = 1.0
-VERSION_VARIABLE = "OLIVECOURSE_VERSION"  # of this build, where an operator's tools name it
+VERSION_VARIABLE = "OLIVECOURSE_VERSION"  # environment variable with the version of this build
 
 
 class DisabledGate:
-    """Gates are off: nothing halts."""
+    """Gate of a release whose plan turns gates off: it never halts."""
 
     def update(self, new: tuple[int, int], old: tuple[int, int]) -> str:
         return ""
 
 
 class CanaryGate:
+    """Gate of a release that compares the versions with a sequential test."""
+
     def __init__(self, plan: Plan) -> None:
-        from olivecourse.rollout import gates  # with its libraries, only while a release with gates is on
+        from olivecourse.rollout import gates  # imports scipy: only if a release with gates runs
 
         self._gates, self._gate = gates, gates.SequentialTest(plan.alpha, plan.worse)
 
@@ -70,14 +72,16 @@
 
 @dataclass(frozen=True)
 class CommandAnswer:
-    """What a majority made of an operator's word, and when that was known here."""
+    """The answer to an operator's command, and the time of its arrival. `answer` is None if the outcome is
+    unknown."""
 
     answer: CommandReply | None
     at: int
 
 
 class RolloutPart(Part):
-    """Raises ValueError where the gateway is not of the fleet, and OSError where it can't bind."""
+    """The rollout part of a gateway. The constructor raises ValueError if the gateway is not in the fleet,
+    and OSError if the socket cannot be bound."""
 
     def __init__(self, host: Host) -> None:
         super().__init__(host)
@@ -92,7 +96,7 @@
         keys, self._secret = self.config.read_keys()
         self.life = time.time_ns() // MS
         self.wire = Wire(self.me, self.life, keys)
-        self._random = Random()  # of the system: ballots of two gateways must not collide by a seed
+        self._random = Random()  # seeded by the system: equal seeds would make two gateways collide
         self._disk, slots, votes = self._open_folder()
         self._worker = Worker(host.loop, "rollout", most=MAX_QUEUED_STEPS)
         version = section.version or os.environ.get(VERSION_VARIABLE, "")
@@ -116,14 +120,14 @@
         self._answers: dict[int, CommandAnswer] = {}
         self._tickets: deque[int] = deque()
         self._planner: Planner | None = None
-        self._draining = False  # this gateway has its place to be out
-        self._left: set[int] = set()  # stores that have theirs, and get nothing from here
+        self._draining = False  # this gateway is out of service with a lease
+        self._left: set[int] = set()  # stores that are out with a lease and get no requests from this gateway
         self._next_refresh_at = self._next_alive_at = now
         self._logged_state: tuple[Any, ...] = ()
         self._ready_since: int | None = None
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
-            if host.config.doors:  # beside a process of this gateway, in an upgrade
+            if host.config.doors:  # an earlier process of this gateway may run, in an upgrade
                 self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
             self._sock.bind(self.addresses[self.me])
         except OSError:
@@ -135,13 +139,14 @@
             door.desk.others.append(self.call)
 
     def _open_folder(self) -> tuple[Disk | None, dict[str, Any], bool]:
-        """The folder, what it holds, and whether this member may vote by it."""
+        """Opens the folder; returns it, the register states in it, and whether this member may vote with
+        them."""
         if self.config.folder is None:
             return None, {}, False
         try:
             disk = Disk(str(self.config.folder), self.host.config.name, self._secret)
         except FolderLocked:
-            return None, {}, False  # asked again every second: the process before is about to end
+            return None, {}, False  # tried again every second: the earlier process is about to end
         except FolderUnusable as error:
             self.host.log("rollout_folder_unusable", why=str(error))
             return None, {}, False
@@ -157,32 +162,36 @@
             self.host.log("rollout_folder_old", folder=str(self.config.folder))
         return disk, slots or {}, slots is not None and not stale
 
-    # Parts' calls -------------------------------------------------------------------------------------
+    # Interface of parts -------------------------------------------------------------------------------
 
     def teach(self, planner: Planner) -> None:
+        """Receives the gateway's planner."""
         self._planner = planner
 
     def start(self, front: Listener) -> None:
+        """Starts the timer, once the gateway accepts clients."""
         self._tick()
 
     def reloaded(self, old: Any) -> None:
-        """Keys may rotate; who is of the fleet and who votes waits for a restart."""
+        """Re-reads the datagram keys. Changes of the fleet and of the voting members need a restart."""
         try:
             self.wire.keys = self.config.read_keys()[0]
         except BadSection as error:
             self.host.log("file_unusable", why=str(error))
 
     def takes_work(self) -> bool:
+        """Whether this gateway accepts new requests; False while it is out of service with a lease."""
         return not self._draining
 
     def stop(self) -> None:
+        """Closes the socket, stops the disk worker and closes the folder."""
         self.host.loop.forget(self._sock)
         self._sock.close()
         self._worker.stop(STOP_TIMEOUT_S)
         if self._disk is not None:
             self._disk.close()
 
-    # Time ---------------------------------------------------------------------------------------------
+    # Timer --------------------------------------------------------------------------------------------
 
     def _tick(self) -> None:
         now = self.host.loop.clock.now()
@@ -197,7 +206,8 @@
         self.host.loop.after(TICK_NS, self._tick)
 
     def _record_alive(self, now: int) -> None:
-        """That this member lives, by an empty step; without its folder, whether that can be had by now."""
+        """Updates the time stamp of the folder by writing an empty step; if the folder is not open, tries to
+        open it."""
         if self._disk is None and self.config.folder is not None:
             self._next_alive_at = now + FOLDER_RETRY_NS
             self._disk, slots, votes = self._open_folder()
@@ -210,7 +220,8 @@
             self._write()
 
     def _refresh(self, now: int) -> None:
-        """What the list, the operators, the module and the ledger tell."""
+        """Updates the member from the store list, the operators' drains, the decision module and the
+        ledger."""
         self._see_stores(now)
         ready = not self.host.why_not_ready() or self._draining
         if not ready:
@@ -225,6 +236,7 @@
         self._apply_leases()
 
     def _see_stores(self, now: int) -> None:
+        """Updates the member's store groups, and which of their items are out of service or cold."""
         host, settings = self.host, self.host.config.settings
         limits = self.config.section.budgets
         capacity: dict[str, dict[int, float]] = {}
@@ -238,7 +250,7 @@
             capacity.setdefault(key, {})[store.cache] = store.weight or 1.0
             ramp = settings.parent_cold_ns if at_hub else settings.cold_ns
             cold = store.ready_at_ns and now - store.ready_at_ns < ramp
-            leased_out_here = store.cache in self._left  # then the module's word is our own
+            leased_out_here = store.cache in self._left  # the decision module avoids it because of the lease
             if (
                 store.state is not interface.State.READY
                 or cold
@@ -257,7 +269,8 @@
         }
 
     def _apply_leases(self) -> None:
-        """Places that are out: their stores get nothing from here, and this gateway itself takes no work."""
+        """Applies the leases in phase OUT: their stores get no requests from here, and this gateway drains if
+        it holds one itself."""
         tables = self.member.tables()
         out = {
             p.item
@@ -288,7 +301,7 @@
             self._logged_state = current
 
     def _log_changes(self, release: Release, tables: dict[str, places.Table]) -> None:
-        """One line for every change of state."""
+        """Logs one line for every change of the release and of a lease."""
         before = self._logged_state
         if not before or before[:2] != (release.term, release.state):
             self.host.log(
@@ -312,6 +325,7 @@
                 )
 
     def _set_draining(self, draining: bool) -> None:
+        """Starts or ends the drain of this gateway."""
         if draining != self._draining:
             self._draining = draining
             self.host.drain(draining)
@@ -326,6 +340,7 @@
             self._set_draining(False)
 
     def name(self, key: str, item: int) -> str:
+        """The name of an item of group `key`, or its number if it is not listed."""
         if key.startswith("gateways:"):
             return self.names[item] if item < len(self.names) else str(item)
         return self.host.directory.names.get(item, str(item))
@@ -333,6 +348,7 @@
     # Steps --------------------------------------------------------------------------------------------
 
     def _flush(self) -> None:
+        """Carries out the member's effects, through the disk queue if anything must be durable first."""
         step = self.member.taken()
         if not (step.durable or step.sends or step.done):
             return
@@ -343,7 +359,7 @@
             self._write()
 
     def _write(self) -> None:
-        """Every step that waits, with one sync for all of them."""
+        """Writes all queued steps with one sync."""
         if self._writing or not self._steps or self._disk is None:
             return
         steps, self._steps = list(self._steps), deque()
@@ -364,7 +380,7 @@
                 "rollout_disk_failed",
                 why=str(error) if isinstance(error, OSError | lmdb.Error) else repr(error),
             )
-            self.member.register.votes = False  # it can promise nothing that lasts; a restart tries anew
+            self.member.register.votes = False  # promises would not be durable; a restart retries
             self.member.register.rounds.clear()
             return
         self._caught_up = self._caught_up or recovering
@@ -403,14 +419,15 @@
                 self.member.heard(sender, message, now)
         self._flush()
 
-    # The door -----------------------------------------------------------------------------------------
+    # Operators' interface -----------------------------------------------------------------------------
 
     def call(self, method: str, path: str, body: bytes) -> Reply | None:
-        """A call at the operators' door, if it is one for here."""
+        """Handles an HTTP call of the operators' interface; returns None if the path belongs to another
+        part."""
         if path == "/rollout/status" and method == "GET":
             return _reply(200, self.status())
         if path.startswith("/rollout/ticket/") and method == "GET":
-            return self._ticket(path.rpartition("/")[2])
+            return self._ticket_reply(path.rpartition("/")[2])
         if path != "/rollout/ask" or method != "POST":
             return None
         try:
@@ -422,7 +439,7 @@
     def _handle_ask(self, do: str, arguments: dict[str, Any]) -> Reply:
         now = self.host.loop.clock.now()
         if do in ("drain", "undrain"):
-            found = self._item(str(arguments["item"]))
+            found = self._find_item(str(arguments["item"]))
             if found is None:
                 return _reply(404, {"ok": False, "why": "no store of the list and no gateway has this name"})
             key, item = found
@@ -448,6 +465,7 @@
         return _reply(202, {"ok": True, "ticket": ticket})
 
     def _force_return(self, key: str, item: int, now: int) -> None:
+        """Frees the lease of an item on behalf of its holder, without waiting for the item to be warm."""
         lease = self.member.table(key).lease_of(item)
         if lease is not None:
             op = places.LeaseOperation(
@@ -456,7 +474,8 @@
             self.member.submit(key, op, now)
             self.host.log("rollout_forced", group=key, item=self.name(key, item))
 
-    def _ticket(self, text: str) -> Reply:
+    def _ticket_reply(self, text: str) -> Reply:
+        """The outcome of the command with this ticket number, or that it is pending."""
         ticket = int(text) if text.isdecimal() else -1
         if ticket not in self._tickets:
             return _reply(404, {"ok": False, "why": "no such ticket"})
@@ -466,10 +485,11 @@
         answer, waited = answered.answer, self.host.loop.clock.now() - answered.at
         why, term = failure_reason(answer), 0 if answer is None else answer.term
         if not why and term > self.member.release.term and waited < LEARN_TIMEOUT_NS:
-            return _reply(200, {"pending": True})  # the next word must find here what this one has done
+            return _reply(200, {"pending": True})  # the next command must see the effect of this one
         return _reply(200, {"pending": False, "ok": not why, "why": why, "term": term})
 
-    def _item(self, name: str) -> tuple[str, int] | None:
+    def _find_item(self, name: str) -> tuple[str, int] | None:
+        """The group key and number of the gateway or store with this name, or None."""
         if name in self.names:
             item = self.names.index(name)
             return self.member.setup.offices[item], item
@@ -480,7 +500,7 @@
         return None
 
     def status(self) -> dict[str, Any]:
-        """All that is known here, in the operators' words."""
+        """The state of releases and leases as known to this gateway, for the operators' interface."""
         now, release = self.host.loop.clock.now(), self.member.release
         hearing = self.member.hearing
         return {
@@ -507,7 +527,7 @@
                 for i, name in enumerate(self.names)
             ],
             "groups": {
-                key: self._group(key)
+                key: self._group_status(key)
                 for key in sorted({self.key, *self.member.world.groups, *self.member.tables()})
             },
             "works": [
@@ -517,10 +537,10 @@
         }
 
     def _replaceable(self) -> str:
-        """What may take this process's place; not before its last answer has left."""
+        """The version that may replace this process, or an empty string while requests are open."""
         return "" if self.host.ledger.open else self.agent.replaceable
 
-    def _group(self, key: str) -> dict[str, Any]:
+    def _group_status(self, key: str) -> dict[str, Any]:
         table, group = self.member.table(key), self.member.group(key)
         return {
             "of": len(group.capacity),
--- a/olivecourse/rollout/places.py
+++ b/olivecourse/rollout/places.py
@@ -88,7 +88,7 @@
     """One operation on the lease of `item`. `forced` is set by an operator to bypass the budget and the
     queue; `release_term` is the term of the release on whose behalf the requester acts."""
 
-    act: LeaseAction
+    action: LeaseAction
     item: int
     holder: int = 0
     token: int = 0
@@ -148,7 +148,7 @@
 
 def apply_operation(table: Table, op: LeaseOperation, view: View) -> tuple[Table, Answer]:
     """Returns the table after one operation, and the answer to it. Operations are idempotent."""
-    after, answer = HANDLERS[op.act](table, op, view)
+    after, answer = HANDLERS[op.action](table, op, view)
     if after is not table and len(encode(after)) > MAX_VALUE_BYTES:
         return table, Answer(Outcome.REFUSED, reason="the table is full")
     return after, answer
--- a/olivecourse/rollout/wire.py
+++ b/olivecourse/rollout/wire.py
@@ -81,9 +81,8 @@
     """Records which datagrams of each sender have been received."""
 
     def __init__(self) -> None:
-        self._seen: dict[
-            int, tuple[int, int, int]
-        ] = {}  # incarnation, highest count, bit mask of received counts
+        # By sender: incarnation, highest count received, and a bit mask of the counts received up to it.
+        self._seen: dict[int, tuple[int, int, int]] = {}
 
     def accept(self, sender: int, incarnation: int, count: int) -> bool:
         """Records a datagram; returns False if it is a repetition or too old."""
--- a/tests/fleetsim.py
+++ b/tests/fleetsim.py
@@ -1,4 +1,7 @@
-"""A fleet of members on a virtual network: one clock, one seed, and an observer of who is really out."""
+"""Simulates a fleet of rollout members on a virtual network with one clock and one seed.
+
+The simulation also counts how many stores are really out of service, independently of what members believe.
+"""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -16,13 +19,16 @@
 
 
 class NoGate:
+    """Release gate that never halts."""
+
     def update(self, new, old):
         return ""
 
 
 @dataclass
 class Node:
-    """One gateway: what is on its disk outlives its process."""
+    """One gateway. Its disk survives a restart of its process; `up` is false after a kill, and `stopped` is
+    true while the process is suspended."""
 
     number: int
     disk: dict = field(default_factory=dict)
@@ -32,7 +38,7 @@
     incarnation: int = 1
     warm_at: int = 0
     inbox: list = field(default_factory=list)
-    out: set = field(default_factory=set)  # stores that it sends nothing to, by place
+    out: set = field(default_factory=set)  # stores that get no requests from it because of a lease
     drains: bool = False
     skew: int = 0
     member: Member = None
@@ -42,8 +48,10 @@
 
 
 class Fleet:
-    """`loss`, `twice` and `slow` of datagrams; `cut(a, b)` says whether nothing goes from a to b. Stores are
-    numbered from 100. `over` counts samples in which more was out than the budget allows, by nature aside."""
+    """All gateways, the network and the stores. `loss` and `twice` are the probabilities that a datagram is
+    lost or duplicated, `slow` is the longest delay, and `cut(a, b)` says whether datagrams from a to b are
+    dropped. Stores are numbered from 100. `over` counts the samples in which more stores were out of service
+    than the budget allows."""
 
     def __init__(
         self,
@@ -135,10 +143,11 @@
         if item == node.number:
             node.drains = False
 
-    # The world --------------------------------------------------------------------------------------
+    # Stores and time --------------------------------------------------------------------------------
 
     def stores_out(self, node):
-        """Who is out for a gateway's clients: stores that are down or cold, and those it leaves alone."""
+        """The number of stores out of service for a gateway's clients: stores that are down or cold, and
+        stores that get no requests from this gateway because of a lease."""
         return sum(
             state != "in" or self.store_warm_at[store] > self.now or store in node.out
             for store, state in self.store_state.items()
@@ -226,7 +235,7 @@
         return until is None
 
     def send_command(self, node, command, **more):
-        """A word on the release from this gateway, as its operator would say it."""
+        """Submits a command on the release at this gateway, as its operator would."""
         known = node.member.release
         what = releases.CommandRequest(command, known.term, node.number, self.clock(node) // S, **more)
         return node.member.submit(releases.KEY, what, self.clock(node))
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -575,11 +575,11 @@
         host=SimpleNamespace(loop=SimpleNamespace(clock=clock)),
         member=SimpleNamespace(release=SimpleNamespace(term=1)),
     )
-    assert json.loads(RolloutPart._ticket(part, "4").body) == {"pending": True}
+    assert json.loads(RolloutPart._ticket_reply(part, "4").body) == {"pending": True}
     part.member.release.term = 2
-    assert json.loads(RolloutPart._ticket(part, "4").body)["ok"]
+    assert json.loads(RolloutPart._ticket_reply(part, "4").body)["ok"]
     part.member.release.term, clock.now = 1, lambda: 4 * S + LEARN_TIMEOUT_NS
-    assert json.loads(RolloutPart._ticket(part, "4").body)["ok"]
+    assert json.loads(RolloutPart._ticket_reply(part, "4").body)["ok"]
 
 
 def lone_member(nodes=40):
