--- a/olivecourse/rollout/part.py
+++ b/olivecourse/rollout/part.py
@@ -61,13 +61,13 @@
     """Gate of a release that compares the versions with a sequential test."""
 
     def __init__(self, plan: Plan) -> None:
-        from olivecourse.rollout import gates  # imports scipy: only if a release with gates runs
+        import olivecourse.rollout.gates as release_analysis  # imports scipy: only if a release with gates runs
 
-        self._gates, self._gate = gates, gates.SequentialTest(plan.alpha, plan.worse)
+        self._analysis, self._gate = release_analysis, release_analysis.SequentialTest(plan.alpha, plan.worse)
 
     def update(self, new: tuple[int, int], old: tuple[int, int]) -> str:
-        sides = self._gates.Counts(*new), self._gates.Counts(*old)
-        return self._gates.describe(self._gate, *sides) if self._gate.update(*sides) else ""
+        sides = self._analysis.Counts(*new), self._analysis.Counts(*old)
+        return self._analysis.describe(self._gate, *sides) if self._gate.update(*sides) else ""
 
 
 @dataclass(frozen=True)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -176,8 +176,8 @@
 
 
 def test_a_holder_suspended_for_half_a_minute_does_not_act_on_an_outdated_grant():
-    for skip_activation, expected in ((False, 0), (True, 1)):
-        fleet = Fleet(5, budget=1, skip_activation=skip_activation)
+    for skip, expected in ((False, 0), (True, 1)):
+        fleet = Fleet(5, budget=1, skip_activation=skip)
         fleet.run(1)
         work, agent = drain(fleet, 4, 100), fleet.nodes[4].agent
         advance, agent._advance = (
@@ -258,8 +258,8 @@
     fleet = Fleet(7, loss=0.1)
     fleet.run(1)
     out_counts = []
-    observe = fleet.observe
-    fleet.observe = lambda: (observe(), out_counts.append(sum(map(fleet.gateway_out, fleet.nodes))))
+    observe_budget = fleet.observe
+    fleet.observe = lambda: (observe_budget(), out_counts.append(sum(map(fleet.gateway_out, fleet.nodes))))
     start_release(fleet)
     assert fleet.run(40, lambda: release_state(fleet) is State.DONE) and {n.version for n in fleet.nodes} == {
         "v2"
@@ -325,8 +325,8 @@
     first = fleet.send_command(fleet.nodes[0], Command.PLAN, plan=PLAN)
     second = fleet.send_command(fleet.nodes[1], Command.PLAN, plan=Plan("v9", "v1", (100,), 0.0, False))
     fleet.run(3)
-    accepted = [fleet.nodes[0].answers[first].accepted, fleet.nodes[1].answers[second].accepted]
-    assert sorted(accepted) == [False, True]
+    outcomes = [fleet.nodes[0].answers[first].accepted, fleet.nodes[1].answers[second].accepted]
+    assert sorted(outcomes) == [False, True]
     fleet.boot(unavailable, lost_disk=True)
     fleet.run(1)
     assert unavailable.member.release == fleet.nodes[0].member.release
