--- a/olivecourse/modelcheck/explorer.py
+++ b/olivecourse/modelcheck/explorer.py
@@ -52,21 +52,22 @@
     while queue:
         state = queue.popleft()
         parent_key = state.key()
-        for label, successor in state.moves():
-            after = successor()
-            key = after.key()
+        for label, create_successor in state.moves():
+            successor = create_successor()
+            key = successor.key()
             if key in predecessors:
                 continue
             predecessors[key] = (parent_key, label)
-            if violation := after.violation():
+            if violation := successor.violation():
                 return SearchResult(len(predecessors), False, violation, _trace(predecessors, key))
-            queue.append(after)
+            queue.append(successor)
         if len(predecessors) >= max_states or time.monotonic() > deadline:
             return SearchResult(len(predecessors), False)
     return SearchResult(len(predecessors), True)
 
 
 def _trace(predecessors: dict[Hashable, tuple[Hashable, str] | None], key: Hashable) -> tuple[str, ...]:
+    """The labels of the transitions from the start state to the state with this key."""
     steps: list[str] = []
     while (previous := predecessors[key]) is not None:
         key = previous[0]
@@ -87,8 +88,8 @@
             moves = list(state.moves())
             if not moves:
                 break
-            label, successor = random.choice(moves)
-            state = successor()
+            label, create_successor = random.choice(moves)
+            state = create_successor()
             steps.append(label)
             seen_hashes.add(hash(state.key()))
             if violation := state.violation():
--- a/olivecourse/modelcheck/places.py
+++ b/olivecourse/modelcheck/places.py
@@ -123,6 +123,8 @@
     def _apply_at(
         self, node: QuorumRegisters, key: str, value: bytes, ops: Sequence[Any]
     ) -> tuple[bytes, list[Any]]:
+        """Applies operations with the knowledge of member `node`, and with the planted fault if there is
+        one."""
         if key == releases.KEY:
             after, replies = releases.apply_batch(value or releases.encode(RUNNING), ops)
             return after, list(replies)
@@ -140,6 +142,7 @@
         return after, list(answers)
 
     def _copy(self) -> Model:
+        """Copies the state, so that a transition does not change its source."""
         copied = copy(self)
         copied.remaining, copied.stage, copied.token = (
             dict(self.remaining),
@@ -155,6 +158,7 @@
 
     @staticmethod
     def _copy_register(node: QuorumRegisters) -> QuorumRegisters:
+        """Copies the register states of one member, without sharing any mutable part."""
         copied = copy(node)
         copied.step = Step()
         copied.slots, copied.learned, copied._highest_counts = (
@@ -191,6 +195,8 @@
             self._on_answer(number, self.handles.pop((number, handle), ""), answer)
 
     def _on_answer(self, number: int, purpose: str, answer: Any) -> None:
+        """Updates the stage of an item, or of the halt, after the answer to an operation of member
+        `number`."""
         if purpose == "halt":
             if isinstance(answer, CommandReply) and answer.accepted:
                 self.halt = "acknowledged"
@@ -206,6 +212,7 @@
                 self.stage[number] = "yes" if answer.outcome is Outcome.DONE else "in"
 
     def _propose(self, number: int, key: str, purpose: str, op: Any) -> None:
+        """Member `number` proposes an operation; `purpose` says what its answer is for."""
         self.count += 1
         self.handles[(number, self.count)] = purpose
         self.nodes[number].propose(key, self.count, op, 0)
@@ -214,6 +221,7 @@
     # Transitions --------------------------------------------------------------------------------------
 
     def moves(self) -> Iterator[tuple[str, Callable[[], Model]]]:
+        """Yields all transitions that are possible in this state."""
         for i, (source, target, message) in enumerate(self.net):
             label = f"{type(message).__name__} {getattr(message, 'key', '')} {source}>{target}"
             yield label, partial(self._after_delivery, i)
@@ -240,6 +248,7 @@
             yield "2 halts", self._after_halt_request
 
     def _after_request(self, item: int) -> Model:
+        """The state after an item has requested a lease."""
         successor = self._copy()
         successor.remaining["ask"] -= bool(self.token[item])
         successor.stage[item], successor.token[item] = "asks", -1
@@ -251,6 +260,7 @@
         return successor
 
     def _after_activation_request(self, item: int) -> Model:
+        """The state after an item has requested the activation of its lease."""
         successor = self._copy()
         if self.fault == FAULTS[2]:
             successor.stage[item] = "out"
@@ -267,6 +277,7 @@
         return successor
 
     def _after_going_out(self, item: int) -> Model:
+        """The state after an item with a confirmed activation has gone out of service."""
         successor = self._copy()
         successor.stage[item] = "out"
         successor.started_after_halt = successor.started_after_halt or (
@@ -275,6 +286,7 @@
         return successor
 
     def _after_return(self, item: int) -> Model:
+        """The state after an item has come back and its lease is being freed."""
         successor = self._copy()
         successor.remaining["ask"] -= 1
         successor.stage[item] = "back"
@@ -284,6 +296,7 @@
         return successor
 
     def _after_reclaim(self, item: int) -> Model:
+        """The state after member 2 has tried to reclaim the lease of an item."""
         successor = self._copy()
         successor.remaining["reclaim"] -= 1
         successor._propose(
@@ -292,12 +305,14 @@
         return successor
 
     def _after_halt_request(self) -> Model:
+        """The state after member 2 has proposed to halt the release."""
         successor = self._copy()
         successor.halt = "asked"
         successor._propose(2, releases.KEY, "halt", CommandRequest(Command.HALT, 2, 2))
         return successor
 
     def _after_delivery(self, i: int, duplicate: bool = False) -> Model:
+        """The state after message `i` was delivered; a duplicated message stays in the network."""
         successor = self._copy()
         source, target, message = successor.net[i]
         if duplicate:
@@ -329,6 +344,7 @@
         return successor
 
     def _after_abandoned_ballot(self, number: int) -> Model:
+        """The state after a member has abandoned its open ballots and started new ones."""
         successor = self._copy()
         successor.remaining["end"] -= 1
         node = successor.nodes[number]
@@ -434,5 +450,6 @@
 
 
 def _require_no_violation(found: SearchResult[Model]) -> int:
+    """Returns the number of states; raises AssertionError with the trace of a violation."""
     assert not found.violation, (found.violation, found.trace)
     return found.states
--- a/olivecourse/rollout/agent.py
+++ b/olivecourse/rollout/agent.py
@@ -128,16 +128,19 @@
         return True
 
     def _adopt(self, key: str, lease: Lease) -> Work:
+        """Creates the work item for an existing lease that this process has not requested."""
         stage = {Phase.GRANTED: Stage.GRANTED, Phase.OUT: Stage.OUT, Phase.BACK: Stage.BACK}[lease.phase]
         return Work(key, lease.item, lease.why, stage=stage, token=lease.token)
 
     def _forget(self, work: Work, now: int) -> None:
+        """Drops a work item that has not gone out, and cancels its request or lease."""
         self.works.pop(work.item, None)
         self._member.submit(work.key, LeaseOperation(LeaseAction.CANCEL, work.item, self.me, work.token), now)
 
     # Timer and answers --------------------------------------------------------------------------------
 
     def tick(self, now: int) -> None:
+        """Sends the requests that are due; must be called every few tens of milliseconds."""
         self._tick_own_item(now)
         if now >= self._next_orphan_check_at:
             self._next_orphan_check_at = now + RETRY_NS
@@ -183,6 +186,7 @@
             self.release_item(self.key, self.me, now)
 
     def _advance(self, work: Work, now: int) -> None:
+        """Submits the next operation for a work item, according to its stage."""
         if work.stage is Stage.WANTED:
             self._submit(work, LeaseAction.ACQUIRE, now)
         elif work.stage is Stage.GRANTED:
@@ -201,6 +205,7 @@
             )
 
     def _submit(self, work: Work, action: LeaseAction, now: int) -> None:
+        """Submits a lease operation and records it as the open request of the work item."""
         work.action, work.requested_at = action, now
         operation = LeaseOperation(
             action, work.item, self.me, work.token, work.why, work.forced, work.release_term, now // S
@@ -234,6 +239,7 @@
         return True
 
     def _on_activation_reply(self, work: Work, answer: Answer, now: int) -> None:
+        """Takes the item out of service if its activation was confirmed in time."""
         if answer.outcome is not Outcome.DONE:  # fenced, halted, or budget used up by a failure: start over
             work.stage, work.token = Stage.WANTED, 0
         elif now - work.requested_at > ACTIVATION_VALID_NS:
--- a/olivecourse/rollout/commands.py
+++ b/olivecourse/rollout/commands.py
@@ -184,6 +184,8 @@
 
 
 def _add_command(name: str, text: str) -> None:
+    """Adds the subcommand for one release command."""
+
     @rollout.command(name, help=text)
     @ADDRESS
     @click.option("--why", default="", help="Reason shown to other operators; cut off after 40 characters.")
--- a/olivecourse/rollout/gates.py
+++ b/olivecourse/rollout/gates.py
@@ -44,7 +44,7 @@
 
     @property
     def p(self) -> float:
-        """An anytime-valid p-value."""
+        """The p-value of the test so far; it is valid at any number of evaluations."""
         return exp(-max(self.evidence, 0.0))
 
     def update(self, new: Counts, old: Counts) -> bool:
@@ -54,6 +54,7 @@
         return self.should_halt
 
     def _evidence(self, new: Counts, old: Counts) -> float:
+        """Returns the natural logarithm of the e-process for these counts."""
         good = new.ended - new.bad
         marginal = float(betaln(PRIOR[0] + new.bad, PRIOR[1] + good) - betaln(*PRIOR))
         # The rate of the old version is only an estimate from a limited number of requests: use its upper
@@ -61,9 +62,8 @@
         rate = (old.bad + 1.0) / (old.ended + 2.0)
         margin = UPPER_BOUND_SIGMAS * (rate * (1 - rate) / (old.ended + 2.0)) ** 0.5
         highest_null_rate = min(rate + margin + self.worse / 100.0, 1.0 - 1e-9)
-        null_rate = max(
-            min(new.bad / max(new.ended, 1), highest_null_rate), 1e-9
-        )  # the most likely of the rates that the null hypothesis allows
+        # The most likely of the rates that the null hypothesis allows.
+        null_rate = max(min(new.bad / max(new.ended, 1), highest_null_rate), 1e-9)
         return marginal - float(xlogy(new.bad, null_rate) + xlog1py(good, -null_rate))
 
 
@@ -78,5 +78,6 @@
 
 
 def describe(test: SequentialTest, new: Counts, old: Counts) -> str:
+    """Formats the rates of both versions and the p-value, as the reason of a halt."""
     rate = [100.0 * c.bad / c.ended if c.ended else 0.0 for c in (new, old)]
     return f"{rate[0]:.1f} % bad against {rate[1]:.1f} %, p {test.p:.1g}"
--- a/olivecourse/rollout/member.py
+++ b/olivecourse/rollout/member.py
@@ -162,6 +162,7 @@
                 self.register.learn(Learn(key, slot.accepted, slot.value))
 
     def _learned_value(self, key: str) -> bytes:
+        """The newest known value of a register; empty if there is none."""
         known = self.register.learned.get(key)
         return b"" if known is None else known[1]
 
@@ -228,6 +229,8 @@
     def _apply_operations(
         self, key: str, value: bytes, operations: Sequence[Any], voted: frozenset[int]
     ) -> tuple[bytes, list[Any]]:
+        """Applies operations to the value of a register. `voted` has the items that the promises list as out
+        of service."""
         if key == releases.KEY:
             after, answers = releases.apply_batch(value, operations)
             return after, list(answers)
@@ -243,6 +246,7 @@
         return after, list(replies)
 
     def _fenced(self, key: str, value: bytes) -> bool:
+        """Whether this member must refuse to accept `value`, unless fencing is switched off."""
         return self.setup.fences and is_fenced(self.register.slots, key, value)
 
     # Requests -----------------------------------------------------------------------------------------
@@ -276,6 +280,7 @@
         return self.register.votes and self._coordinators()[0] == self.setup.me
 
     def _dispatch(self, pending: PendingRequest, now: int) -> None:
+        """Sends a request to the voting member whose turn it is, or runs its ballot here."""
         members = self._coordinators()
         target = members[pending.attempts % len(members)]
         pending.sent_at = now
@@ -295,6 +300,7 @@
         self.register.propose(request.key, self._last_handle, request.operation, now)
 
     def _on_reply(self, sender: int, reply: OperationReply) -> None:
+        """Reports the answer to one of this gateway's requests."""
         pending = self._pending.pop(reply.nonce, None)
         if pending is not None:
             self.register.step.done.append((pending.handle, reply.answer))
@@ -366,6 +372,7 @@
             self.halted_term = release.term if release.state is State.HALTED else 0
 
     def _checksum(self) -> int:
+        """A checksum over the ballots of all learned values; heartbeats carry it."""
         entries = sorted((key, b.count, b.member) for key, (b, _) in self.register.learned.items())
         return zlib.crc32(repr(entries).encode())
 
@@ -391,6 +398,7 @@
                 self._supervise(now)
 
     def _send_heartbeat(self, now: int) -> None:
+        """Sends a heartbeat to the voting members and to two other gateways chosen at random."""
         heartbeat = Beat(
             self.incarnation,
             self.service,
@@ -475,6 +483,7 @@
         return bool(why)
 
     def _gateway_statuses(self, now: int) -> dict[int, releases.Seen]:
+        """Version and service state of each gateway that has sent a heartbeat."""
         return {
             n: releases.Seen(heartbeat.version, not self.hearing.unavailable(n, now))
             for n in self.setup.fleet
--- a/olivecourse/rollout/part.py
+++ b/olivecourse/rollout/part.py
@@ -61,7 +61,8 @@
     """Gate of a release that compares the versions with a sequential test."""
 
     def __init__(self, plan: Plan) -> None:
-        import olivecourse.rollout.gates as release_analysis  # imports scipy: only if a release with gates runs
+        # Imports scipy, so it is loaded only if a release with gates runs.
+        import olivecourse.rollout.gates as release_analysis
 
         self._analysis, self._gate = release_analysis, release_analysis.SequentialTest(plan.alpha, plan.worse)
 
@@ -94,8 +95,8 @@
         self.me = names.index(host.config.name)
         self.key = f"gateways:{section.gateways[self.me].office}"
         keys, self._secret = self.config.read_keys()
-        self.life = time.time_ns() // MS
-        self.wire = Wire(self.me, self.life, keys)
+        self.incarnation = time.time_ns() // MS
+        self.wire = Wire(self.me, self.incarnation, keys)
         self._random = Random()  # seeded by the system: equal seeds would make two gateways collide
         self._disk, slots, votes = self._open_folder()
         self._worker = Worker(host.loop, "rollout", most=MAX_QUEUED_STEPS)
@@ -110,7 +111,7 @@
             lambda plan: CanaryGate(plan) if plan.gates else DisabledGate(),
         )
         now = host.loop.clock.now()
-        self.member = Member(setup, self.life, version, slots, self._random, now, votes)
+        self.member = Member(setup, self.incarnation, version, slots, self._random, now, votes)
         self.agent = Agent(
             self.me, self.key, setup.fleet, self.member, self._random, self._take_out, self._bring_back, now
         )
@@ -121,7 +122,8 @@
         self._tickets: deque[int] = deque()
         self._planner: Planner | None = None
         self._draining = False  # this gateway is out of service with a lease
-        self._left: set[int] = set()  # stores that are out with a lease and get no requests from this gateway
+        # Stores that are out of service with a lease and get no requests from this gateway.
+        self._left: set[int] = set()
         self._next_refresh_at = self._next_alive_at = now
         self._logged_state: tuple[Any, ...] = ()
         self._ready_since: int | None = None
@@ -194,6 +196,7 @@
     # Timer --------------------------------------------------------------------------------------------
 
     def _tick(self) -> None:
+        """Runs the periodic work and schedules the next tick."""
         now = self.host.loop.clock.now()
         if now >= self._next_refresh_at:
             self._next_refresh_at = now + REFRESH_NS
@@ -250,7 +253,8 @@
             capacity.setdefault(key, {})[store.cache] = store.weight or 1.0
             ramp = settings.parent_cold_ns if at_hub else settings.cold_ns
             cold = store.ready_at_ns and now - store.ready_at_ns < ramp
-            leased_out_here = store.cache in self._left  # the decision module avoids it because of the lease
+            # The decision module avoids such a store because of its lease, which is counted separately.
+            leased_out_here = store.cache in self._left
             if (
                 store.state is not interface.State.READY
                 or cold
@@ -374,6 +378,7 @@
         )
 
     def _on_written(self, steps: list[Step], recovering: bool, error: Exception | None) -> None:
+        """Carries out steps after their write; after a failed write, drops them and stops voting."""
         self._writing = False
         if error is not None:
             self.host.log(
@@ -389,6 +394,7 @@
         self._write()
 
     def _carry_out(self, step: Step) -> None:
+        """Sends the messages of a step and passes on its answers; its durable part is already on disk."""
         for target, message in step.sends:
             try:
                 self._sock.sendto(self.wire.encode(target, message), self.addresses[target])
@@ -401,6 +407,7 @@
                 self._answers[handle] = CommandAnswer(answer, self.host.loop.clock.now())
 
     def _on_readable(self, mask: int) -> None:
+        """Reads and handles the datagrams that have arrived."""
         now = self.host.loop.clock.now()
         for _ in range(MAX_DATAGRAMS_PER_TURN):
             try:
@@ -437,6 +444,7 @@
             return _reply(400, {"ok": False, "why": f"{type(error).__name__}: {error}"})
 
     def _handle_ask(self, do: str, arguments: dict[str, Any]) -> Reply:
+        """Starts a drain, an undrain, or a command on the release; the last returns a ticket number."""
         now = self.host.loop.clock.now()
         if do in ("drain", "undrain"):
             found = self._find_item(str(arguments["item"]))
@@ -541,6 +549,7 @@
         return "" if self.host.ledger.open else self.agent.replaceable
 
     def _group_status(self, key: str) -> dict[str, Any]:
+        """The status of one group: its budget, and who is out, holds a lease or waits."""
         table, group = self.member.table(key), self.member.group(key)
         return {
             "of": len(group.capacity),
@@ -569,4 +578,5 @@
 
 
 def _reply(status: int, content: dict[str, Any]) -> Reply:
+    """A JSON reply."""
     return Reply(status, json.dumps(content).encode() + b"\n", JSON)
--- a/olivecourse/rollout/places.py
+++ b/olivecourse/rollout/places.py
@@ -184,6 +184,7 @@
 
 
 def _refusal(table: Table, reason: str) -> Answer:
+    """A refusal that names the holder of the oldest lease, if there is a lease."""
     oldest = min(table.leases, key=lambda p: p.since, default=None)
     if oldest is None:
         return Answer(Outcome.REFUSED, reason=reason)
@@ -191,6 +192,7 @@
 
 
 def _acquire(table: Table, op: LeaseOperation, view: View) -> tuple[Table, Answer]:
+    """Grants a lease if the budget and the queue allow it; otherwise queues or refuses the request."""
     current = table.lease_of(op.item)
     if current is not None:
         if current.holder == op.holder and current.why == op.why:
@@ -230,6 +232,7 @@
 
 
 def _activate(table: Table, op: LeaseOperation, view: View) -> tuple[Table, Answer]:
+    """Moves a granted lease to phase OUT, after checking the token, the release and the budget again."""
     current = table.lease_of(op.item)
     if current is None or current.token != op.token or current.holder != op.holder:
         return table, Answer(Outcome.FENCED, reason="the place was given to another or taken back")
@@ -248,10 +251,12 @@
 
 
 def _without(table: Table, lease: Lease) -> Table:
+    """The table without one of its leases."""
     return msgspec.structs.replace(table, leases=tuple(p for p in table.leases if p is not lease))
 
 
 def _free(table: Table, op: LeaseOperation, view: View) -> tuple[Table, Answer]:
+    """Ends a lease, unless its item is still out of service or cold and the operation is not forced."""
     current = table.lease_of(op.item)
     if current is None:
         return table, Answer(Outcome.DONE)
@@ -263,6 +268,7 @@
 
 
 def _restore(table: Table, op: LeaseOperation, view: View) -> tuple[Table, Answer]:
+    """Moves a lease to phase BACK."""
     current = table.lease_of(op.item)
     if current is None or current.token != op.token:
         return table, Answer(Outcome.FENCED, reason="the place was given to another or given back")
@@ -274,6 +280,7 @@
 
 
 def _cancel(table: Table, op: LeaseOperation, view: View) -> tuple[Table, Answer]:
+    """Withdraws the holder's queued request and its granted lease, if any."""
     current = table.lease_of(op.item)
     queue = tuple(w for w in table.queue if not (w.item == op.item and w.holder == op.holder))
     if len(queue) != len(table.queue):
@@ -284,15 +291,14 @@
 
 
 def _reclaim(table: Table, op: LeaseOperation, view: View) -> tuple[Table, Answer]:
+    """Removes the queued requests of a silent holder, and its lease if that is merely granted."""
     queue = tuple(w for w in table.queue if not (w.holder == op.holder and view.silent(w.holder)))
     if len(queue) != len(table.queue):
         table = msgspec.structs.replace(table, queue=queue)
     current = table.lease_of(op.item)
     if current is None or current.token != op.token:
         return table, Answer(Outcome.DONE)
-    if (
-        current.phase is not Phase.GRANTED
-    ):  # work on the item may be in progress although the holder is silent
+    if current.phase is not Phase.GRANTED:  # work may be in progress although the holder is silent
         return table, Answer(Outcome.REFUSED, reason="it is out")
     if not view.silent(current.holder):
         return table, Answer(Outcome.REFUSED, reason="its holder is heard")
--- a/olivecourse/rollout/register.py
+++ b/olivecourse/rollout/register.py
@@ -18,7 +18,7 @@
 import msgspec
 
 MS = 1_000_000
-AGAIN_NS = 60 * MS  # resend interval for unanswered messages: over twice the longest datagram transit time
+AGAIN_NS = 60 * MS  # for unanswered messages; more than twice the longest transit time of a datagram
 BALLOT_TIMEOUT_NS = 600 * MS  # a ballot is abandoned after this time, even if replies may still arrive
 PROPOSAL_TIMEOUT_NS = 2_000 * MS  # after this time the outcome of a proposal is reported as unknown
 MAX_BACKOFF_NS = 80 * MS  # upper bound of the random delay after another member's higher ballot
@@ -165,9 +165,8 @@
         self.me, self.members, self.slots = me, tuple(members), dict(slots)
         self._apply_operations, self._fence, self._out, self._random = apply_operations, fence, out, random
         self.votes = votes
-        self.on_chosen: Callable[[Learn], None] = lambda message: (
-            None
-        )  # called for each value chosen by own ballots
+        # Called for each value that was chosen in one of this member's ballots.
+        self.on_chosen: Callable[[Learn], None] = lambda message: None
         self.step = Step()
         self.learned: dict[str, tuple[Ballot, bytes]] = {}
         self.rounds: dict[str, BallotRound] = {}
@@ -218,6 +217,8 @@
         self.heard(self.me, own_reply, now)
 
     def _on_promise(self, sender: int, message: Promise, now: int) -> None:
+        """Counts a promise; with a majority, applies the operations to the newest value and starts phase
+        2."""
         ballot_round = self.rounds.get(message.key)
         if ballot_round is None or ballot_round.ballot != message.ballot or ballot_round.value is not None:
             return
@@ -238,6 +239,8 @@
         self.heard(self.me, own_reply, now)
 
     def _on_accepted(self, sender: int, message: Accepted, now: int) -> None:
+        """Counts an acceptance; with a majority, the value is chosen, announced, and its proposers
+        answered."""
         ballot_round = self.rounds.get(message.key)
         if ballot_round is None or ballot_round.ballot != message.ballot or ballot_round.value is None:
             return
@@ -256,6 +259,7 @@
         self._start(message.key, now)
 
     def _on_reject(self, message: Reject, now: int) -> None:
+        """Abandons a rejected ballot and remembers the higher ballot number."""
         self._highest_counts[message.key] = max(self._highest_counts.get(message.key, 0), message.seen.count)
         ballot_round = self.rounds.get(message.key)
         if ballot_round is not None and ballot_round.ballot == message.ballot:
@@ -271,9 +275,11 @@
     # Acceptor -----------------------------------------------------------------------------------------
 
     def _store_slot(self, key: str, slot: Slot) -> None:
+        """Changes the acceptor state of a register, and adds it to the state that must be written to disk."""
         self.slots[key] = self.step.durable[key] = slot
 
     def _handle_prepare(self, message: Prepare) -> Promise | Reject:
+        """Promises the ballot unless a higher one was promised."""
         slot = self.slots.get(message.key, Slot())
         if message.ballot < slot.promised:
             return Reject(message.key, message.ballot, slot.promised)
@@ -282,6 +288,7 @@
         return Promise(message.key, message.ballot, slot.accepted, slot.value, self._out(message.key))
 
     def _handle_accept(self, message: Accept) -> Accepted | Reject:
+        """Accepts the value unless a higher ballot was promised or the value is fenced."""
         slot = self.slots.get(message.key, Slot())
         if message.ballot < slot.promised:
             return Reject(message.key, message.ballot, slot.promised)
@@ -376,12 +383,14 @@
                     self._send(member, Recall(nonce))
 
     def _answer_recovery(self, sender: int, message: Recall) -> None:
+        """Sends all register states to a member that has lost its disk."""
         if not self.slots:
             self._send(sender, RecoveryReply(message.nonce, 0, "", Slot()))
         for key, slot in self.slots.items():
             self._send(sender, RecoveryReply(message.nonce, len(self.slots), key, slot, self.votes))
 
     def _on_recovery_reply(self, sender: int, message: RecoveryReply) -> None:
+        """Collects register states; once enough members have sent all of theirs, adopts the newest ones."""
         if self.votes or self._recovery is None or message.nonce != self._recovery[0]:
             return
         _, _, found, totals = self._recovery
--- a/olivecourse/rollout/releases.py
+++ b/olivecourse/rollout/releases.py
@@ -199,6 +199,7 @@
 
 
 def apply_batch(value: bytes, requests: Sequence[CommandRequest]) -> tuple[bytes, list[CommandReply]]:
+    """Applies all commands of one ballot to a register value, in order of arrival."""
     release, answers = decode(value), list[CommandReply]()
     for request in requests:
         release, answer = apply_command(release, request)
--- a/olivecourse/rollout/store.py
+++ b/olivecourse/rollout/store.py
@@ -68,9 +68,11 @@
             raise FolderUnusable(f"{folder}: {error}") from None
 
     def _seal(self, name: bytes, data: bytes) -> bytes:
+        """Prepends the MAC of a record."""
         return blake3(name + b"\0" + data, key=self._secret).digest() + data
 
     def _open(self, name: bytes, data: bytes) -> bytes:
+        """Verifies the MAC of a record and returns its data. Raises CorruptRecord."""
         if not hmac.compare_digest(blake3(name + b"\0" + data[32:], key=self._secret).digest(), data[:32]):
             raise CorruptRecord(f"record {name!r}")
         return data[32:]
--- a/tests/fleetsim.py
+++ b/tests/fleetsim.py
@@ -87,6 +87,7 @@
             self.boot(node, fresh=True)
 
     def boot(self, node, fresh=False, lost_disk=False, version=None, old_disk=False):
+        """Starts the process of a gateway, from its disk unless that is lost or outdated."""
         node.incarnation += 1
         node.up, node.stopped, node.drains = True, False, False
         node.version = version or node.version
@@ -121,25 +122,27 @@
             self.fleet,
             node.member,
             random,
-            lambda item: self.go(node, item),
-            lambda item: self.come(node, item),
+            lambda item: self.take_out(node, item),
+            lambda item: self.bring_back(node, item),
             self.clock(node),
             self.skip_activation,
         )
         node.wire = Wire(node.number, node.incarnation, self.keys)
 
     def clock(self, node):
+        """The gateway's own clock."""
         return self.now + node.skew
 
     def kill(self, node):
+        """Ends the process of a gateway at once."""
         node.up = False
         node.out.clear()
 
-    def go(self, node, item):
+    def take_out(self, node, item):
         if item == node.number:
             node.drains = True
 
-    def come(self, node, item):
+    def bring_back(self, node, item):
         if item == node.number:
             node.drains = False
 
@@ -154,9 +157,11 @@
         )
 
     def gateway_out(self, node):
+        """Whether a gateway is down, draining or cold."""
         return not node.up or node.drains or node.warm_at > self.now
 
-    def _world(self, node):
+    def _update_member(self, node):
+        """Passes the state of the stores and of the gateway to its member, and applies the leases."""
         capacity = dict.fromkeys(self.store_state, 1.0)
         node.member.world.groups[STORES] = Group(STORES, capacity, Budget(self.budget, 0.75))
         node.member.world.out[STORES] = {
@@ -169,6 +174,7 @@
         node.out = placed
 
     def turn(self):
+        """Advances the clock by one tick: delivers datagrams and runs every gateway."""
         self.now += TICK
         due = [f for f in self.flying if f[0] <= self.now]
         self.flying = [f for f in self.flying if f[0] > self.now]
@@ -181,7 +187,7 @@
             if not node.up or node.stopped:
                 continue
             now = self.clock(node)
-            self._world(node)
+            self._update_member(node)
             inbox, node.inbox = node.inbox, []
             for data in inbox:
                 try:
@@ -200,6 +206,7 @@
     replace = None
 
     def flush(self, node):
+        """Carries out the effects of a gateway's member."""
         for _ in range(4):
             step = node.member.taken()
             if self.disks:
@@ -211,6 +218,7 @@
                     node.answers[handle] = answer
 
     def send(self, node, target, message):
+        """Sends a datagram through the simulated network."""
         data = node.wire.encode(target, message)
         self.sent += 1
         self.bytes += len(data)
@@ -222,11 +230,13 @@
             self.flying.append((at, self.count, target, data))
 
     def observe(self):
+        """Samples how many stores are out of service."""
         out = max((self.stores_out(n) for n in self.nodes if n.up and not n.stopped), default=0)
         self.most_out = max(self.most_out, out)
         self.over += out > self.budget
 
     def run(self, seconds, until=None):
+        """Runs for some seconds, or until a condition holds; returns whether it held."""
         end = self.now + int(seconds * S)
         while self.now < end:
             self.turn()
@@ -241,5 +251,6 @@
         return node.member.submit(releases.KEY, what, self.clock(node))
 
     def answered(self, node, handle, seconds=4):
+        """Waits for the answer to a request; None if there is none in time."""
         self.run(seconds, lambda: handle in node.answers)
         return node.answers.get(handle)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -601,6 +601,7 @@
 
 
 def lone_member(nodes=40):
+    """A member that does not vote, in a fleet of `nodes` gateways."""
     setup = Setup(
         30,
         tuple(range(nodes)),
