--- a/olivecourse/modelcheck/__init__.py
+++ b/olivecourse/modelcheck/__init__.py
@@ -1,1 +1,2 @@
-"""Explicit-state model checking of step functions that the program itself runs. Not loaded by a gateway."""
+"""Explicit-state model checking of the step functions that gateways run. A gateway does not load this
+package."""
--- a/olivecourse/modelcheck/places.py
+++ b/olivecourse/modelcheck/places.py
@@ -79,7 +79,7 @@
         self.disks: list[dict[str, Slot]] = [dict(release) for _ in range(3)]
         self.nodes = [self._boot(n) for n in range(3)]
         self.net: tuple[tuple[int, int, Any], ...] = ()
-        self.stage = dict.fromkeys(ITEMS, "in")  # then: asks, granted, begins, yes, out, back
+        self.stage = dict.fromkeys(ITEMS, "in")  # then: requesting, granted, activating, confirmed, out, back
         self.token = dict.fromkeys(ITEMS, 0)
         if granted:
             self.stage[0], self.token[0] = "granted", 1
@@ -200,16 +200,16 @@
         if purpose == "halt":
             if isinstance(answer, CommandReply) and answer.accepted:
                 self.halt = "acknowledged"
-        elif isinstance(answer, Answer) and purpose in ("take", "begin") and number in self.stage:
-            if self.stage[number] == "asks" and purpose == "take":
+        elif isinstance(answer, Answer) and purpose in ("acquire", "activate") and number in self.stage:
+            if self.stage[number] == "requesting" and purpose == "acquire":
                 self.stage[number] = "granted" if answer.outcome is Outcome.DONE else "in"
                 self.token[number] = answer.token
                 if answer.outcome is Outcome.DONE:
                     self.token_reused = (
                         self.token_reused or self.granted_items.setdefault(answer.token, number) != number
                     )
-            elif self.stage[number] == "begins" and purpose == "begin":
-                self.stage[number] = "yes" if answer.outcome is Outcome.DONE else "in"
+            elif self.stage[number] == "activating" and purpose == "activate":
+                self.stage[number] = "confirmed" if answer.outcome is Outcome.DONE else "in"
 
     def _propose(self, number: int, key: str, purpose: str, op: Any) -> None:
         """Member `number` proposes an operation; `purpose` says what its answer is for."""
@@ -226,36 +226,39 @@
             label = f"{type(message).__name__} {getattr(message, 'key', '')} {source}>{target}"
             yield label, partial(self._after_delivery, i)
             if self.remaining["twice"]:
-                yield label + " twice", partial(self._after_delivery, i, True)
+                yield label + " duplicated", partial(self._after_delivery, i, True)
         for item in ITEMS:
             stage = self.stage[item]
             if stage == "in" and (self.remaining["ask"] or not self.token[item]):
-                yield f"{item} asks", partial(self._after_request, item)
+                yield f"{item} requests a lease", partial(self._after_request, item)
             elif stage == "granted":
-                yield f"{item} begins", partial(self._after_activation_request, item)
-            elif stage == "yes":
+                yield f"{item} requests the activation", partial(self._after_activation_request, item)
+            elif stage == "confirmed":
                 yield f"{item} goes out", partial(self._after_going_out, item)
             elif stage == "out" and self.remaining["ask"]:
-                yield f"{item} is back", partial(self._after_return, item)
-            if stage in ("granted", "begins") and self.remaining["reclaim"]:
+                yield f"{item} comes back", partial(self._after_return, item)
+            if stage in ("granted", "activating") and self.remaining["reclaim"]:
                 yield f"2 reclaims {item}", partial(self._after_reclaim, item)
         for number in range(3):
             if self.remaining["crash"] and number in self.crashable:
                 yield f"crash {number}", partial(self._after_crash, number)
             if self.remaining["end"] and self.nodes[number].rounds:
-                yield f"ballot of {number} ends", partial(self._after_abandoned_ballot, number)
+                yield f"{number} abandons its ballots", partial(self._after_abandoned_ballot, number)
         if not self.halt:
-            yield "2 halts", self._after_halt_request
+            yield "2 proposes a halt", self._after_halt_request
 
     def _after_request(self, item: int) -> Model:
         """The state after an item has requested a lease."""
         successor = self._copy()
         successor.remaining["ask"] -= bool(self.token[item])
-        successor.stage[item], successor.token[item] = "asks", -1
+        successor.stage[item], successor.token[item] = "requesting", -1
         if self.halt == "acknowledged":
             successor.asked_after_halt |= {item}
         successor._propose(
-            item, KEY, "take", LeaseOperation(LeaseAction.ACQUIRE, item, item, why=self.why, release_term=2)
+            item,
+            KEY,
+            "acquire",
+            LeaseOperation(LeaseAction.ACQUIRE, item, item, why=self.why, release_term=2),
         )
         return successor
 
@@ -265,13 +268,13 @@
         if self.fault == FAULTS[2]:
             successor.stage[item] = "out"
             return successor
-        successor.stage[item] = "begins"
+        successor.stage[item] = "activating"
         if self.halt == "acknowledged":
             successor.asked_after_halt |= {item}
         successor._propose(
             item,
             KEY,
-            "begin",
+            "activate",
             LeaseOperation(LeaseAction.ACTIVATE, item, item, self.token[item], self.why, release_term=2),
         )
         return successor
@@ -291,7 +294,7 @@
         successor.remaining["ask"] -= 1
         successor.stage[item] = "back"
         successor._propose(
-            item, KEY, "give", LeaseOperation(LeaseAction.FREE, item, item, self.token[item], self.why)
+            item, KEY, "free", LeaseOperation(LeaseAction.FREE, item, item, self.token[item], self.why)
         )
         return successor
 
--- a/olivecourse/rollout/__init__.py
+++ b/olivecourse/rollout/__init__.py
@@ -1,4 +1,5 @@
-"""Drains and releases agreed across the fleet: never too many out at once, with a halt and a way back.
+"""Agreement of the whole fleet on drains and releases, within disruption budgets, with halt and rollback.
 
-Off unless the operator's file has a `rollout:` section. `docs/design/rollout.md` tells the whole.
+The package is unused unless the operator's file has a `rollout:` section. `docs/design/rollout.md` describes
+the design.
 """
--- a/olivecourse/rollout/commands.py
+++ b/olivecourse/rollout/commands.py
@@ -209,7 +209,7 @@
 @rollout.command()
 @ADDRESS
 @JSON
-@click.option("--watch", is_flag=True, help="Print it again with every change, until Ctrl-C.")
+@click.option("--watch", is_flag=True, help="Print the status again after every change, until Ctrl-C.")
 def status(address: str, plain: bool, watch: bool) -> None:
     """Show what is out of service, which requests wait, and the state of the release, as known to the
     gateway."""
--- a/olivecourse/rollout/gates.py
+++ b/olivecourse/rollout/gates.py
@@ -16,9 +16,9 @@
 from scipy.special import betaln, xlog1py, xlogy
 
 PRIOR = (0.5, 0.5)  # Jeffreys prior
-UPPER_BOUND_SIGMAS = (
-    2.6  # standard errors from the old version's observed rate to its upper bound, exceeded in 1 of 200 cases
-)
+# Standard errors between the observed rate of the old version and its upper bound, which the true rate
+# exceeds in one of 200 cases.
+UPPER_BOUND_SIGMAS = 2.6
 
 
 @dataclass(frozen=True, slots=True)
--- a/olivecourse/rollout/hearing.py
+++ b/olivecourse/rollout/hearing.py
@@ -14,9 +14,8 @@
 import msgspec
 
 MS = 1_000_000
-HEARTBEAT_NS = (
-    200 * MS
-)  # heartbeat interval in a fleet of up to BASE_FLEET_SIZE gateways; grows in proportion
+# Heartbeat interval in a fleet of up to BASE_FLEET_SIZE gateways; it grows in proportion to larger fleets.
+HEARTBEAT_NS = 200 * MS
 BASE_FLEET_SIZE = 16
 # Missed heartbeats after which a gateway counts as silent: with 10 % datagram loss, a false detection has a
 # probability of 1 in 10^8.
--- a/olivecourse/rollout/member.py
+++ b/olivecourse/rollout/member.py
@@ -30,7 +30,8 @@
 HALT_FANOUT = 6  # peers to which each gateway forwards a halt, in a fleet of more than twice as many
 RUMOR_FANOUT = 12  # peers to which a learned value is forwarded: on average n / e^12 of n nodes miss it
 MAX_PENDING_REQUESTS = 64
-# A gate needs this many requests to the new version; a wave waits for them for up to so many soak periods.
+# A gate needs at least MIN_GATE_REQUESTS requests to the new version. A wave with fewer requests soaks
+# MAX_SOAK_PERIODS times as long.
 MIN_GATE_REQUESTS, MAX_SOAK_PERIODS = 50, 10
 
 
@@ -376,7 +377,7 @@
         entries = sorted((key, b.count, b.member) for key, (b, _) in self.register.learned.items())
         return zlib.crc32(repr(entries).encode())
 
-    # Time ---------------------------------------------------------------------------------------------
+    # Timer --------------------------------------------------------------------------------------------
 
     def tick(self, now: int) -> None:
         """Handles time-outs and periodic work; must be called every few tens of milliseconds."""
--- a/olivecourse/rollout/part.py
+++ b/olivecourse/rollout/part.py
@@ -97,7 +97,7 @@
         keys, self._secret = self.config.read_keys()
         self.incarnation = time.time_ns() // MS
         self.wire = Wire(self.me, self.incarnation, keys)
-        self._random = Random()  # seeded by the system: equal seeds would make two gateways collide
+        self._random = Random()  # seeded by the system: equal seeds would make ballots collide
         self._disk, slots, votes = self._open_folder()
         self._worker = Worker(host.loop, "rollout", most=MAX_QUEUED_STEPS)
         version = section.version or os.environ.get(VERSION_VARIABLE, "")
@@ -336,10 +336,12 @@
             self.host.log("rollout_drains" if draining else "rollout_serves", open=self.host.ledger.open)
 
     def _take_out(self, item: int) -> None:
+        """Drains this gateway; stores are taken out by `_apply_leases` on all gateways."""
         if item == self.me:
             self._set_draining(True)
 
     def _bring_back(self, item: int) -> None:
+        """Ends the drain of this gateway; stores are brought back by `_apply_leases`."""
         if item == self.me:
             self._set_draining(False)
 
--- a/olivecourse/rollout/register.py
+++ b/olivecourse/rollout/register.py
@@ -22,9 +22,8 @@
 BALLOT_TIMEOUT_NS = 600 * MS  # a ballot is abandoned after this time, even if replies may still arrive
 PROPOSAL_TIMEOUT_NS = 2_000 * MS  # after this time the outcome of a proposal is reported as unknown
 MAX_BACKOFF_NS = 80 * MS  # upper bound of the random delay after another member's higher ballot
-QUARANTINE_NS = (
-    3 * BALLOT_TIMEOUT_NS
-)  # after a lost disk: ballots that counted its earlier promises have ended
+# Waiting time after a lost disk, after which every ballot that counted an earlier promise has ended.
+QUARANTINE_NS = 3 * BALLOT_TIMEOUT_NS
 
 
 class Ballot(msgspec.Struct, frozen=True, array_like=True, order=True):
--- a/olivecourse/rollout/wire.py
+++ b/olivecourse/rollout/wire.py
@@ -21,7 +21,7 @@
 from olivecourse.rollout.hearing import Beat
 from olivecourse.rollout.member import HaltNotice, OperationReply, OperationRequest
 
-MAX_DATAGRAM_BYTES = 256  # bytes
+MAX_DATAGRAM_BYTES = 256
 MAC_BYTES, HEADER_BYTES = 16, 17
 REPLAY_WINDOW = 256  # a datagram is dropped if its count is this far below the highest one received
 MAX_REASON_CHARS = 40  # longer reasons are cut off before sending
