--- a/olivecourse/modelcheck/places.py
+++ b/olivecourse/modelcheck/places.py
@@ -243,7 +243,7 @@
             if self.remaining["crash"] and number in self.crashable:
                 yield f"crash {number}", partial(self._after_crash, number)
             if self.remaining["end"] and self.nodes[number].rounds:
-                yield f"{number} abandons its ballots", partial(self._after_abandoned_ballot, number)
+                yield f"ballots of {number} are abandoned", partial(self._after_abandoned_ballot, number)
         if not self.halt:
             yield "2 proposes a halt", self._after_halt_request
 
--- a/olivecourse/rollout/commands.py
+++ b/olivecourse/rollout/commands.py
@@ -46,7 +46,9 @@
     finally:
         connection.close()
     if not 200 <= reply.status < 300:
-        click.echo(f"olivecourse: no: {reply_body.get('why', 'rollouts are off there')}", err=True)
+        click.echo(
+            f"olivecourse: no: {reply_body.get('why', 'rollouts are disabled at this gateway')}", err=True
+        )
         sys.exit(1)
     return dict(reply_body)
 
@@ -281,7 +283,9 @@
         if work is not None and work["stage"] == "out":
             click.echo(f"{item} is out")
             return
-        now = f"{item}: " + (f"{work['stage']} {work['said']}".rstrip() if work else "nobody asks for it now")
+        now = f"{item}: " + (
+            f"{work['stage']} {work['said']}".rstrip() if work else "no request for it is open"
+        )
         if now != last:
             click.echo(now)
             last = now
--- a/olivecourse/rollout/part.py
+++ b/olivecourse/rollout/part.py
@@ -90,7 +90,7 @@
         section = self.config.section
         names = [g.name for g in section.gateways]
         if host.config.name not in names:
-            raise ValueError(f"rollout: {host.config.name} is none of the gateways")
+            raise ValueError(f"rollout: {host.config.name} is not listed under gateways")
         self.names, self.addresses = names, self.config.addresses()
         self.me = names.index(host.config.name)
         self.key = f"gateways:{section.gateways[self.me].office}"
@@ -451,7 +451,7 @@
         if do in ("drain", "undrain"):
             found = self._find_item(str(arguments["item"]))
             if found is None:
-                return _reply(404, {"ok": False, "why": "no store of the list and no gateway has this name"})
+                return _reply(404, {"ok": False, "why": "no listed store and no gateway has this name"})
             key, item = found
             if do == "drain":
                 self.agent.want(key, item, Why.DRAIN, now, bool(arguments.get("force")))
@@ -462,7 +462,7 @@
             return _reply(202, {"ok": True})
         command = Command[do.upper()]
         if command in (Command.NEXT, Command.END):
-            raise ValueError("not a word of operators")
+            raise ValueError("not a command for operators")
         plan = None
         if command is Command.PLAN:
             plan = msgspec.convert(arguments["plan"], PlanText).plan()
--- a/tests/fleetsim.py
+++ b/tests/fleetsim.py
@@ -170,8 +170,8 @@
         node.member.service = (
             Service.DRAINS if node.drains else Service.COLD if node.warm_at > self.now else Service.SERVES
         )
-        placed = {p.item for p in node.member.table(STORES).leases if p.phase == 1}
-        node.out = placed
+        leased = {p.item for p in node.member.table(STORES).leases if p.phase == 1}
+        node.out = leased
 
     def turn(self):
         """Advances the clock by one tick: delivers datagrams and runs every gateway."""
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -517,22 +517,22 @@
 
     def cli(*words):
         door = f"127.0.0.1:{fleet.doors['n1']}"
-        done = subprocess.Popen(
+        process = subprocess.Popen(
             [sys.executable, "-m", "olivecourse", *words],
             text=True,
             stdout=subprocess.PIPE,
             stderr=subprocess.STDOUT,
             env={**os.environ, "EDGE_ADMIN": door},
         )
-        assert fleet.until(lambda: done.poll() is not None, 20)
-        return done.returncode, done.stdout.read()
+        assert fleet.until(lambda: process.poll() is not None, 20)
+        return process.returncode, process.stdout.read()
 
     try:
         assert fleet.ready()
-        code, said = cli("drain", "box-00", "--wait", "5")
-        assert code == 0 and said.endswith("box-00 is out\n")
-        code, said = cli("drain", "box-01", "--wait", "1")
-        assert code == 1 and "1 of 1 out already" in said
+        code, output = cli("drain", "box-00", "--wait", "5")
+        assert code == 0 and output.endswith("box-00 is out\n")
+        code, output = cli("drain", "box-01", "--wait", "1")
+        assert code == 1 and "1 of 1 out already" in output
         assert cli("drain", "box-99")[0] == 1
         status = json.loads(cli("rollout", "status", "--json")[1])
         group = status["groups"]["stores:praia"]
@@ -543,13 +543,13 @@
         assert fleet.until(lambda: not fleet.status("n0")["groups"]["stores:praia"]["places"], 5)
         plan = tmp_path / "release.yaml"
         plan.write_text("release:\n  version: v2\n  before: v1\n  waves: [50]\n")
-        code, said = cli("rollout", "plan", str(plan))
-        assert code == 2 and "release.yaml:1" in said and "100" in said
+        code, output = cli("rollout", "plan", str(plan))
+        assert code == 2 and "release.yaml:1" in output and "100" in output
         plan.write_text("release:\n  version: v2\n  before: v1\n")
         assert cli("rollout", "plan", str(plan)) == (0, "plan: done, term 1\n")
         assert cli("rollout", "halt", "--why", "x")[0] == 0
-        code, said = cli("rollout", "start")
-        assert code == 1 and "it is halted" in said
+        code, output = cli("rollout", "start")
+        assert code == 1 and "it is halted" in output
         fleet.end("n0")
         assert cli("rollout", "resume")[0] == 1, "the only voting member has ended"
         log = tmp_path / "log"
@@ -637,7 +637,7 @@
     drain(fleet, 1, 101)
 
     def who_knows():
-        return sum(101 in {place.item for place in node.member.table(STORES).leases} for node in fleet.nodes)
+        return sum(101 in {lease.item for lease in node.member.table(STORES).leases} for node in fleet.nodes)
 
     assert fleet.run(1, lambda: who_knows() >= 1)
     assert fleet.run(0.3, lambda: who_knows() == 100), who_knows()
