--- a/olivecourse/modelcheck/explorer.py
+++ b/olivecourse/modelcheck/explorer.py
@@ -1,5 +1,8 @@
-"""All interleavings within bounds, breadth first, so that the first fault found has a shortest trace; and
-seeded walks beyond those bounds. A state is whatever has `moves()`, `broken()` and `key()`."""
+"""Explicit-state search: breadth first over all interleavings within bounds, and seeded random walks.
+
+Breadth-first search makes the trace of the first violation a shortest one. Random walks reach states beyond
+the bounds. A state is any object with `moves()`, `violation()` and `key()`.
+"""
 
 from __future__ import annotations
 
@@ -10,79 +13,87 @@
 from random import Random
 from typing import Generic, Protocol, TypeVar
 
-S = TypeVar("S", bound="State")
+StateT = TypeVar("StateT", bound="State")
 
 
 class State(Protocol):
-    def moves(self: S) -> Iterator[tuple[str, Callable[[], S]]]:
-        """Every step that may come next, in words, and what makes the state after it."""
+    """One state of a model."""
+
+    def moves(self: StateT) -> Iterator[tuple[str, Callable[[], StateT]]]:
+        """Yields every possible transition: its description, and a function that creates the successor
+        state."""
         ...
 
-    def broken(self) -> str:
-        """The invariant that does not hold here, or nothing."""
+    def violation(self) -> str:
+        """Returns the invariant that this state violates, or an empty string."""
         ...
 
     def key(self) -> Hashable:
-        """Equal for states that behave alike."""
+        """Returns a value that is equal for states with the same further behaviour."""
         ...
 
 
 @dataclass
-class Found(Generic[S]):
-    """`states` told apart; `whole` if none was left out; `trace` to the first broken one."""
+class SearchResult(Generic[StateT]):
+    """Result of a search: the number of distinct states, whether the search was exhaustive, and the violated
+    invariant with the transitions that lead to it, if one was found."""
 
     states: int
-    whole: bool
-    broken: str = ""
+    complete: bool
+    violation: str = ""
     trace: tuple[str, ...] = ()
 
 
-def explore(start: S, most: int, seconds: float = 1e9) -> Found[S]:
-    """Breadth first, at most so many states and seconds."""
-    end = time.monotonic() + seconds
-    before: dict[Hashable, tuple[Hashable, str] | None] = {start.key(): None}
-    queue: deque[S] = deque([start])
+def explore(start: StateT, max_states: int, seconds: float = 1e9) -> SearchResult[StateT]:
+    """Searches breadth first, up to a number of states and seconds."""
+    deadline = time.monotonic() + seconds
+    predecessors: dict[Hashable, tuple[Hashable, str] | None] = {start.key(): None}
+    queue: deque[StateT] = deque([start])
     while queue:
         state = queue.popleft()
-        mine = state.key()
-        for words, make in state.moves():
-            after = make()
-            key = after.key()
-            if key in before:
+        parent_key = state.key()
+        for label, create_successor in state.moves():
+            successor = create_successor()
+            key = successor.key()
+            if key in predecessors:
                 continue
-            before[key] = (mine, words)
-            if broken := after.broken():
-                return Found(len(before), False, broken, _trace(before, key))
-            queue.append(after)
-        if len(before) >= most or time.monotonic() > end:
-            return Found(len(before), False)
-    return Found(len(before), True)
+            predecessors[key] = (parent_key, label)
+            if violation := successor.violation():
+                return SearchResult(len(predecessors), False, violation, _trace(predecessors, key))
+            queue.append(successor)
+        if len(predecessors) >= max_states or time.monotonic() > deadline:
+            return SearchResult(len(predecessors), False)
+    return SearchResult(len(predecessors), True)
 
 
-def _trace(before: dict[Hashable, tuple[Hashable, str] | None], key: Hashable) -> tuple[str, ...]:
+def _trace(predecessors: dict[Hashable, tuple[Hashable, str] | None], key: Hashable) -> tuple[str, ...]:
+    """The labels of the transitions from the start state to the state with this key."""
     steps: list[str] = []
-    while (came := before[key]) is not None:
-        key = came[0]
-        steps.append(came[1])
+    while (previous := predecessors[key]) is not None:
+        key = previous[0]
+        steps.append(previous[1])
     return tuple(reversed(steps))
 
 
-def walk(start: S, walks: int, depth: int, seed: int, seconds: float = 1e9) -> Found[S]:
-    """Seeded random walks: deeper than all interleavings can go, and never whole."""
-    end, random = time.monotonic() + seconds, Random(seed)
-    seen = set[Hashable]()
+def random_walks(
+    start: StateT, walks: int, depth: int, seed: int, seconds: float = 1e9
+) -> SearchResult[StateT]:
+    """Follows seeded random walks of up to `depth` transitions. These reach greater depths than an exhaustive
+    search, and the result is never marked complete."""
+    deadline, random = time.monotonic() + seconds, Random(seed)
+    seen_hashes = set[Hashable]()
     for _ in range(walks):
         state, steps = start, list[str]()
         for _ in range(depth):
             moves = list(state.moves())
             if not moves:
                 break
-            words, make = random.choice(moves)
-            state = make()
-            steps.append(words)
-            seen.add(hash(state.key()))
-            if broken := state.broken():
-                return Found(len(seen), False, broken, tuple(steps))
-        if time.monotonic() > end:
+            label, create_successor = random.choice(moves)
+            state = create_successor()
+            steps.append(label)
+            seen_hashes.add(hash(state.key()))
+            if violation := state.violation():
+                return SearchResult(len(seen_hashes), False, violation, tuple(steps))
+        if time.monotonic() > deadline:
             break
-    return Found(len(seen), False)
+    return SearchResult(len(seen_hashes), False)
--- a/olivecourse/rollout/gates.py
+++ b/olivecourse/rollout/gates.py
@@ -1,9 +1,10 @@
-"""Gates on a release: does the new version serve worse than the untouched one? No I/O.
+"""Canary analysis of a release: does the new version serve worse than the old one? No I/O.
 
-A sequential test that may be looked at after every batch: the marginal likelihood of the new side's requests
-under a Beta prior, over the largest that the null hypothesis "not worse by more than `worse`" allows. This is
-an e-process (Wasserman, Ramdas and Balakrishnan, "Universal inference", 2020, section 7), so by Ville's
-inequality a good version is halted with probability alpha at most, however often one looks.
+This is a sequential test that may be evaluated after every batch. Its statistic is the marginal likelihood of
+the new version's requests under a Beta prior, divided by the largest likelihood that the null hypothesis "not
+worse by more than `worse`" allows. The statistic is an e-process (Wasserman, Ramdas and Balakrishnan,
+"Universal inference", 2020, section 7). By Ville's inequality a good version is therefore halted with
+probability alpha at most, however often the test is evaluated.
 """
 
 from __future__ import annotations
@@ -14,62 +15,69 @@
 
 from scipy.special import betaln, xlog1py, xlogy
 
-PRIOR = (0.5, 0.5)  # Jeffreys'
-SURE = 2.6  # standard errors that the untouched side's rate may lie above what was seen: one in 200
+PRIOR = (0.5, 0.5)  # Jeffreys prior
+# Standard errors between the observed rate of the old version and its upper bound, which the true rate
+# exceeds in one of 200 cases.
+UPPER_BOUND_SIGMAS = 2.6
 
 
 @dataclass(frozen=True, slots=True)
 class Counts:
-    """Requests that ended, and how many of them badly: refused, failed or late."""
+    """Number of ended requests, and of those that ended badly: refused, failed or late."""
 
     ended: int = 0
     bad: int = 0
 
 
 @dataclass
-class Gate:
-    """One comparison, of the new version's side against the untouched one's."""
+class SequentialTest:
+    """One comparison of the gateways with the new version against the gateways with the old version."""
 
     alpha: float
-    worse: float  # percent points
+    worse: float  # tolerated increase of the rate of bad requests, in percentage points
     evidence: float = 0.0  # the largest logarithm of the e-process so far
 
     @property
-    def halts(self) -> bool:
+    def should_halt(self) -> bool:
+        """Whether the evidence against the new version has reached the threshold 1 / alpha."""
         return self.evidence >= -log(self.alpha)
 
     @property
     def p(self) -> float:
-        """An anytime-valid p-value."""
+        """The p-value of the test so far; it is valid at any number of evaluations."""
         return exp(-max(self.evidence, 0.0))
 
-    def look(self, new: Counts, old: Counts) -> bool:
-        """Totals so far of each side; whether the release is to be halted."""
+    def update(self, new: Counts, old: Counts) -> bool:
+        """Evaluates the total counts so far of both versions; returns whether the release must be halted."""
         if 0 <= new.bad <= new.ended and old.ended > 0:
             self.evidence = max(self.evidence, self._evidence(new, old))
-        return self.halts
+        return self.should_halt
 
     def _evidence(self, new: Counts, old: Counts) -> float:
+        """Returns the natural logarithm of the e-process for these counts."""
         good = new.ended - new.bad
         marginal = float(betaln(PRIOR[0] + new.bad, PRIOR[1] + good) - betaln(*PRIOR))
-        # The untouched side's rate is itself known from so many requests only: its upper bound counts.
+        # The rate of the old version is only an estimate from a limited number of requests: use its upper
+        # bound.
         rate = (old.bad + 1.0) / (old.ended + 2.0)
-        spread = SURE * (rate * (1 - rate) / (old.ended + 2.0)) ** 0.5
-        most = min(rate + spread + self.worse / 100.0, 1.0 - 1e-9)
-        best = max(min(new.bad / max(new.ended, 1), most), 1e-9)  # of all rates that the null allows
-        return marginal - float(xlogy(new.bad, best) + xlog1py(good, -best))
+        margin = UPPER_BOUND_SIGMAS * (rate * (1 - rate) / (old.ended + 2.0)) ** 0.5
+        highest_null_rate = min(rate + margin + self.worse / 100.0, 1.0 - 1e-9)
+        # The most likely of the rates that the null hypothesis allows.
+        null_rate = max(min(new.bad / max(new.ended, 1), highest_null_rate), 1e-9)
+        return marginal - float(xlogy(new.bad, null_rate) + xlog1py(good, -null_rate))
 
 
 def sides(counts: Mapping[int, tuple[str, Counts]], version: str) -> tuple[Counts, Counts]:
-    """Of all gateways' counts since the release began: the new version's side, and the others'."""
+    """Sums the counts of all gateways since the release began: those with the new version, and the others."""
 
     def total(new: bool) -> Counts:
-        rows = [c for have, c in counts.values() if (have == version) == new]
-        return Counts(sum(c.ended for c in rows), sum(c.bad for c in rows))
+        selected = [c for gateway_version, c in counts.values() if (gateway_version == version) == new]
+        return Counts(sum(c.ended for c in selected), sum(c.bad for c in selected))
 
     return total(True), total(False)
 
 
-def describe(gate: Gate, new: Counts, old: Counts) -> str:
+def describe(test: SequentialTest, new: Counts, old: Counts) -> str:
+    """Formats the rates of both versions and the p-value, as the reason of a halt."""
     rate = [100.0 * c.bad / c.ended if c.ended else 0.0 for c in (new, old)]
-    return f"{rate[0]:.1f} % bad against {rate[1]:.1f} %, p {gate.p:.1g}"
+    return f"{rate[0]:.1f} % bad against {rate[1]:.1f} %, p {test.p:.1g}"
--- a/olivecourse/rollout/releases.py
+++ b/olivecourse/rollout/releases.py
@@ -1,9 +1,10 @@
-"""A release of the gateways' program: its plan, its states, and who may go when. No I/O.
+"""A release of the gateway program: its plan, its states, and the order in which gateways restart. No I/O.
 
     planned -> running <-> paused;  running, paused -> halted -> running (resume) | rolling_back -> done
 
-Every word raises the term. A halt is ended only by a resume or a rollback of a higher term; a word that knows
-an older term than the register's is refused, so that a resume that crosses a halt does not undo it.
+Every command raises the term. Only a resume or a rollback with a higher term ends a halt. A command that was
+issued under an older term than that of the register is refused, so that a resume that crosses a halt in
+flight does not undo the halt.
 """
 
 from __future__ import annotations
@@ -16,12 +17,14 @@
 
 import msgspec
 
-KEY = "release"  # the register that holds it
-MOST_VERSION = 24  # characters
-MOST_WAVES = 6
+KEY = "release"  # key of the register that holds the release
+MAX_VERSION_LENGTH = 24  # characters
+MAX_WAVES = 6
 
 
 class State(IntEnum):
+    """State of a release; the head of this module lists the transitions."""
+
     NONE = 0
     PLANNED = 1
     RUNNING = 2
@@ -32,10 +35,11 @@
 
 
 class Plan(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """`waves`: shares of the fleet in percent that have the version once each wave is through; the first is
-    the canary, the last 100. `soak_s` between the end of a wave and the next. `alpha`: how often, at most, a
-    good version may be halted by its gates; `worse`: from how much more of each hundred requests ending badly
-    on the canary's side a version counts as bad, in percent points."""
+    """The plan of a release. `waves` lists the shares of the fleet, in percent, that have the version after
+    each wave; the first wave is the canary, the last share is 100. `soak_s` is the waiting time between two
+    waves, in seconds. `alpha` is the highest acceptable probability that the gates halt a good version.
+    `worse` is the increase of the rate of bad requests, in percentage points, above which a version counts as
+    bad."""
 
     version: str
     before: str = ""
@@ -47,8 +51,8 @@
 
 
 class Release(msgspec.Struct, frozen=True, array_like=True):
-    """The register's value. `wave` counts from 0; `at` is the Unix second of the last word, `by` the member
-    that took it, `why` why it was halted."""
+    """The value of the release register. `wave` counts from 0. `at` is the Unix time of the last command in
+    seconds, `by` the gateway that issued it, and `why` the reason given with it."""
 
     term: int = 0
     state: State = State.NONE
@@ -60,30 +64,33 @@
 
     @property
     def version(self) -> str:
-        """Which version is wanted now."""
+        """The version that all gateways of the released waves should run now."""
         return self.plan.before if self.state is State.ROLLING_BACK else self.plan.version
 
     @property
     def halted(self) -> bool:
-        """Whether nobody may start to go out for it."""
+        """Whether no further gateway may go out of service for this release."""
         return self.state in (State.PAUSED, State.HALTED)
 
 
-class Word(IntEnum):
+class Command(IntEnum):
+    """Commands that change the state of a release."""
+
     PLAN = 0
     START = 1
     PAUSE = 2
     HALT = 3
     RESUME = 4
     ROLLBACK = 5
-    NEXT = 6  # the wave is through
-    END = 7  # all have the version that is wanted
+    NEXT = 6  # the current wave is complete
+    END = 7  # all gateways run the wanted version
 
 
-class Say(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """`term`: of the release that the speaker knows; words that let something go on need the newest."""
+class CommandRequest(msgspec.Struct, frozen=True, array_like=True, tag=2):
+    """One command on the release. `term` is the release term known to the sender; commands other than pause
+    and halt are refused unless it is the newest."""
 
-    word: Word
+    command: Command
     term: int
     by: int
     at: int = 0
@@ -91,41 +98,42 @@
     plan: Plan | None = None
 
 
-ENDED = (State.NONE, State.DONE)
-FROM: dict[Word, tuple[State, ...]] = {
-    Word.PLAN: (*ENDED, State.PLANNED),
-    Word.START: (State.PLANNED,),
-    Word.PAUSE: (State.RUNNING,),
-    Word.HALT: (State.PLANNED, State.RUNNING, State.PAUSED, State.ROLLING_BACK, State.HALTED),
-    Word.RESUME: (State.PAUSED, State.HALTED),
-    Word.ROLLBACK: (State.RUNNING, State.PAUSED, State.HALTED),
-    Word.NEXT: (State.RUNNING,),
-    Word.END: (State.RUNNING, State.ROLLING_BACK),
+NO_RELEASE_STATES = (State.NONE, State.DONE)
+ALLOWED_FROM: dict[Command, tuple[State, ...]] = {
+    Command.PLAN: (*NO_RELEASE_STATES, State.PLANNED),
+    Command.START: (State.PLANNED,),
+    Command.PAUSE: (State.RUNNING,),
+    Command.HALT: (State.PLANNED, State.RUNNING, State.PAUSED, State.ROLLING_BACK, State.HALTED),
+    Command.RESUME: (State.PAUSED, State.HALTED),
+    Command.ROLLBACK: (State.RUNNING, State.PAUSED, State.HALTED),
+    Command.NEXT: (State.RUNNING,),
+    Command.END: (State.RUNNING, State.ROLLING_BACK),
 }
-TO = {
-    Word.PLAN: State.PLANNED,
-    Word.START: State.RUNNING,
-    Word.PAUSE: State.PAUSED,
-    Word.HALT: State.HALTED,
-    Word.RESUME: State.RUNNING,
-    Word.ROLLBACK: State.ROLLING_BACK,
-    Word.NEXT: State.RUNNING,
-    Word.END: State.DONE,
+TARGET_STATES = {
+    Command.PLAN: State.PLANNED,
+    Command.START: State.RUNNING,
+    Command.PAUSE: State.PAUSED,
+    Command.HALT: State.HALTED,
+    Command.RESUME: State.RUNNING,
+    Command.ROLLBACK: State.ROLLING_BACK,
+    Command.NEXT: State.RUNNING,
+    Command.END: State.DONE,
 }
-STOPS = (Word.PAUSE, Word.HALT)  # taken whatever term the speaker knows: never too careful
+STOPPING_COMMANDS = (Command.PAUSE, Command.HALT)  # accepted under any term: stopping is always safe
 
 
-class Heard(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Whether a word was taken, under which term the release stands now, and why not."""
+class CommandReply(msgspec.Struct, frozen=True, array_like=True, tag=2):
+    """Answer to a command: whether it was accepted, the resulting term and state, and the reason for a
+    refusal."""
 
-    taken: bool
+    accepted: bool
     term: int
     state: State
     reason: str = ""
 
 
 def decode(value: bytes) -> Release:
-    """Raises ValueError."""
+    """Decodes a register value; an empty value is the initial release. Raises ValueError."""
     if not value:
         return Release()
     try:
@@ -135,17 +143,18 @@
 
 
 def encode(release: Release) -> bytes:
+    """Encodes a release as a register value."""
     return msgspec.msgpack.encode(release)
 
 
-def flaws(plan: Plan) -> str:
-    """What is wrong with a plan; empty if nothing is."""
-    if not plan.version or len(plan.version) > MOST_VERSION or len(plan.before) > MOST_VERSION:
-        return f"version and before have 1 to {MOST_VERSION} characters"
+def plan_error(plan: Plan) -> str:
+    """Returns what is wrong with a plan, or an empty string if the plan is valid."""
+    if not plan.version or len(plan.version) > MAX_VERSION_LENGTH or len(plan.before) > MAX_VERSION_LENGTH:
+        return f"version and before have 1 to {MAX_VERSION_LENGTH} characters"
     if plan.version == plan.before:
         return "version is what was there before"
-    if not plan.waves or len(plan.waves) > MOST_WAVES:
-        return f"1 to {MOST_WAVES} waves"
+    if not plan.waves or len(plan.waves) > MAX_WAVES:
+        return f"1 to {MAX_WAVES} waves"
     if list(plan.waves) != sorted(set(plan.waves)) or plan.waves[0] < 1 or plan.waves[-1] != 100:
         return "waves are shares in percent that grow to 100"
     if not 0 <= plan.soak_s <= 86_400 or not 0 < plan.alpha < 0.5 or not 0 < plan.worse <= 100:
@@ -153,69 +162,86 @@
     return ""
 
 
-def apply(release: Release, say: Say) -> tuple[Release, Heard]:
-    """The release after one word. A word said twice does what once does."""
-    if say.word in STOPS and release.state is TO[say.word]:
-        return release, Heard(True, release.term, release.state)
-    if say.word not in STOPS and say.term != release.term:
-        again = release.by == say.by and release.at == say.at and release.state is TO[say.word]
-        reason = "" if again else f"the release stands at term {release.term} by now, you know {say.term}"
-        return release, Heard(again, release.term, release.state, reason)
-    if release.state not in FROM[say.word]:
-        return release, Heard(False, release.term, release.state, f"it is {release.state.name.lower()}")
+def apply_command(release: Release, request: CommandRequest) -> tuple[Release, CommandReply]:
+    """Returns the release after one command, and the answer to it. A repeated command has no further
+    effect."""
+    if request.command in STOPPING_COMMANDS and release.state is TARGET_STATES[request.command]:
+        return release, CommandReply(True, release.term, release.state)
+    if request.command not in STOPPING_COMMANDS and request.term != release.term:
+        repeated = (
+            release.by == request.by
+            and release.at == request.at
+            and release.state is TARGET_STATES[request.command]
+        )
+        reason = (
+            "" if repeated else f"the release stands at term {release.term} by now, you know {request.term}"
+        )
+        return release, CommandReply(repeated, release.term, release.state, reason)
+    if release.state not in ALLOWED_FROM[request.command]:
+        return release, CommandReply(
+            False, release.term, release.state, f"it is {release.state.name.lower()}"
+        )
     plan, wave = release.plan, release.wave
-    if say.word is Word.PLAN:
-        if say.plan is None or (why := flaws(say.plan)):
-            return release, Heard(False, release.term, release.state, why if say.plan else "no plan")
-        plan, wave = say.plan, 0
-    elif say.word is Word.NEXT:
+    if request.command is Command.PLAN:
+        if request.plan is None or (why := plan_error(request.plan)):
+            return release, CommandReply(
+                False, release.term, release.state, why if request.plan else "no plan"
+            )
+        plan, wave = request.plan, 0
+    elif request.command is Command.NEXT:
         if wave + 1 >= len(plan.waves):
-            return release, Heard(False, release.term, release.state, "it was the last wave")
+            return release, CommandReply(False, release.term, release.state, "it was the last wave")
         wave += 1
-    after = Release(release.term + 1, TO[say.word], wave, say.by, say.at, say.why[:40], plan)
-    return after, Heard(True, after.term, after.state)
+    after = Release(
+        release.term + 1, TARGET_STATES[request.command], wave, request.by, request.at, request.why[:40], plan
+    )
+    return after, CommandReply(True, after.term, after.state)
 
 
-def play(value: bytes, says: Sequence[Say]) -> tuple[bytes, list[Heard]]:
-    release, answers = decode(value), list[Heard]()
-    for say in says:
-        release, answer = apply(release, say)
+def apply_batch(value: bytes, requests: Sequence[CommandRequest]) -> tuple[bytes, list[CommandReply]]:
+    """Applies all commands of one ballot to a register value, in order of arrival."""
+    release, answers = decode(value), list[CommandReply]()
+    for request in requests:
+        release, answer = apply_command(release, request)
         answers.append(answer)
     return encode(release), answers
 
 
-# Who goes when -----------------------------------------------------------------------------------------
+# Order of the gateways ---------------------------------------------------------------------------------
 
 
 def order(version: str, gateways: Sequence[int]) -> list[int]:
-    """The same everywhere, another for each version, so that it is not always the same who go first."""
+    """Orders the gateways pseudo-randomly by version: all gateways compute the same order, and different
+    versions start at different gateways."""
 
-    def place(item: int) -> bytes:
+    def sort_key(item: int) -> bytes:
         return blake2b(f"{version}/{item}".encode(), digest_size=8).digest()
 
-    return sorted(gateways, key=place)
+    return sorted(gateways, key=sort_key)
 
 
-@lru_cache(maxsize=2)  # one release is on at a time, and it is looked at many times a second
+@lru_cache(maxsize=2)  # one release is active at a time, and its waves are needed many times a second
 def waves(version: str, shares: tuple[int, ...], gateways: tuple[int, ...]) -> Mapping[int, int]:
-    """In which wave each gateway goes, by growing shares in percent; the first wave holds one at least."""
-    ends = [max(len(gateways) * share // 100, 1) for share in shares]
-    found, number = dict[int, int](), 0
+    """Returns the wave number of each gateway, by growing shares in percent. The first wave has at least one
+    gateway."""
+    last_ranks = [max(len(gateways) * share // 100, 1) for share in shares]
+    wave_numbers, number = dict[int, int](), 0
     for rank, item in enumerate(order(version, gateways)):
-        while rank >= ends[number] and number < len(ends) - 1:
+        while rank >= last_ranks[number] and number < len(last_ranks) - 1:
             number += 1
-        found[item] = number
-    return found
+        wave_numbers[item] = number
+    return wave_numbers
 
 
 def wave_of(plan: Plan, gateways: Sequence[int], item: int) -> int:
-    """In which wave a gateway goes. Raises KeyError for one that is not of the fleet."""
+    """Returns the wave number of a gateway. Raises KeyError for a gateway that is not in the fleet."""
     return waves(plan.version, tuple(plan.waves), tuple(gateways))[item]
 
 
 def may_go(release: Release, gateways: Sequence[int], item: int, version: str) -> bool:
-    """Whether this gateway is to ask for a place now: it has another version than is wanted, and its wave is
-    on. On the way back those that went last go first, each as soon as the budget lets it."""
+    """Returns whether gateway `item`, which runs `version`, should request a lease for the release now: it
+    does not run the wanted version, and its wave has started. In a rollback every gateway with the new
+    version may request a lease at once; only the budget limits how many go at a time."""
     if version == release.version or release.state not in (State.RUNNING, State.ROLLING_BACK):
         return False
     wave = waves(release.plan.version, tuple(release.plan.waves), tuple(gateways)).get(item)
@@ -228,19 +254,20 @@
 
 @dataclass(frozen=True)
 class Seen:
-    """Of each gateway that is heard: its version, and whether it serves warm."""
+    """Version of a gateway that sends heartbeats, and whether it serves and is warm."""
 
     version: str
     warm: bool
 
 
 def through(release: Release, gateways: Sequence[int], seen: Mapping[int, Seen]) -> bool:
-    """Whether all of the waves so far have the version and serve; who is silent holds its wave up."""
+    """Returns whether all gateways of the waves so far run the wanted version and serve. A silent gateway
+    delays its wave."""
 
-    def there(item: int) -> bool:
+    def ready(item: int) -> bool:
         return item in seen and seen[item].version == release.version and seen[item].warm
 
     if release.state is State.ROLLING_BACK:
-        return all(map(there, gateways))
+        return all(map(ready, gateways))
     wave = waves(release.plan.version, tuple(release.plan.waves), tuple(gateways))
-    return all(there(g) for g in gateways if wave[g] <= release.wave)
+    return all(ready(g) for g in gateways if wave[g] <= release.wave)
--- a/olivecourse/rollout/store.py
+++ b/olivecourse/rollout/store.py
@@ -1,9 +1,10 @@
-"""Promises, places and halts on disk, in an LMDB environment of the operator's folder.
+"""Durable acceptor state of a member, in an LMDB environment in the operator's folder.
 
-A record is `msgpack [key, slot]` behind a keyed BLAKE3 MAC that also covers the record's name. What was
-promised is synced before the promise leaves. A folder without the mark of `olivecourse rollout init`, or of
-another member, or with one record that does not hold, is an empty one: its member does not vote until it has
-caught up, as it may have promised what it has forgotten.
+A record is a msgpack value behind a keyed BLAKE3 MAC that also covers the name of the record. A promise is
+synced to disk before it is sent. A folder counts as empty if it lacks the marker that `olivecourse rollout
+init` writes, if it belongs to another member, or if any record is corrupt. The member of an empty folder does
+not vote until it has recovered the state of the other members, since it may have made promises that the
+folder no longer shows.
 """
 
 from __future__ import annotations
@@ -20,33 +21,37 @@
 from olivecourse.rollout.register import Slot
 
 MAP_BYTES = 16 * 2**20
-MARK, SEEN = b"member", b"seen"
-FORM = 1
-SEEN_S = 30  # between two notes that this member lives
-OLD_S = 3600  # a folder that has seen nothing for so long may be a copy of an older one
+MARKER_KEY, LAST_ALIVE_KEY = b"member", b"seen"
+FORMAT_VERSION = 1
+ALIVE_INTERVAL_S = 30  # interval at which a running member updates the time stamp of its folder
+STALE_AFTER_S = 3600  # a folder without updates for this long may be an outdated copy
 
 
-class NoFolder(OSError):
-    """The folder can't be used: the member asks, and does not vote."""
+class FolderUnusable(OSError):
+    """The folder is unusable: the gateway submits requests and does not vote."""
 
 
-class Held(NoFolder):
-    """Another process of this gateway votes by it, as in an upgrade: two that did would not know of each
-    other's promises."""
+class FolderLocked(FolderUnusable):
+    """Another process of this gateway votes with the folder, as during an upgrade. Two voting processes would
+    not know each other's promises."""
 
 
-class Torn(ValueError):
-    """A record that does not hold."""
+class CorruptRecord(ValueError):
+    """A record with a wrong MAC or an unreadable value, or a folder of another member."""
 
 
-class Mark(msgspec.Struct, frozen=True, array_like=True):
-    form: int
+class FolderMarker(msgspec.Struct, frozen=True, array_like=True):
+    """The record that marks a folder as initialized: the format version and the name of the member."""
+
+    format: int
     name: str
 
 
 class Disk:
+    """The opened folder of one member."""
+
     def __init__(self, folder: str, name: str, secret: bytes) -> None:
-        """Raises NoFolder; Held while another process has it."""
+        """Raises FolderUnusable, and its subclass FolderLocked while another process has the folder open."""
         self._name, self._secret = name, secret
         try:
             Path(folder).mkdir(mode=0o700, parents=True, exist_ok=True)
@@ -55,72 +60,85 @@
                 fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
             except OSError:
                 os.close(self._lock)
-                raise Held(f"{folder}: another process has it") from None
+                raise FolderLocked(f"{folder}: another process has it") from None
             self._env = lmdb.open(folder, map_size=MAP_BYTES, max_dbs=0, mode=0o600, metasync=True, sync=True)
-        except NoFolder:
+        except FolderUnusable:
             raise
         except (OSError, lmdb.Error) as error:
-            raise NoFolder(f"{folder}: {error}") from None
+            raise FolderUnusable(f"{folder}: {error}") from None
 
     def _seal(self, name: bytes, data: bytes) -> bytes:
+        """Prepends the MAC of a record."""
         return blake3(name + b"\0" + data, key=self._secret).digest() + data
 
     def _open(self, name: bytes, data: bytes) -> bytes:
+        """Verifies the MAC of a record and returns its data. Raises CorruptRecord."""
         if not hmac.compare_digest(blake3(name + b"\0" + data[32:], key=self._secret).digest(), data[:32]):
-            raise Torn(f"record {name!r}")
+            raise CorruptRecord(f"record {name!r}")
         return data[32:]
 
     def init(self, unix_s: int) -> None:
-        """Marks the folder as this member's from the start of the fleet; its records, if any, are dropped."""
+        """Initializes the folder for this member of a new fleet; existing records are deleted."""
         with self._env.begin(write=True) as txn:
             with txn.cursor() as cursor:
                 while cursor.first():
                     cursor.delete()
-            txn.put(MARK, self._seal(MARK, msgspec.msgpack.encode(Mark(FORM, self._name))))
-            txn.put(SEEN, self._seal(SEEN, msgspec.msgpack.encode(unix_s)))
+            txn.put(
+                MARKER_KEY,
+                self._seal(MARKER_KEY, msgspec.msgpack.encode(FolderMarker(FORMAT_VERSION, self._name))),
+            )
+            txn.put(LAST_ALIVE_KEY, self._seal(LAST_ALIVE_KEY, msgspec.msgpack.encode(unix_s)))
         self._env.sync(True)
 
     def load(self) -> dict[str, Slot] | None:
-        """What this member holds; None where that is not known. Raises Torn where a record does not hold."""
-        found: dict[str, Slot] = {}
+        """Returns the register states of this member, or None if the folder has no marker. Raises
+        CorruptRecord."""
+        slots: dict[str, Slot] = {}
         try:
             with self._env.begin() as txn:
-                mark = txn.get(MARK)
-                if mark is None:
+                marker = txn.get(MARKER_KEY)
+                if marker is None:
                     return None
-                if msgspec.msgpack.decode(self._open(MARK, mark), type=Mark) != Mark(FORM, self._name):
-                    raise Torn("the folder is another member's, or of another form")
+                if msgspec.msgpack.decode(self._open(MARKER_KEY, marker), type=FolderMarker) != FolderMarker(
+                    FORMAT_VERSION, self._name
+                ):
+                    raise CorruptRecord("the folder is another member's, or of another form")
                 for name, data in txn.cursor():
-                    if name not in (MARK, SEEN):
-                        found[name[1:].decode()] = msgspec.msgpack.decode(self._open(name, data), type=Slot)
+                    if name not in (MARKER_KEY, LAST_ALIVE_KEY):
+                        slots[name[1:].decode()] = msgspec.msgpack.decode(self._open(name, data), type=Slot)
         except (msgspec.MsgspecError, UnicodeDecodeError, lmdb.Error) as error:
-            raise Torn(str(error)) from None
-        return found
+            raise CorruptRecord(str(error)) from None
+        return slots
 
-    def old(self, unix_s: int) -> bool:
-        """Whether the folder has seen nothing for long, or comes from the future: it may be a copy, which has
-        forgotten what was promised since, and its member catches up before it votes."""
+    def is_stale(self, unix_s: int) -> bool:
+        """Returns whether the time stamp of the folder is missing, long past or in the future. Such a folder
+        may be an outdated copy that lacks later promises, so its member recovers from the others before it
+        votes."""
         try:
             with self._env.begin() as txn:
-                data = txn.get(SEEN)
-                seen = 0 if data is None else msgspec.msgpack.decode(self._open(SEEN, data), type=int)
-        except (msgspec.MsgspecError, Torn, lmdb.Error):
+                data = txn.get(LAST_ALIVE_KEY)
+                seen = (
+                    0 if data is None else msgspec.msgpack.decode(self._open(LAST_ALIVE_KEY, data), type=int)
+                )
+        except (msgspec.MsgspecError, CorruptRecord, lmdb.Error):
             return True
-        return not unix_s - OLD_S <= seen <= unix_s + OLD_S
+        return not unix_s - STALE_AFTER_S <= seen <= unix_s + STALE_AFTER_S
 
     def write(self, slots: dict[str, Slot], unix_s: int) -> None:
-        """Durable on return; raises OSError or lmdb.Error, after which nothing of it may be told."""
+        """Writes register states; they are durable on return. Raises OSError or lmdb.Error, after which no
+        message that depends on them may be sent."""
         with self._env.begin(write=True) as txn:
-            txn.put(SEEN, self._seal(SEEN, msgspec.msgpack.encode(unix_s)))
+            txn.put(LAST_ALIVE_KEY, self._seal(LAST_ALIVE_KEY, msgspec.msgpack.encode(unix_s)))
             for key, slot in slots.items():
                 name = b"k" + key.encode()
                 txn.put(name, self._seal(name, msgspec.msgpack.encode(slot)))
 
-    def caught_up(self, slots: dict[str, Slot], unix_s: int) -> None:
-        """After a lost disk: all of it at once, with the mark."""
+    def write_recovered(self, slots: dict[str, Slot], unix_s: int) -> None:
+        """Initializes a folder that was empty and writes the complete recovered state."""
         self.init(unix_s)
         self.write(slots, unix_s)
 
     def close(self) -> None:
+        """Closes the environment and releases the lock."""
         self._env.close()
         os.close(self._lock)
--- a/tests/fleetsim.py
+++ b/tests/fleetsim.py
@@ -1,4 +1,7 @@
-"""A fleet of members on a virtual network: one clock, one seed, and an observer of who is really out."""
+"""Simulates a fleet of rollout members on a virtual network with one clock and one seed.
+
+The simulation also counts how many stores are really out of service, independently of what members believe.
+"""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -11,28 +14,31 @@
 from olivecourse.rollout.wire import Keys, Wire
 
 MS, S = 1_000_000, 1_000_000_000
-STORES, GATES = "stores:praia", "gateways:praia"
+STORES, GATEWAYS = "stores:praia", "gateways:praia"
 TICK = 20 * MS
 
 
 class NoGate:
-    def look(self, new, old):
+    """Release gate that never halts."""
+
+    def update(self, new, old):
         return ""
 
 
 @dataclass
 class Node:
-    """One gateway: what is on its disk outlives its process."""
+    """One gateway. Its disk survives a restart of its process; `up` is false after a kill, and `stopped` is
+    true while the process is suspended."""
 
     number: int
     disk: dict = field(default_factory=dict)
     version: str = "v1"
     up: bool = True
     stopped: bool = False
-    life: int = 1
+    incarnation: int = 1
     warm_at: int = 0
     inbox: list = field(default_factory=list)
-    out: set = field(default_factory=set)  # stores that it sends nothing to, by place
+    out: set = field(default_factory=set)  # stores that get no requests from it because of a lease
     drains: bool = False
     skew: int = 0
     member: Member = None
@@ -42,8 +48,10 @@
 
 
 class Fleet:
-    """`loss`, `twice` and `slow` of datagrams; `cut(a, b)` says whether nothing goes from a to b. Stores are
-    numbered from 100. `over` counts samples in which more was out than the budget allows, by nature aside."""
+    """All gateways, the network and the stores. `loss` and `twice` are the probabilities that a datagram is
+    lost or duplicated, `slow` is the longest delay, and `cut(a, b)` says whether datagrams from a to b are
+    dropped. Stores are numbered from 100. `over` counts the samples in which more stores were out of service
+    than the budget allows."""
 
     def __init__(
         self,
@@ -56,7 +64,7 @@
         twice=0.0,
         slow_ms=15,
         gates=None,
-        lease_alone=False,
+        skip_activation=False,
         disks=True,
         fences=True,
     ):
@@ -69,7 +77,7 @@
         self.sent = self.bytes = 0
         self.store_state = {100 + n: "in" for n in range(stores)}
         self.store_warm_at = dict.fromkeys(self.store_state, 0)
-        self.budget, self.lease_alone = budget, lease_alone
+        self.budget, self.skip_activation = budget, skip_activation
         self.keys = Keys({1: bytes(32)}, 1)
         self.fleet, self.members = tuple(range(nodes)), tuple(range(members))
         self.gates, self.disks, self.fences = gates, disks, fences
@@ -79,7 +87,8 @@
             self.boot(node, fresh=True)
 
     def boot(self, node, fresh=False, lost_disk=False, version=None, old_disk=False):
-        node.life += 1
+        """Starts the process of a gateway, from its disk unless that is lost or outdated."""
+        node.incarnation += 1
         node.up, node.stopped, node.drains = True, False, False
         node.version = version or node.version
         node.inbox, node.answers = [], {}
@@ -91,7 +100,7 @@
             node.number,
             self.fleet,
             self.members,
-            dict.fromkeys(self.fleet, GATES),
+            dict.fromkeys(self.fleet, GATEWAYS),
             dict.fromkeys(self.fleet, 1.0),
             budget,
             self.gates,
@@ -100,7 +109,7 @@
         random = Random(self.random.getrandbits(32))
         node.member = Member(
             setup,
-            node.life,
+            node.incarnation,
             node.version,
             node.disk,
             random,
@@ -109,45 +118,50 @@
         )
         node.agent = Agent(
             node.number,
-            GATES,
+            GATEWAYS,
             self.fleet,
             node.member,
             random,
-            lambda item: self.go(node, item),
-            lambda item: self.come(node, item),
+            lambda item: self.take_out(node, item),
+            lambda item: self.bring_back(node, item),
             self.clock(node),
-            self.lease_alone,
+            self.skip_activation,
         )
-        node.wire = Wire(node.number, node.life, self.keys)
+        node.wire = Wire(node.number, node.incarnation, self.keys)
 
     def clock(self, node):
+        """The gateway's own clock."""
         return self.now + node.skew
 
     def kill(self, node):
+        """Ends the process of a gateway at once."""
         node.up = False
         node.out.clear()
 
-    def go(self, node, item):
+    def take_out(self, node, item):
         if item == node.number:
             node.drains = True
 
-    def come(self, node, item):
+    def bring_back(self, node, item):
         if item == node.number:
             node.drains = False
 
-    # The world --------------------------------------------------------------------------------------
+    # Stores and time --------------------------------------------------------------------------------
 
     def stores_out(self, node):
-        """Who is out for a gateway's clients: stores that are down or cold, and those it leaves alone."""
+        """The number of stores out of service for a gateway's clients: stores that are down or cold, and
+        stores that get no requests from this gateway because of a lease."""
         return sum(
             state != "in" or self.store_warm_at[store] > self.now or store in node.out
             for store, state in self.store_state.items()
         )
 
     def gateway_out(self, node):
+        """Whether a gateway is down, draining or cold."""
         return not node.up or node.drains or node.warm_at > self.now
 
-    def _world(self, node):
+    def _update_member(self, node):
+        """Passes the state of the stores and of the gateway to its member, and applies the leases."""
         capacity = dict.fromkeys(self.store_state, 1.0)
         node.member.world.groups[STORES] = Group(STORES, capacity, Budget(self.budget, 0.75))
         node.member.world.out[STORES] = {
@@ -156,10 +170,11 @@
         node.member.service = (
             Service.DRAINS if node.drains else Service.COLD if node.warm_at > self.now else Service.SERVES
         )
-        placed = {p.item for p in node.member.table(STORES).places if p.phase == 1}
-        node.out = placed
+        leased = {p.item for p in node.member.table(STORES).leases if p.phase == 1}
+        node.out = leased
 
     def turn(self):
+        """Advances the clock by one tick: delivers datagrams and runs every gateway."""
         self.now += TICK
         due = [f for f in self.flying if f[0] <= self.now]
         self.flying = [f for f in self.flying if f[0] > self.now]
@@ -172,7 +187,7 @@
             if not node.up or node.stopped:
                 continue
             now = self.clock(node)
-            self._world(node)
+            self._update_member(node)
             inbox, node.inbox = node.inbox, []
             for data in inbox:
                 try:
@@ -191,6 +206,7 @@
     replace = None
 
     def flush(self, node):
+        """Carries out the effects of a gateway's member."""
         for _ in range(4):
             step = node.member.taken()
             if self.disks:
@@ -202,6 +218,7 @@
                     node.answers[handle] = answer
 
     def send(self, node, target, message):
+        """Sends a datagram through the simulated network."""
         data = node.wire.encode(target, message)
         self.sent += 1
         self.bytes += len(data)
@@ -213,11 +230,13 @@
             self.flying.append((at, self.count, target, data))
 
     def observe(self):
+        """Samples how many stores are out of service."""
         out = max((self.stores_out(n) for n in self.nodes if n.up and not n.stopped), default=0)
         self.most_out = max(self.most_out, out)
         self.over += out > self.budget
 
     def run(self, seconds, until=None):
+        """Runs for some seconds, or until a condition holds; returns whether it held."""
         end = self.now + int(seconds * S)
         while self.now < end:
             self.turn()
@@ -225,12 +244,13 @@
                 return True
         return until is None
 
-    def say(self, node, word, **more):
-        """A word on the release from this gateway, as its operator would say it."""
+    def send_command(self, node, command, **more):
+        """Submits a command on the release at this gateway, as its operator would."""
         known = node.member.release
-        what = releases.Say(word, known.term, node.number, self.clock(node) // S, **more)
-        return node.member.ask(releases.KEY, what, self.clock(node))
+        what = releases.CommandRequest(command, known.term, node.number, self.clock(node) // S, **more)
+        return node.member.submit(releases.KEY, what, self.clock(node))
 
     def answered(self, node, handle, seconds=4):
+        """Waits for the answer to a request; None if there is none in time."""
         self.run(seconds, lambda: handle in node.answers)
         return node.answers.get(handle)
