--- a/olivecourse/storm/guard.py
+++ b/olivecourse/storm/guard.py
@@ -159,7 +159,7 @@
             self._is_retry = (
                 marked if client is None else self.retries.is_retry(client, self._key(event), marked, now)
             )
-            self._weight = 1.0 if client is None else self.compliance.arrived(client, now)
+            self._weight = 1.0 if client is None else self.compliance.record_request(client, now)
             self.monitor.arrived(self._is_retry)
             if not self._is_retry:
                 self.rates.first()
@@ -199,7 +199,7 @@
                 if opened is not None:
                     self._failed(opened, now)
                     if isinstance(action, w.Refuse) and opened.client is not None and action.retry_after_ns:
-                        self.compliance.refused(opened.client, now + action.retry_after_ns)
+                        self.compliance.record_refusal(opened.client, now + action.retry_after_ns)
             elif isinstance(action, w.ReadThrough) and action.request in self._open:
                 self._open[action.request].source = action.source
         self.rates.advance(now)
--- a/olivecourse/storm/heed.py
+++ b/olivecourse/storm/heed.py
@@ -33,7 +33,7 @@
     def __len__(self) -> int:
         return len(self._clients)
 
-    def refused(self, client: int, until: int) -> None:
+    def record_refusal(self, client: int, until: int) -> None:
         """Records that `client` was refused and told not to retry before `until`."""
         state = self._clients.pop(client, None) or ClientState()
         state.retry_not_before = max(state.retry_not_before, until)
@@ -41,7 +41,7 @@
         if len(self._clients) > self._max_clients:
             del self._clients[next(iter(self._clients))]
 
-    def arrived(self, client: int, now: int) -> float:
+    def record_request(self, client: int, now: int) -> float:
         """Records a request of `client` and returns the client's weight, from 1 - MAX_PENALTY to 1."""
         state = self._clients.get(client)
         if state is None:
--- a/olivecourse/storm/ramp.py
+++ b/olivecourse/storm/ramp.py
@@ -49,15 +49,16 @@
 class Escrow:
     """One gateway's share of the budget for one store, from one start of the store to the next.
 
-    `total` is the budget of all gateways together, which rises with time.
+    `owner` is the gateway's index among `gateways`. `total` is the budget of all gateways
+    together, which rises with time.
     """
 
     def __init__(
-        self, gateway: int, gateways: int, total: Callable[[int], float], now: int, restarted: bool = False
+        self, owner: int, gateways: int, total: Callable[[int], float], now: int, restarted: bool = False
     ) -> None:
-        if not 0 <= gateway < gateways:
-            raise ValueError(f"gateway {gateway} is none of {gateways}")
-        self.gateway, self._gateways, self._total = gateway, gateways, total
+        if not 0 <= owner < gateways:
+            raise ValueError(f"gateway {owner} is none of {gateways}")
+        self.owner, self._gateways, self._total = owner, gateways, total
         self._rows = [[0.0] * gateways for _ in range(gateways)]
         self._wanted_at = [-WANT_NS] * gateways
         # A restarted gateway may have spent its whole part and all that was transferred to it.
@@ -70,11 +71,11 @@
     def allowance(self, now: int) -> float:
         """The budget left at `now`; negative only by the amount that a caller overdrew."""
         received = sum(
-            row[self.gateway] - base
+            row[self.owner] - base
             for j, (row, base) in enumerate(zip(self._rows, self._base, strict=True))
-            if j != self.gateway
+            if j != self.owner
         )
-        given = sum(x for j, x in enumerate(self._rows[self.gateway]) if j != self.gateway)
+        given = sum(x for j, x in enumerate(self._rows[self.owner]) if j != self.owner)
         return self._total(now) / self._gateways + received - given - self.spent
 
     def take(self, cost: float, now: int) -> bool:
@@ -91,18 +92,18 @@
         Returns this gateway's row, to be sent to its peers.
         """
         surplus = self.allowance(now) - keep
-        wanting = [j for j, at in enumerate(self._wanted_at) if j != self.gateway and now - at < WANT_NS]
+        wanting = [j for j, at in enumerate(self._wanted_at) if j != self.owner and now - at < WANT_NS]
         wants = now - self._short_at < WANT_NS
         if surplus > 0 and wanting and self._may_transfer and not wants:
             for j in wanting:
-                self._rows[self.gateway][j] += surplus * TRANSFER_PART / len(wanting)
-        return TransferRow(self.gateway, tuple(self._rows[self.gateway]), wants)
+                self._rows[self.owner][j] += surplus * TRANSFER_PART / len(wanting)
+        return TransferRow(self.owner, tuple(self._rows[self.owner]), wants)
 
     def merge(self, row: TransferRow, now: int) -> None:
         """Merges a peer's row, which may be late or repeated. An invalid row is ignored."""
         if (
             not 0 <= row.sender < self._gateways
-            or row.sender == self.gateway
+            or row.sender == self.owner
             or len(row.transferred) != self._gateways
         ):
             return
@@ -112,7 +113,7 @@
         for j, x in enumerate(row.transferred):
             known[j] = max(known[j], x)
         if now < self._settled_at:  # the row may date from before this gateway's restart, and be spent since
-            self._base[row.sender] = known[self.gateway]
+            self._base[row.sender] = known[self.owner]
         if row.wants:
             self._wanted_at[row.sender] = max(self._wanted_at[row.sender], now)
 
@@ -125,9 +126,9 @@
         if len(transferred) != self._gateways or any(not 0 <= x < 1e18 for x in transferred):
             return
         for j, x in enumerate(transferred):
-            more = x - self._rows[self.gateway][j]
+            more = x - self._rows[self.owner][j]
             if more > 0:
-                self._rows[self.gateway][j] = x
+                self._rows[self.owner][j] = x
                 self.spent -= more
         self._may_transfer = True
 
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -154,17 +154,17 @@
     compliance = ComplianceTracker(100)
     now = 0
     for _ in range(20):  # the client retries at once, each time
-        compliance.refused(1, now + S)
+        compliance.record_refusal(1, now + S)
         now += MS
-        weight = compliance.arrived(1, now)
+        weight = compliance.record_request(1, now)
     assert weight == pytest.approx(1 - MAX_PENALTY)
     for _ in range(4):
-        compliance.refused(1, now + S)
+        compliance.record_refusal(1, now + S)
         now += S
-        weight = compliance.arrived(1, now)
-    assert weight > 0.9 and compliance.arrived(2, now) == 1.0
+        weight = compliance.record_request(1, now)
+    assert weight > 0.9 and compliance.record_request(2, now) == 1.0
     for n in range(1000):
-        compliance.refused(n, now)
+        compliance.record_refusal(n, now)
     assert len(compliance) <= 100
 
 
