--- a/olivecourse/memory/__init__.py
+++ b/olivecourse/memory/__init__.py
@@ -1,5 +1,6 @@
-"""Memory across restarts: what a gateway has learned, kept in a folder and aged when it is read.
+"""State that a gateway keeps across restarts: what its Router has learned, and spent order tokens.
 
-`lessons`, `ageing`, `uptake`, `collect`, `schedule`, `generations` and `grouping` decide and touch nothing;
-`container` and `codec` turn lessons into bytes; `disk`, `folder`, `tokenstore` and `keeper` carry out.
+`lessons`, `ageing`, `uptake`, `collect`, `merging`, `schedule`, `generations` and `grouping` only decide and
+use no file, clock or thread. `container` and `codec` convert records to bytes and back. `disk`, `folder`,
+`tokenstore` and `keeper` do the input and output.
 """
--- a/olivecourse/memory/codec.py
+++ b/olivecourse/memory/codec.py
@@ -1,5 +1,8 @@
-"""Lessons to protobuf and back. What comes back is checked value by value: a checksum proves that a file is
-as it was written, not that what wrote it was sane."""
+"""Converts records to protobuf and back.
+
+Every value that is read is checked: a checksum proves that a file is as it was written, not that its writer
+was correct.
+"""
 
 from __future__ import annotations
 
@@ -8,24 +11,25 @@
 
 from google.protobuf.message import DecodeError
 
-from olivecourse.memory.container import Contents, Unusable
+from olivecourse.memory.container import Contents, UnusableFile
 from olivecourse.memory.generations import Reason
 from olivecourse.memory.lessons import (
-    ClassLesson,
+    ClassRecord,
     Interval,
-    Lesson,
-    PurgeLesson,
+    PurgeRecord,
+    Record,
     Snapshot,
     Stamp,
-    StoreLesson,
+    StoreRecord,
 )
 from olivecourse.memory.wire import memory_pb2 as pb
 
-MOST_NS = 10 * 365 * 86_400 * 10**9
-MOST_STORES, MOST_CLASSES, MOST_INTERVALS, MOST_PURGES, MOST_HOT = 4096, 256, 16, 65_536, 4096
+MAX_NS = 10 * 365 * 86_400 * 10**9
+MAX_STORES, MAX_CLASSES, MAX_INTERVALS, MAX_PURGES, MAX_HOT = 4096, 256, 16, 65_536, 4096
 
 
 def write_header(gateway: str, stamp: Stamp, program: str) -> bytes:
+    """Serialises the header of a snapshot."""
     return bytes(
         pb.Header(
             gateway=gateway,
@@ -37,84 +41,84 @@
     )
 
 
-def write_part(lessons: Iterable[Lesson], density: float = 0.0) -> bytes:
-    """A piece of a serialised Snapshot: pieces joined in any order are the whole."""
+def write_part(records: Iterable[Record], density: float = 0.0) -> bytes:
+    """Serialises a part of a Snapshot; the parts, concatenated in any order, are the serialised Snapshot."""
     part = pb.Snapshot(density=density)
-    for lesson in lessons:
-        if isinstance(lesson, StoreLesson):
+    for record in records:
+        if isinstance(record, StoreRecord):
             part.stores.add(
-                cache=lesson.cache,
-                life=lesson.life,
-                pain=lesson.pain,
-                wait_ns=lesson.wait_ns,
-                limit=lesson.limit,
-                failing=lesson.failing,
-                credit_ns=lesson.credit_ns,
-                pain_age_ns=lesson.pain_age_ns,
+                cache=record.cache,
+                life=record.life,
+                pain=record.pain,
+                wait_ns=record.wait_ns,
+                limit=record.limit,
+                failing=record.failing,
+                credit_ns=record.credit_ns,
+                pain_age_ns=record.pain_age_ns,
             )
-        elif isinstance(lesson, ClassLesson):
-            part.classes.add(name=lesson.name, size_ns=lesson.size_ns, fill_part=lesson.fill_part)
-        elif isinstance(lesson, Interval):
+        elif isinstance(record, ClassRecord):
+            part.classes.add(name=record.name, size_ns=record.size_ns, fill_part=record.fill_part)
+        elif isinstance(record, Interval):
             part.intervals.add(
-                age_ns=lesson.age_ns,
-                total=lesson.total,
-                distinct=lesson.distinct,
-                arrivals=lesson.arrivals,
-                t=lesson.t,
-                hot=[pb.Hot(object=k, amount=v) for k, v in lesson.counts.items()],
+                age_ns=record.age_ns,
+                total=record.total,
+                distinct=record.distinct,
+                arrivals=record.arrivals,
+                t=record.t,
+                hot=[pb.Hot(object=k, amount=v) for k, v in record.counts.items()],
             )
         else:
-            made = part.purges.add(age_ns=lesson.age_ns, left_ns=lesson.left_ns)
-            if isinstance(lesson.key, int):
-                made.group = lesson.key
+            purge = part.purges.add(age_ns=record.age_ns, left_ns=record.left_ns)
+            if isinstance(record.key, int):
+                purge.group = record.key
             else:
-                made.object = lesson.key
+                purge.object = record.key
     return bytes(part.SerializeToString())
 
 
-def _within(value: float, least: float, most: float, what: str) -> float:
-    if not least <= value <= most:  # also where it is no number
-        raise Unusable(Reason.DAMAGED, f"{what} is {value}")
+def _within(value: float, minimum: float, maximum: float, what: str) -> float:
+    if not minimum <= value <= maximum:  # a NaN is rejected too
+        raise UnusableFile(Reason.DAMAGED, f"{what} is {value}")
     return value
 
 
 def read_header(contents: Contents) -> tuple[str, Stamp]:
-    """The gateway that wrote it, and when; raises Unusable."""
+    """The gateway that wrote a file, and the time of its snapshot; raises UnusableFile."""
     try:
-        head = pb.Header.FromString(contents.header)
+        header = pb.Header.FromString(contents.header)
     except DecodeError:
-        raise Unusable(Reason.DAMAGED, "the header cannot be read") from None
+        raise UnusableFile(Reason.DAMAGED, "the header cannot be read") from None
     if contents.version < 2:
-        return head.gateway, Stamp(head.unix_ns)
-    return head.gateway, Stamp(head.unix_ns, head.boot_id, head.boot_ns)
+        return header.gateway, Stamp(header.unix_ns)
+    return header.gateway, Stamp(header.unix_ns, header.boot_id, header.boot_ns)
 
 
 def read(contents: Contents, gateway: str | None) -> Snapshot:
-    """The snapshot of `gateway` (None: of any); raises Unusable, and nothing else."""
+    """Reads the snapshot of `gateway`, or of any gateway if None; raises UnusableFile and nothing else."""
     owner, stamp = read_header(contents)
     if gateway is not None and owner != gateway:
-        raise Unusable(Reason.OTHER, f"of gateway {owner!r}")
+        raise UnusableFile(Reason.OTHER, f"written by gateway {owner!r}")
     try:
         raw = pb.Snapshot.FromString(contents.body)
     except DecodeError:
-        raise Unusable(Reason.DAMAGED, "the body cannot be read") from None
-    for rows, most in (
-        (raw.stores, MOST_STORES),
-        (raw.classes, MOST_CLASSES),
-        (raw.intervals, MOST_INTERVALS),
-        (raw.purges, MOST_PURGES),
+        raise UnusableFile(Reason.DAMAGED, "the body cannot be read") from None
+    for rows, maximum in (
+        (raw.stores, MAX_STORES),
+        (raw.classes, MAX_CLASSES),
+        (raw.intervals, MAX_INTERVALS),
+        (raw.purges, MAX_PURGES),
     ):
-        _within(len(rows), 0, most, "a number of entries")
+        _within(len(rows), 0, maximum, "the number of entries")
     return Snapshot(
         owner,
         stamp,
         _within(raw.density, 0, 1e9, "density"),
         [
-            StoreLesson(
+            StoreRecord(
                 s.cache,
                 s.life,
                 _within(s.pain, 0, 1, "pain"),
-                _within(s.wait_ns, 0, MOST_NS, "wait") if s.HasField("wait_ns") else None,
+                _within(s.wait_ns, 0, MAX_NS, "wait") if s.HasField("wait_ns") else None,
                 _within(s.limit, 0, 1e9, "limit"),
                 s.failing,
                 _within(s.credit_ns, 0, 1e30, "credit") if s.HasField("credit_ns") else None,
@@ -123,15 +127,15 @@
             for s in raw.stores
         ],
         [
-            ClassLesson(c.name, _within(c.size_ns, 0, MOST_NS, "size"), _within(c.fill_part, 0, 1e3, "fills"))
+            ClassRecord(c.name, _within(c.size_ns, 0, MAX_NS, "size"), _within(c.fill_part, 0, 1e3, "fills"))
             for c in raw.classes
         ],
         [_interval(i) for i in raw.intervals],
         [
-            PurgeLesson(
+            PurgeRecord(
                 p.group if p.WhichOneof("what") == "group" else p.object,
                 p.age_ns,
-                int(_within(p.left_ns, 0, MOST_NS, "a purge")),
+                int(_within(p.left_ns, 0, MAX_NS, "a purge")),
             )
             for p in raw.purges
         ],
@@ -139,7 +143,7 @@
 
 
 def _interval(raw: pb.Interval) -> Interval:
-    _within(len(raw.hot), 0, MOST_HOT, "a number of hot objects")
+    _within(len(raw.hot), 0, MAX_HOT, "the number of hot objects")
     counts = {h.object: _within(h.amount, 0, 1e30, "a count") for h in raw.hot}
     t = raw.t if raw.t == math.inf else _within(raw.t, 1e-9, 1e30, "T")
     return Interval(
--- a/olivecourse/memory/commands.py
+++ b/olivecourse/memory/commands.py
@@ -1,6 +1,6 @@
-"""`olivecourse memory`: what a folder remembers, for operators.
+"""`olivecourse memory`: operators' commands on a memory folder.
 
-Exit codes: 0 good; 1 nothing there or damaged; 2 the configuration or the call is wrong; 3 in use.
+Exit codes: 0 success; 1 nothing found or damaged; 2 wrong configuration or usage; 3 folder in use.
 """
 
 from __future__ import annotations
@@ -20,26 +20,27 @@
 from olivecourse.config.gateway_config import BadConfig, load_operator
 from olivecourse.memory import codec, container
 from olivecourse.memory.ageing import Elapsed, Kind, Policy, elapsed
-from olivecourse.memory.container import Unusable, derive_key
-from olivecourse.memory.disk import FolderDisk, Held, stamp_now
-from olivecourse.memory.folder import Folder, Found
+from olivecourse.memory.container import UnusableFile, derive_key
+from olivecourse.memory.disk import FolderDisk, FolderLocked, stamp_now
+from olivecourse.memory.folder import Folder, LoadResult
 from olivecourse.memory.generations import parse
 from olivecourse.memory.keeper import PART, PROGRAM
-from olivecourse.memory.lessons import Lesson, Snapshot
+from olivecourse.memory.lessons import Record, Snapshot
 from olivecourse.memory.section import MemoryConfig, MemorySection
 from olivecourse.memory.tokenstore import PART as TOKENS
-from olivecourse.memory.tokenstore import About, BadStore, Store, probe
+from olivecourse.memory.tokenstore import BadStore, StoreMetadata, TokenStore, probe
 
 EMPTY, WRONG, IN_USE = 1, 2, 3
 
 
 def stop(text: str, code: int) -> NoReturn:
+    """Prints an error and ends the command with an exit code."""
     click.echo(f"olivecourse: {text}", err=True)
     sys.exit(code)
 
 
 def _config(operator: str | None, folder: str | None, key: str | None) -> tuple[MemoryConfig, str | None]:
-    """The section and the gateway's name; with a bare folder any gateway's files are read."""
+    """The section and the gateway's name; the name is None with --folder, which reads any gateway's files."""
     if (operator is None) == (folder is None):
         stop("give --operator FILE or --folder DIR", WRONG)
     if operator is not None:
@@ -51,17 +52,19 @@
         if memory is None:
             stop(f"{operator}: no memory section", WRONG)
         return memory, config.name
-    made = MemoryConfig(Path(folder or ""), Path(key) if key else None, MemorySection(str(folder)))
+    config_of_folder = MemoryConfig(
+        Path(folder or ""), Path(key) if key else None, MemorySection(str(folder))
+    )
     try:
         if key:
             derive_key(Path(key).read_bytes())
     except (OSError, ValueError) as error:
         stop(f"{key}: {getattr(error, 'strerror', None) or error}", WRONG)
-    return made, None
+    return config_of_folder, None
 
 
-class Opened:
-    """A folder as the commands work on it."""
+class OpenFolder:
+    """A memory folder that a command has opened; a fault ends the command."""
 
     def __init__(self, config: MemoryConfig, gateway: str | None) -> None:
         self.config, self.gateway = config, gateway
@@ -73,50 +76,54 @@
         section = config.section
         self.folder = Folder(self.disk, PART, section.keep, section.max_kb * 1024, config.key())
 
-    def load(self) -> Found:
+    def load(self) -> LoadResult:
+        """Loads the newest intact snapshot."""
         return self.folder.load(self.gateway)
 
     def lock(self) -> None:
+        """Locks the folder against a running gateway."""
         try:
             self.disk.lock(f"{PART}.lock")
-        except Held as held:
-            stop(str(held), IN_USE)
+        except FolderLocked as locked:
+            stop(str(locked), IN_USE)
         except OSError as error:
             stop(f"{self.config.folder}: {error.strerror}", EMPTY)
 
-    def tokens(self) -> tuple[About | None, dict[bytes, float], str]:
-        """The spent tokens, read beside a gateway that may be running; and what is wrong with them."""
+    def tokens(self) -> tuple[StoreMetadata | None, dict[bytes, float], str]:
+        """Reads the spent tokens; a gateway may be running. The third value describes a fault, if any."""
         path, section = self.config.folder / TOKENS, self.config.section
         if not (path / "data.mdb").exists():
             return None, {}, ""
         map_mb = section.tokens.map_mb if section.tokens is not None else 64
-        wrong = probe(path, map_mb)
-        if wrong is not None:
-            return None, {}, wrong
-        store = Store(path, map_mb, self.config.key())
+        fault = probe(path, map_mb)
+        if fault is not None:
+            return None, {}, fault
+        store = TokenStore(path, map_mb, self.config.key())
         try:
             store.open(write=False)
-            about, known = store.read(self.gateway)
-            return about, known, ""
+            metadata, known = store.read(self.gateway)
+            return metadata, known, ""
         except (lmdb.Error, OSError, BadStore) as error:
             return None, {}, str(error)
         finally:
             store.close()
 
 
-def _since(gone: Elapsed) -> str:
-    if not gone.known:
+def _age(passed: Elapsed) -> str:
+    if not passed.known:
         return "from the future"
-    return f"{gone.ns / 1e9:.1f} s old" + ("" if gone.sure else ", by a clock that can be set")
+    return f"{passed.ns / 1e9:.1f} s old" + ("" if passed.certain else ", by a clock that can be set")
 
 
 def _ms(value: float | None) -> str:
     return "" if value is None else f"{value / 1e6:.0f}"
 
 
-def tables(snapshot: Snapshot, gone: Elapsed, policy: Policy) -> list[Table]:
-    def weight(kind: Kind, more: int = 0) -> float:
-        return policy.weight(kind, gone.ns + more) if gone.known else 0.0
+def tables(snapshot: Snapshot, passed: Elapsed, policy: Policy) -> list[Table]:
+    """The tables that `show` prints: stores, classes, counting intervals and purges."""
+
+    def weight(kind: Kind, extra_ns: int = 0) -> float:
+        return policy.weight(kind, passed.ns + extra_ns) if passed.known else 0.0
 
     stores = Table(
         "store",
@@ -154,8 +161,8 @@
         )
     purges = Table("purge of", "age s", "still binds s", title="Purges")
     for p in snapshot.purges:
-        left = max(p.left_ns - gone.at_least_ns, 0) / 1e9
-        purges.add_row(str(p.key), f"{(p.age_ns + gone.ns) / 1e9:.1f}", f"{left:.1f}")
+        left = max(p.left_ns - passed.at_least_ns, 0) / 1e9
+        purges.add_row(str(p.key), f"{(p.age_ns + passed.ns) / 1e9:.1f}", f"{left:.1f}")
     return [stores, classes, hot, purges]
 
 
@@ -171,42 +178,42 @@
 
 @click.group()
 def memory() -> None:
-    """What a gateway remembers across restarts: show, verify, forget, export."""
+    """State kept across restarts: show, verify, forget, export."""
 
 
 @memory.command()
 @_options
 def show(operator: str | None, folder: str | None, key: str | None) -> None:
-    """Print what would be taken up if the gateway started now."""
-    opened = Opened(*_config(operator, folder, key))
+    """Print what would be restored if the gateway started now."""
+    opened = OpenFolder(*_config(operator, folder, key))
     found = opened.load()
     console = Console(width=None if sys.stdout.isatty() else 120)
-    for name, reason, why in found.passed:
-        console.print(f"passed by: {name}: {reason.value}: {why}", markup=False)
+    for name, reason, why in found.skipped:
+        console.print(f"skipped: {name}: {reason.value}: {why}", markup=False)
     if found.snapshot is not None:
-        gone = elapsed(found.snapshot.stamp, stamp_now())
+        passed = elapsed(found.snapshot.stamp, stamp_now())
         console.print(
-            f"{found.name}: of {found.snapshot.gateway}, version {found.version}, {_since(gone)}",
+            f"{found.name}: of {found.snapshot.gateway}, version {found.version}, {_age(passed)}",
             markup=False,
         )
-        for table in tables(found.snapshot, gone, opened.config.section.policy()):
+        for table in tables(found.snapshot, passed, opened.config.section.policy()):
             console.print(table)
-    about, known, wrong = opened.tokens()
-    if about is not None:
-        since = datetime.fromtimestamp(about.covered_since, UTC).isoformat(timespec="seconds")
+    metadata, known, fault = opened.tokens()
+    if metadata is not None:
+        since = datetime.fromtimestamp(metadata.covered_since, UTC).isoformat(timespec="seconds")
         console.print(f"spent order tokens: {len(known)}, none missing since {since}", markup=False)
-    elif wrong:
-        console.print(f"spent order tokens: {wrong}", markup=False)
+    elif fault:
+        console.print(f"spent order tokens: {fault}", markup=False)
     if found.snapshot is None:
-        stop(f"{opened.config.folder}: nothing to take up", EMPTY)
+        stop(f"{opened.config.folder}: nothing to restore", EMPTY)
 
 
 @memory.command()
 @_options
 def verify(operator: str | None, folder: str | None, key: str | None) -> None:
-    """Check every generation and the token store; exit 1 if any of them is not whole."""
-    opened = Opened(*_config(operator, folder, key))
-    bad = 0
+    """Check every generation and the token store; exit 1 if any of them is damaged."""
+    opened = OpenFolder(*_config(operator, folder, key))
+    damaged = 0
     generations = parse(PART, opened.disk.names())
     for generation in generations:
         try:
@@ -215,16 +222,16 @@
             )
             snapshot = codec.read(contents, opened.gateway)
             click.echo(f"{generation.name}: whole, version {contents.version}, {len(snapshot.stores)} stores")
-        except (Unusable, OSError) as error:
-            bad += 1
+        except (UnusableFile, OSError) as error:
+            damaged += 1
             click.echo(f"{generation.name}: {error}")
-    about, known, wrong = opened.tokens()
-    if about is not None:
+    metadata, known, fault = opened.tokens()
+    if metadata is not None:
         click.echo(f"{TOKENS}: whole, {len(known)} spent")
-    elif wrong:
-        bad += 1
-        click.echo(f"{TOKENS}: {wrong}")
-    if bad or not generations:
+    elif fault:
+        damaged += 1
+        click.echo(f"{TOKENS}: {fault}")
+    if damaged or not generations:
         sys.exit(EMPTY)
 
 
@@ -232,11 +239,11 @@
 @click.argument("store", required=False)
 @_options
 def forget(store: str | None, operator: str | None, folder: str | None, key: str | None) -> None:
-    """Forget what was learned, of STORE (its number as `show` prints it, or its address) or at all.
+    """Forget the records of STORE (its number as `show` prints it, or its address), or all records.
 
-    Purges and spent order tokens are never forgotten here: both would let through what must not pass.
+    Purges and spent order tokens are never forgotten: purged objects could be served, and orders repeated.
     """
-    opened = Opened(*_config(operator, folder, key))
+    opened = OpenFolder(*_config(operator, folder, key))
     opened.lock()
     found = opened.load()
     snapshot = found.snapshot
@@ -246,16 +253,18 @@
         dropped = len(snapshot.stores)
         snapshot.stores, snapshot.classes, snapshot.intervals, snapshot.density = [], [], [], 0.0
     else:
-        kept = [s for s in snapshot.stores if f"{s.cache:08x}" != store and s.life.partition("@")[0] != store]
-        dropped = len(snapshot.stores) - len(kept)
+        remaining = [
+            s for s in snapshot.stores if f"{s.cache:08x}" != store and s.life.partition("@")[0] != store
+        ]
+        dropped = len(snapshot.stores) - len(remaining)
         if not dropped:
             stop(f"{store}: no such store is remembered", EMPTY)
-        snapshot.stores = kept
-    rows: list[Lesson] = [*snapshot.stores, *snapshot.classes, *snapshot.intervals, *snapshot.purges]
+        snapshot.stores = remaining
+    rows: list[Record] = [*snapshot.stores, *snapshot.classes, *snapshot.intervals, *snapshot.purges]
     header = codec.write_header(snapshot.gateway, snapshot.stamp, PROGRAM)
     older = [g for g in parse(PART, opened.disk.names()) if g.readable]
     name = opened.folder.save(header, [codec.write_part((), snapshot.density), codec.write_part(rows)])
-    for generation in older:  # else a damage to the new one would bring it back
+    for generation in older:  # a damaged new file would otherwise bring the old records back
         if generation.name in opened.disk.names():
             opened.disk.unlink(generation.name)
     click.echo(f"{name}: {dropped} stores forgotten")
@@ -263,14 +272,14 @@
 
 @memory.command()
 @_options
-@click.option("--json", "as_json", is_flag=True, required=True, help="The only form so far.")
+@click.option("--json", "as_json", is_flag=True, required=True, help="The only output format so far.")
 def export(operator: str | None, folder: str | None, key: str | None, as_json: bool) -> None:
-    """Print what is remembered as JSON; ages and times in nanoseconds."""
-    opened = Opened(*_config(operator, folder, key))
+    """Print all records as JSON; ages and times are in nanoseconds."""
+    opened = OpenFolder(*_config(operator, folder, key))
     found = opened.load()
     if found.snapshot is None:
         stop(f"{opened.config.folder}: nothing to export", EMPTY)
-    about, known, _ = opened.tokens()
+    metadata, known, _ = opened.tokens()
     click.echo(
         json.dumps(
             {
@@ -278,8 +287,8 @@
                 "version": found.version,
                 **asdict(found.snapshot),
                 "tokens": None
-                if about is None
-                else {"spent": len(known), "covered_since": about.covered_since},
+                if metadata is None
+                else {"spent": len(known), "covered_since": metadata.covered_since},
             },
             default=str,
         )
--- a/olivecourse/memory/container.py
+++ b/olivecourse/memory/container.py
@@ -1,4 +1,4 @@
-"""The container of a memory file, byte by byte; numbers are little-endian.
+"""The container format of a memory file; numbers are little-endian.
 
     offset  length
     0       8       magic, "OLVCMEM" and 0x1a
@@ -8,10 +8,10 @@
     16      8       length B of the body
     24      H       Header of wire/memory.proto
     24+H    B       Snapshot of wire/memory.proto
-    24+H+B  32      BLAKE3 of all bytes before; in keyed mode where the flag says so
+    24+H+B  32      BLAKE3 of all preceding bytes; keyed if the flag is set
 
-Version 1 had no clock of the machine's start in its header; its age is never sure. Nothing follows the
-digest. What is laid down here changes only with a new version; old ones are read for ever.
+The header of version 1 has no time since boot, so the age of such a file is always uncertain. Nothing follows
+the digest. The format changes only with a new version, and all older versions remain readable.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 FIXED = struct.Struct("<8sHHIQ")
 KEYED = 1
 DIGEST = 32
-LEAST_KEY = 16
-MOST_HEADER = 4096
+MIN_KEY = 16  # bytes
+MAX_HEADER = 4096  # bytes
 CONTEXT = "olivecourse 2026-12 memory file MAC"
 
 
-class Unusable(Exception):
-    """A file that is not taken up: `reason` says what becomes of it, the text what is wrong."""
+class UnusableFile(Exception):
+    """A file that cannot be restored: `reason` decides how it is set aside, the text describes the fault."""
 
     def __init__(self, reason: Reason, text: str) -> None:
         super().__init__(text)
@@ -44,47 +44,56 @@
 
 @dataclass(frozen=True, slots=True)
 class Contents:
+    """The version, the serialised header and the serialised body of a file."""
+
     version: int
     header: bytes
     body: bytes
 
 
 def derive_key(secret: bytes) -> bytes:
-    """The 32 bytes that MACs use, from the bytes of an operator's key file; ValueError if they are few."""
-    if len(secret.strip()) < LEAST_KEY:
-        raise ValueError(f"a key has at least {LEAST_KEY} bytes")
+    """Derives the 32-byte MAC key from an operator's key file; raises ValueError if the file is too short."""
+    if len(secret.strip()) < MIN_KEY:
+        raise ValueError(f"a key has at least {MIN_KEY} bytes")
     return blake3(secret.strip(), derive_key_context=CONTEXT).digest()
 
 
 def _digest(parts: list[bytes], key: bytes | None) -> bytes:
-    total = blake3(key=key) if key is not None else blake3()
+    hasher = blake3(key=key) if key is not None else blake3()
     for part in parts:
-        total.update(part)
-    return total.digest()
+        hasher.update(part)
+    return hasher.digest()
 
 
 def seal(header: bytes, body: list[bytes], key: bytes | None, version: int = VERSION) -> list[bytes]:
-    """The file's pieces in order. `body` is the pieces of one serialised Snapshot."""
+    """Returns the pieces of the file in order. `body` holds the parts of one serialised Snapshot."""
     fixed = FIXED.pack(MAGIC, version, KEYED if key is not None else 0, len(header), sum(map(len, body)))
     pieces = [fixed, header, *body]
     return [*pieces, _digest(pieces, key)]
 
 
 def unseal(data: bytes, key: bytes | None) -> Contents:
-    """Header and body of a file that is whole; raises Unusable, and nothing else, for any other bytes."""
+    """Returns the contents of an intact file; raises UnusableFile, and nothing else, for any other bytes."""
     if len(data) < FIXED.size + DIGEST:
-        raise Unusable(Reason.DAMAGED, f"cut short: {len(data)} bytes")
-    magic, version, flags, head, size = FIXED.unpack_from(data)
+        raise UnusableFile(Reason.DAMAGED, f"truncated: {len(data)} bytes")
+    magic, version, flags, header_size, body_size = FIXED.unpack_from(data)
     if magic != MAGIC:
-        raise Unusable(Reason.DAMAGED, "no memory file")
-    if version > VERSION:  # its layout is not ours to judge, not even whether it is whole
-        raise Unusable(Reason.NEWER, f"of version {version}; this program reads up to {VERSION}")
-    if not version or flags & ~KEYED or head > MOST_HEADER or FIXED.size + head + size + DIGEST != len(data):
-        raise Unusable(Reason.DAMAGED, "lengths do not fit")
+        raise UnusableFile(Reason.DAMAGED, "not a memory file")
+    if version > VERSION:  # the layout is unknown, so the file cannot even be checked for damage
+        raise UnusableFile(Reason.NEWER, f"version {version}; this program reads up to version {VERSION}")
+    if (
+        not version
+        or flags & ~KEYED
+        or header_size > MAX_HEADER
+        or FIXED.size + header_size + body_size + DIGEST != len(data)
+    ):
+        raise UnusableFile(Reason.DAMAGED, "lengths do not fit")
     if bool(flags & KEYED) != (key is not None):
-        raise Unusable(Reason.KEY, "keyed, and no key is set" if flags else "not keyed, and a key is set")
+        raise UnusableFile(Reason.KEY, "keyed, and no key is set" if flags else "not keyed, and a key is set")
     if not hmac.compare_digest(_digest([data[:-DIGEST]], key), data[-DIGEST:]):
-        if key is not None:  # forged, damaged or of another key: it cannot be told which
-            raise Unusable(Reason.KEY, "the keyed checksum does not fit")
-        raise Unusable(Reason.DAMAGED, "the checksum does not fit")
-    return Contents(version, data[FIXED.size : FIXED.size + head], data[FIXED.size + head : -DIGEST])
+        if key is not None:  # a forged or damaged file and one with another key look alike
+            raise UnusableFile(Reason.KEY, "the keyed checksum does not fit")
+        raise UnusableFile(Reason.DAMAGED, "the checksum does not fit")
+    return Contents(
+        version, data[FIXED.size : FIXED.size + header_size], data[FIXED.size + header_size : -DIGEST]
+    )
--- a/olivecourse/memory/disk.py
+++ b/olivecourse/memory/disk.py
@@ -1,5 +1,7 @@
-"""The few calls on a file system that memory makes, behind one interface: tests put a disk in its place that
-loses power."""
+"""The file system calls that memory makes, behind one interface.
+
+Tests replace the implementation by a disk that loses power.
+"""
 
 from __future__ import annotations
 
@@ -15,11 +17,11 @@
 
 
 class Disk(Protocol):
-    """Names are of files within one folder. Every call may raise OSError."""
+    """Operations on the files of one folder, by name. Every call may raise OSError."""
 
     def names(self) -> list[str]: ...
 
-    def read(self, name: str, most: int) -> bytes: ...
+    def read(self, name: str, max_bytes: int) -> bytes: ...
 
     def create(self, name: str) -> int: ...
 
@@ -36,13 +38,15 @@
     def sync_folder(self) -> None: ...
 
 
-class Held(OSError):
-    """Another gateway works on this folder."""
+class FolderLocked(OSError):
+    """The folder is locked by another gateway."""
 
 
 class FolderDisk:
-    """A real folder, made if its parent is there. It is opened once: should it be moved or replaced, calls
-    fail instead of writing somewhere else."""
+    """A folder of the file system, created if its parent exists.
+
+    The folder is opened once: if it is then moved or replaced, calls fail instead of writing elsewhere.
+    """
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -50,8 +54,11 @@
         self._lock = -1
 
     def open(self, make: bool = True) -> None:
-        """Raises OSError. `make`: a folder that is missing is made; while running it is not, as what is
-        missing then may be a disk that was taken away, and its place some other disk."""
+        """Opens the folder, and creates it if it is missing and `make` is True; raises OSError.
+
+        A running gateway does not create the folder: if the folder is missing then, its disk may have been
+        unmounted, and the path may lead to another disk.
+        """
         self.release()
         if make and not self.path.exists():
             self.path.mkdir(mode=0o700)
@@ -59,19 +66,22 @@
 
     @property
     def opened(self) -> bool:
+        """Whether the folder is open."""
         return self._folder >= 0
 
-    def still_there(self) -> bool:
+    def path_unchanged(self) -> bool:
         """Whether the path still leads to the folder that was opened."""
         try:
-            now, then = os.stat(self.path), os.fstat(self._folder)
+            current, opened = os.stat(self.path), os.fstat(self._folder)
         except OSError:
             return False
-        return (now.st_ino, now.st_dev) == (then.st_ino, then.st_dev)
+        return (current.st_ino, current.st_dev) == (opened.st_ino, opened.st_dev)
 
     def lock(self, name: str) -> None:
-        """One holder for the life of this process; raises Held or OSError. On a folder that cannot be
-        written the lock is taken on the folder itself."""
+        """Locks the folder for the life of this process; raises FolderLocked or OSError.
+
+        If the folder cannot be written, the folder itself is locked instead of a lock file.
+        """
         try:
             handle = os.open(name, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600, dir_fd=self._folder)
         except OSError as error:
@@ -82,14 +92,14 @@
             fcntl.flock(handle, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
             os.close(handle)
-            raise Held(f"{self.path}: another gateway works on this folder") from None
+            raise FolderLocked(f"{self.path}: another gateway works on this folder") from None
         except OSError:
             os.close(handle)
             raise
         self._lock = handle
 
-    def hold(self, name: str, make: bool = True) -> None:
-        """Opens and locks, or neither: a folder that is open without its lock may be another gateway's."""
+    def open_locked(self, name: str, make: bool = True) -> None:
+        """Opens and locks the folder, or does neither: an unlocked folder may be another gateway's."""
         self.open(make)
         try:
             self.lock(name)
@@ -98,6 +108,7 @@
             raise
 
     def release(self) -> None:
+        """Closes the folder and releases its lock."""
         for handle in (self._lock, self._folder):
             if handle >= 0:
                 os.close(handle)
@@ -106,25 +117,25 @@
     def names(self) -> list[str]:
         return os.listdir(self._folder)
 
-    def read(self, name: str, most: int) -> bytes:
+    def read(self, name: str, max_bytes: int) -> bytes:
         handle = os.open(name, os.O_RDONLY | os.O_CLOEXEC | os.O_NOFOLLOW, dir_fd=self._folder)
         try:
-            if os.fstat(handle).st_size > most:
+            if os.fstat(handle).st_size > max_bytes:
                 raise OSError(errno.EFBIG, os.strerror(errno.EFBIG))
             data = bytearray()
             while part := os.read(handle, 2**20):
                 data += part
-                if len(data) > most:
+                if len(data) > max_bytes:
                     raise OSError(errno.EFBIG, os.strerror(errno.EFBIG))
             return bytes(data)
         finally:
             os.close(handle)
 
     def create(self, name: str) -> int:
-        if not self.still_there():
+        if not self.path_unchanged():
             raise OSError(errno.ENOENT, "the folder is gone")
         try:
-            os.unlink(name, dir_fd=self._folder)  # of a write that was cut off
+            os.unlink(name, dir_fd=self._folder)  # the remainder of an interrupted write
         except FileNotFoundError:
             pass
         return os.open(name, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o600, dir_fd=self._folder)
@@ -151,11 +162,11 @@
 
 
 def stamp_now() -> Stamp:
-    """Now, by both clocks."""
+    """The present time by both clocks of a Stamp."""
     try:
         boot_id = Path("/proc/sys/kernel/random/boot_id").read_text("ascii").strip()
     except (OSError, ValueError):
-        boot_id = ""  # ages are then never sure
+        boot_id = ""  # the age of the snapshot will then be uncertain
     return Stamp(time.time_ns(), boot_id, time.clock_gettime_ns(time.CLOCK_BOOTTIME) if boot_id else 0)
 
 
--- a/olivecourse/memory/folder.py
+++ b/olivecourse/memory/folder.py
@@ -1,5 +1,8 @@
-"""A folder's snapshots: written so that a power cut leaves the old whole or the new whole, and read from the
-newest that is whole."""
+"""The snapshot files of a folder.
+
+A snapshot is written so that a power cut leaves either the old or the new one intact. The newest intact
+snapshot is read.
+"""
 
 from __future__ import annotations
 
@@ -7,33 +10,38 @@
 from dataclasses import dataclass, field
 
 from olivecourse.memory import codec, container
-from olivecourse.memory.container import Unusable
+from olivecourse.memory.container import UnusableFile
 from olivecourse.memory.disk import Disk
-from olivecourse.memory.generations import Reason, file_name, following, parse, surplus
+from olivecourse.memory.generations import Reason, file_name, next_number, parse, surplus
 from olivecourse.memory.lessons import Snapshot
 
 
 @dataclass
-class Found:
-    """What a folder holds: the snapshot, if there is one, and each newer file that was passed by."""
+class LoadResult:
+    """The result of loading a folder: the snapshot, if there is one, and each newer file that was skipped."""
 
     snapshot: Snapshot | None = None
     name: str = ""
     version: int = 0
-    passed: list[tuple[str, Reason, str]] = field(default_factory=list)
+    skipped: list[tuple[str, Reason, str]] = field(default_factory=list)
 
 
 class Folder:
-    """`save` raises OSError; `load` only where there is no folder, and nothing for what files hold."""
+    """Saves and loads snapshots. Both raise OSError: `load` only if the folder cannot be listed."""
 
-    def __init__(self, disk: Disk, part: str, keep: int, most: int, key: bytes | None) -> None:
-        self._disk, self._part, self._keep, self._most, self._key = disk, part, keep, most, key
+    def __init__(self, disk: Disk, part: str, keep: int, max_bytes: int, key: bytes | None) -> None:
+        self._disk, self._part, self._keep, self._max_bytes, self._key = disk, part, keep, max_bytes, key
 
     def save(self, header: bytes, body: list[bytes]) -> str:
-        """Returns the file's name once it is durable. A failure before leaves what was there."""
+        """Writes a snapshot and returns the file's name once the file is durable.
+
+        If the write fails, the existing files are unchanged.
+        """
         pieces = container.seal(header, body, self._key)
-        if sum(map(len, pieces)) > self._most:
-            raise OSError(f"a snapshot of {sum(map(len, pieces))} bytes is over the bound of {self._most}")
+        if sum(map(len, pieces)) > self._max_bytes:
+            raise OSError(
+                f"a snapshot of {sum(map(len, pieces))} bytes exceeds the limit of {self._max_bytes}"
+            )
         temporary = f"{self._part}.tmp"
         handle = self._disk.create(temporary)
         try:
@@ -43,50 +51,52 @@
             self._disk.sync(handle)
         finally:
             self._disk.close(handle)
-        name = file_name(self._part, following(parse(self._part, self._disk.names())))
+        name = file_name(self._part, next_number(parse(self._part, self._disk.names())))
         self._disk.rename(temporary, name)
         self._disk.sync_folder()
-        # Only now: an older one may be needed until the new one is sure to be found.
+        # Older files are removed only now: until the new name is durable, one of them may be needed.
         for old in surplus(parse(self._part, self._disk.names()), self._keep):
             with contextlib.suppress(OSError):
                 self._disk.unlink(old.name)
         return name
 
-    def load(self, gateway: str | None) -> Found:
-        """The newest snapshot that is whole and this gateway's."""
-        found = Found()
+    def load(self, gateway: str | None) -> LoadResult:
+        """Loads the newest intact snapshot of `gateway`, or of any gateway if None."""
+        found = LoadResult()
         for generation in parse(self._part, self._disk.names()):
             if not generation.readable:
                 continue
             try:
-                contents = container.unseal(self._disk.read(generation.name, self._most), self._key)
+                contents = container.unseal(self._disk.read(generation.name, self._max_bytes), self._key)
                 found.snapshot = codec.read(contents, gateway)
                 found.name, found.version = generation.name, contents.version
                 break
-            except Unusable as bad:
-                found.passed.append((generation.name, bad.reason, str(bad)))
+            except UnusableFile as bad:
+                found.skipped.append((generation.name, bad.reason, str(bad)))
             except OSError as error:
-                found.passed.append((generation.name, Reason.DAMAGED, error.strerror or str(error)))
+                found.skipped.append((generation.name, Reason.DAMAGED, error.strerror or str(error)))
         return found
 
-    def set_aside(self, found: Found) -> list[str]:
-        """Renames what was passed by, its bytes untouched, so that it is neither read nor overwritten.
-        Returns the new names; on a disk that cannot be written nothing changes."""
-        named = []
+    def set_aside(self, found: LoadResult) -> list[str]:
+        """Renames the skipped files, without changing their contents, so that none is read or overwritten.
+
+        Returns the new names. If the disk cannot be written, nothing changes.
+        """
+        renamed = []
         generations = {g.name: g for g in parse(self._part, self._disk.names())}
-        for name, reason, _ in found.passed:
+        for name, reason, _ in found.skipped:
             if name in generations:
                 aside = file_name(self._part, generations[name].number, reason)
                 with contextlib.suppress(OSError):
                     self._disk.rename(name, aside)
-                    named.append(aside)
-        if named:
+                    renamed.append(aside)
+        if renamed:
             with contextlib.suppress(OSError):
                 self._disk.sync_folder()
-        return named
+        return renamed
 
     def clear(self) -> int:
-        """Removes every whole snapshot; how many there were."""
+        """Removes every snapshot that has not been set aside; returns their number."""
         whole = [g for g in parse(self._part, self._disk.names()) if g.readable]
         for generation in whole:
             self._disk.unlink(generation.name)
--- a/olivecourse/memory/grouping.py
+++ b/olivecourse/memory/grouping.py
@@ -1,8 +1,9 @@
-"""Spent order tokens on their way to disk: group commit as states, without a disk or a clock.
+"""Group commit of spent order tokens as a state machine, without a disk or a clock.
 
-A token is first written and only then is its order sent. All that arrive while one sync runs share the
-next. Where the disk is slow or fails an order is turned away unsent, which its client may repeat; a token
-whose writing is in doubt is not spent twice by this process, and after a restart counts as the disk has it.
+A token is written first, and only then is its order sent. All tokens that arrive during one sync share the
+next sync. If the disk is slow or fails, an order is refused before it is sent, so its client may repeat it. A
+token whose write may or may not have succeeded is not spent twice by this process; after a restart, the
+state on disk applies.
 """
 
 from __future__ import annotations
@@ -12,136 +13,157 @@
 from enum import Enum
 
 S = 1_000_000_000
-MOST_BACKOFF_NS = 5 * S
+MAX_BACKOFF_NS = 5 * S
 FIRST_BACKOFF_NS = S // 10
-PRUNE_PART, PRUNE_FULL = 64, 4096  # expired entries that leave with one group; where room is needed
+PRUNE_PART, PRUNE_FULL = 64, 4096  # expired entries removed per group, and when the table is full
 
 
 class State(Enum):
-    QUEUED = "queued"  # not handed to the disk yet
-    WRITING = "writing"  # in the group that is under way
+    """State of a token's entry."""
+
+    QUEUED = "queued"  # not yet passed to the disk
+    WRITING = "writing"  # in the transaction that is in progress
     SPENT = "spent"  # durable
-    ABANDONED = "abandoned"  # its order was turned away while it was being written: freed when that ends
+    ABANDONED = "abandoned"  # the order was refused during the write; the token is freed when the write ends
 
 
 class Verdict(Enum):
+    """Result of spending a token."""
+
     TAKEN = "taken"
     USED = "used"
-    FULL = "full"  # to forget one would let it be used again
-    BUSY = "busy"  # the disk: nothing can be made durable in time
+    FULL = "full"  # the table is full, and removing an entry would let its token be used again
+    BUSY = "busy"  # the disk cannot make the token durable in time
 
 
 @dataclass(slots=True)
 class Entry:
+    """A spent token: its expiry time (`exp`), its state, and when it was queued."""
+
     exp: float
     state: State
-    since: int
+    queued_at: int
 
 
 @dataclass(frozen=True, slots=True)
 class Group:
-    """One transaction: marks to write with the time they expire, marks to remove, and the latest time of
-    expiry among those that were removed because they had expired."""
+    """One transaction: token digests to write, with their expiry times, and token digests to remove.
+
+    `pruned_exp` is the latest expiry time among the entries that were removed because they had expired.
+    """
 
     puts: dict[bytes, float]
     deletes: list[bytes]
     pruned_exp: float
-    everything: bool = False  # the store may have been lost: `puts` holds all there are
+    everything: bool = False  # the store may have been lost, so `puts` holds all entries
+
 
+class GroupCommit:
+    """The set of spent tokens and the transactions that make them durable.
 
-class Spending:
-    """Times are nanoseconds on the caller's clock, `exp` and `pruned_exp` Unix seconds."""
+    Times are in nanoseconds on the caller's clock; `exp` and `pruned_exp` are in Unix seconds.
+    """
 
     def __init__(
-        self, most: int, most_wait_ns: int, leeway_s: float, known: dict[bytes, float], pruned_exp: float
+        self,
+        max_entries: int,
+        max_wait_ns: int,
+        leeway_s: float,
+        known: dict[bytes, float],
+        pruned_exp: float,
     ) -> None:
-        self._most, self._most_wait, self._leeway = most, most_wait_ns, leeway_s
-        self.entries = {mark: Entry(exp, State.SPENT, 0) for mark, exp in known.items()}
+        self._max_entries, self._max_wait_ns, self._leeway = max_entries, max_wait_ns, leeway_s
+        self.entries = {digest: Entry(exp, State.SPENT, 0) for digest, exp in known.items()}
         self.pruned_exp = pruned_exp
         self._queued: dict[bytes, None] = {}
         self._deletes: dict[bytes, None] = {}
         self._group: Group | None = None
-        self._since = 0
+        self._group_start = 0
         self._failures = 0
         self._retry_at = 0
-        self._by_exp = [(exp, mark) for mark, exp in known.items()]
+        self._by_exp = [(exp, digest) for digest, exp in known.items()]
         heapq.heapify(self._by_exp)
 
     @property
     def broken(self) -> bool:
+        """Whether the last transaction failed."""
         return self._failures > 0
 
-    def spend(self, mark: bytes, exp: float, now: int, unix_s: float) -> Verdict:
-        """Whether the token may open an order, once it is durable."""
-        entry = self.entries.get(mark)
+    def spend(self, digest: bytes, exp: float, now: int, unix_s: float) -> Verdict:
+        """Spends a token; if TAKEN, its order may be sent once the token is durable."""
+        entry = self.entries.get(digest)
         if entry is not None:
             return Verdict.BUSY if entry.state is State.ABANDONED else Verdict.USED
-        if exp <= self.pruned_exp:  # its entry may have left, and the clock been set back since
+        if exp <= self.pruned_exp:  # its entry may have been pruned, and the clock set back since
             return Verdict.USED
-        if self._group is not None and now - self._since > self._most_wait or now < self._retry_at:
+        if self._group is not None and now - self._group_start > self._max_wait_ns or now < self._retry_at:
             return Verdict.BUSY
-        if len(self.entries) >= self._most:
+        if len(self.entries) >= self._max_entries:
             self._prune(unix_s, PRUNE_FULL)
-            if len(self.entries) >= self._most:
+            if len(self.entries) >= self._max_entries:
                 return Verdict.FULL
-        self.entries[mark] = Entry(exp, State.QUEUED, now)
-        heapq.heappush(self._by_exp, (exp, mark))
-        self._queued[mark] = None
+        self.entries[digest] = Entry(exp, State.QUEUED, now)
+        heapq.heappush(self._by_exp, (exp, digest))
+        self._queued[digest] = None
         return Verdict.TAKEN
 
-    def durable(self, mark: bytes) -> bool:
-        entry = self.entries.get(mark)
+    def durable(self, digest: bytes) -> bool:
+        """Whether the token is spent and on disk."""
+        entry = self.entries.get(digest)
         return entry is not None and entry.state is State.SPENT
 
-    def release(self, mark: bytes) -> None:
-        """The order proves not to have run: its token may be shown once more."""
-        entry = self.entries.get(mark)
+    def release(self, digest: bytes) -> None:
+        """Frees a token whose order has not run, so that it may be used again."""
+        entry = self.entries.get(digest)
         if entry is None:
             return
         if entry.state is State.QUEUED:
-            del self.entries[mark], self._queued[mark]
+            del self.entries[digest], self._queued[digest]
         elif entry.state is State.WRITING:
             entry.state = State.ABANDONED
         elif entry.state is State.SPENT:
-            del self.entries[mark]
-            self._deletes[mark] = None
+            del self.entries[digest]
+            self._deletes[digest] = None
 
     def overdue(self, now: int) -> list[bytes]:
-        """Tokens whose orders have waited long enough: they are turned away now, and their tokens freed."""
-        late = (
+        """Frees and returns the tokens that have waited too long; the caller refuses their orders."""
+        overdue = (
             [
                 m
                 for m, e in self.entries.items()
-                if e.state in (State.QUEUED, State.WRITING) and now - e.since > self._most_wait
+                if e.state in (State.QUEUED, State.WRITING) and now - e.queued_at > self._max_wait_ns
             ]
             if self._queued or self._group
             else []
         )
-        for mark in late:
-            self.release(mark)
-        return late
+        for digest in overdue:
+            self.release(digest)
+        return overdue
 
     def next_group(self, now: int, unix_s: float) -> Group | None:
-        """The transaction to begin now, if there is work and none is under way."""
+        """Returns the transaction to begin now; None if there is no work or one is in progress."""
         if self._group is not None or now < self._retry_at:
             return None
         self._prune(unix_s, PRUNE_PART)
         if not self._queued and not self._deletes:
             return None
         deletes = [m for m in self._deletes if m not in self.entries]
-        for mark in self._queued:
-            self.entries[mark].state = State.WRITING
+        for digest in self._queued:
+            self.entries[digest].state = State.WRITING
         puts = (
             {m: e.exp for m, e in self.entries.items()}
             if self.broken
             else {m: self.entries[m].exp for m in self._queued}
         )
         self._group = Group(puts, deletes, self.pruned_exp, self.broken)
-        self._queued, self._deletes, self._since = {}, {}, now
+        self._queued, self._deletes, self._group_start = {}, {}, now
         return self._group
 
-    def ended(self, fault: bool, now: int) -> tuple[list[bytes], list[bytes]]:
-        """The transaction is durable, or failed: the tokens whose orders may go, and those to turn away."""
+    def ended(self, failed: bool, now: int) -> tuple[list[bytes], list[bytes]]:
+        """Records the end of the transaction.
+
+        Returns the tokens whose orders may be sent, and those whose orders must be refused.
+        """
         group, self._group = self._group, None
         if group is None:
             return [], []
@@ -150,42 +172,44 @@
             for m in group.puts
             if (e := self.entries.get(m)) and e.state in (State.WRITING, State.ABANDONED)
         ]
-        good, bad = [], []
-        for mark in writing:
-            entry = self.entries[mark]
+        committed, rejected = [], []
+        for digest in writing:
+            entry = self.entries[digest]
             abandoned = entry.state is State.ABANDONED
-            if fault or abandoned:
-                del self.entries[mark]
-                self._deletes[mark] = None  # it may stand there all the same
+            if failed or abandoned:
+                del self.entries[digest]
+                self._deletes[digest] = None  # the write may have succeeded nevertheless
                 if not abandoned:
-                    bad.append(mark)
+                    rejected.append(digest)
             else:
                 entry.state = State.SPENT
-                good.append(mark)
-        if fault:
-            for mark in group.deletes:
-                self._deletes[mark] = None
+                committed.append(digest)
+        if failed:
+            for digest in group.deletes:
+                self._deletes[digest] = None
             self._failures += 1
-            self._retry_at = now + min(FIRST_BACKOFF_NS * 2 ** min(self._failures - 1, 10), MOST_BACKOFF_NS)
+            self._retry_at = now + min(FIRST_BACKOFF_NS * 2 ** min(self._failures - 1, 10), MAX_BACKOFF_NS)
         else:
             self._failures, self._retry_at = 0, 0
-        return good, bad
-
-    def _prune(self, unix_s: float, most: int) -> None:
-        """Entries that cannot be shown again leave. What expired last is remembered, so that a clock that is
-        set back does not bring them to life."""
-        busy = []
-        while most and self._by_exp and self._by_exp[0][0] + self._leeway + 1 < unix_s:
-            exp, mark = heapq.heappop(self._by_exp)
-            entry = self.entries.get(mark)
-            if entry is None or entry.exp != exp:  # released meanwhile
+        return committed, rejected
+
+    def _prune(self, unix_s: float, limit: int) -> None:
+        """Removes at most `limit` entries of tokens that have expired.
+
+        The latest expiry time among them is kept, so that setting the clock back does not make them valid.
+        """
+        unfinished = []
+        while limit and self._by_exp and self._by_exp[0][0] + self._leeway + 1 < unix_s:
+            exp, digest = heapq.heappop(self._by_exp)
+            entry = self.entries.get(digest)
+            if entry is None or entry.exp != exp:  # the token was released in the meantime
                 continue
             if entry.state is not State.SPENT:
-                busy.append((exp, mark))
+                unfinished.append((exp, digest))
                 continue
-            most -= 1
-            del self.entries[mark]
+            limit -= 1
+            del self.entries[digest]
             self.pruned_exp = max(self.pruned_exp, exp)
-            self._deletes[mark] = None
-        for row in busy:
+            self._deletes[digest] = None
+        for row in unfinished:
             heapq.heappush(self._by_exp, row)
--- a/olivecourse/memory/keeper.py
+++ b/olivecourse/memory/keeper.py
@@ -1,6 +1,6 @@
-"""Keeps the memory of the Routers of one process: takes it up at the start, writes it while they run.
+"""Restores the state of the Routers of one process at the start, and writes snapshots while they run.
 
-Carries out what `schedule` decides. The loop collects in slices; a thread writes.
+`schedule` decides when. The event loop collects the state in slices, and a thread writes it.
 """
 
 from __future__ import annotations
@@ -12,38 +12,41 @@
 from olivecourse.memory import codec
 from olivecourse.memory.ageing import elapsed
 from olivecourse.memory.collect import SLICE, Watcher, collect
-from olivecourse.memory.disk import Clock, FolderDisk, Held, stamp_now
-from olivecourse.memory.folder import Folder, Found
-from olivecourse.memory.lessons import Lesson, Snapshot
+from olivecourse.memory.disk import Clock, FolderDisk, FolderLocked, stamp_now
+from olivecourse.memory.folder import Folder, LoadResult
+from olivecourse.memory.lessons import Record, Snapshot
 from olivecourse.memory.merging import merged
-from olivecourse.memory.schedule import News, Schedule
+from olivecourse.memory.schedule import LogEntry, Schedule
 from olivecourse.memory.section import MemoryConfig
 from olivecourse.memory.uptake import Uptake
 from olivecourse.net.loop import Loop
 from olivecourse.net.worker import Worker
 
 MS = 1_000_000
-LOOK_NS = 1_000 * MS  # a counting interval lasts five times as long
+INTERVAL_CHECK_NS = 1_000 * MS  # a counting interval lasts five times as long
 TICK_NS = 100 * MS
-SETTLE_NS = 2_000 * MS  # by then the stores are told and what was taken up can be logged
-STOP_S = 1.0  # the longest that a last write may hold up the end
+SETTLE_NS = 2_000 * MS  # by then the stores are known, and the result of the restore can be logged
+STOP_S = 1.0  # longest time that the last write may delay the end of the process
 PART = "router"
 PROGRAM = "0.3.0"
 
 
 @dataclass(eq=False)
-class Source:
-    """One Router that is remembered."""
+class TrackedRouter:
+    """One Router whose state is restored and saved; `since` is when tracking began."""
 
     router: Router
     since: int
-    uptake: Uptake | None = None
+    restore: Uptake | None = None
     watcher: Watcher = field(default_factory=Watcher)
     settled: bool = False
 
 
 class Keeper:
-    """`open` raises Held where another process works on the folder; a disk's faults are only logged."""
+    """Saves and restores the Routers of one process.
+
+    The constructor raises FolderLocked if another process uses the folder; disk faults are only logged.
+    """
 
     def __init__(
         self, loop: Loop, config: MemoryConfig, name: str, log: Callable[..., None], clock: Clock = stamp_now
@@ -53,11 +56,11 @@
         self._disk = FolderDisk(config.folder)
         section = config.section
         self._folder = Folder(self._disk, PART, section.keep, section.max_kb * 1024, config.key())
-        self._found = Found()
+        self._loaded = LoadResult()
         self._read_at = self._clock()
-        self._sources: list[Source] = []
+        self._routers: list[TrackedRouter] = []
         self._steps: Iterator[None] | None = None
-        self._look_at = 0
+        self._next_interval_check = 0
         self._stopped = False
         self._worker = Worker(loop, "memory")
         self.schedule = Schedule(int(config.section.interval_s * 1000) * MS, loop.clock.now())
@@ -65,96 +68,101 @@
 
     def _open(self) -> None:
         try:
-            self._disk.hold(f"{PART}.lock")
-            self._found = self._folder.load(self._name)
-        except Held:
+            self._disk.open_locked(f"{PART}.lock")
+            self._loaded = self._folder.load(self._name)
+        except FolderLocked:
             raise
-        except OSError as error:  # serving goes on without: a broken disk must not take the office down
+        except OSError as error:  # requests are served without it: a broken disk must not stop the service
             self._log("memory_unusable", folder=str(self._config.folder), why=error.strerror or str(error))
             return
-        aside = self._folder.set_aside(self._found)
-        for name, reason, why in self._found.passed:
+        renamed = self._folder.set_aside(self._loaded)
+        for name, reason, why in self._loaded.skipped:
             self._log(
                 "memory_set_aside",
                 file=name,
                 reason=reason.value,
                 why=why,
-                aside=any(a.endswith(reason.value) for a in aside),
+                aside=any(a.endswith(reason.value) for a in renamed),
             )
-        if self._found.snapshot is None:
+        if self._loaded.snapshot is None:
             self._log("memory_empty", folder=str(self._config.folder))
 
     # Routers -----------------------------------------------------------------------------------------
 
     def adopt(self, router: Router) -> None:
-        """Before the Router's first event: it starts from what is remembered, and is remembered from now."""
+        """Restores the saved state into a Router and tracks it; must precede the Router's first event."""
         now = self._loop.clock.now()
-        source = Source(router, now)
-        live = [s for s in self._sources if s.settled]
-        snapshot, since = (self._live(live), self._clock()) if live else (self._found.snapshot, self._clock())
+        tracked = TrackedRouter(router, now)
+        settled = [s for s in self._routers if s.settled]
+        snapshot, read_at = (
+            (self._live_snapshot(settled), self._clock())
+            if settled
+            else (self._loaded.snapshot, self._clock())
+        )
         if snapshot is not None:
-            source.uptake = Uptake(snapshot, elapsed(snapshot.stamp, since), now, self._policy)
-            source.uptake.begin(router, now)
-        self._sources.append(source)
+            tracked.restore = Uptake(snapshot, elapsed(snapshot.stamp, read_at), now, self._policy)
+            tracked.restore.begin(router, now)
+        self._routers.append(tracked)
 
     def leave(self, router: Router) -> None:
-        """Its forwarder has gone: what it had learned is kept for the next."""
-        mine = [s for s in self._sources if s.router is router]
-        if mine and len(self._sources) == 1:
-            self._found.snapshot = self._live(mine)
-        self._sources = [s for s in self._sources if s.router is not router]
-
-    def _live(self, sources: list[Source]) -> Snapshot:
-        """What the Routers of this process know now, without the way through a file."""
+        """Stops tracking a Router whose forwarder has gone; the last one's state is kept for the next."""
+        leaving = [s for s in self._routers if s.router is router]
+        if leaving and len(self._routers) == 1:
+            self._loaded.snapshot = self._live_snapshot(leaving)
+        self._routers = [s for s in self._routers if s.router is not router]
+
+    def _live_snapshot(self, routers: list[TrackedRouter]) -> Snapshot:
+        """The present state of Routers of this process, without writing a file."""
         now = self._loop.clock.now()
-        snapshot = Snapshot(self._name, self._clock(), self._density(sources))
-        rows = [x for s in sources for part in collect(s.router, s.watcher, now) for x in part]
-        snapshot.file(merged(rows))
+        snapshot = Snapshot(self._name, self._clock(), self._density(routers))
+        records = [x for s in routers for part in collect(s.router, s.watcher, now) for x in part]
+        snapshot.file(merged(records))
         return snapshot
 
     @staticmethod
-    def _density(sources: list[Source]) -> float:
-        return max((s.router.density for s in sources), default=0.0)
+    def _density(routers: list[TrackedRouter]) -> float:
+        return max((s.router.density for s in routers), default=0.0)
 
     # Time --------------------------------------------------------------------------------------------
 
     def start(self) -> None:
+        """Begins the periodic work on the event loop."""
         self._loop.after(TICK_NS, self._tick)
 
     def _tick(self) -> None:
         if self._stopped:
             return
         now = self._loop.clock.now()
-        for source in self._sources:
-            if not source.settled:
-                self._settle(source, now)
-        if now >= self._look_at:
-            self._look_at = now + LOOK_NS
-            for source in self._sources:
-                source.watcher.look(source.router, now)
-        self._tell(self.schedule.looked(now))
-        if self._sources and self.schedule.begins(now):
+        for tracked in self._routers:
+            if not tracked.settled:
+                self._settle(tracked, now)
+        if now >= self._next_interval_check:
+            self._next_interval_check = now + INTERVAL_CHECK_NS
+            for tracked in self._routers:
+                tracked.watcher.look(tracked.router, now)
+        self._log_entries(self.schedule.check_slow(now))
+        if self._routers and self.schedule.begins(now):
             self._steps = self._collecting()
             self._step()
         self._loop.after(TICK_NS, self._tick)
 
-    def _settle(self, source: Source, now: int) -> None:
-        uptake = source.uptake
-        if uptake is None:
-            source.settled = True
-        elif uptake.settle(source.router) or now - source.since > SETTLE_NS:
-            source.settled = True
+    def _settle(self, tracked: TrackedRouter, now: int) -> None:
+        restore = tracked.restore
+        if restore is None:
+            tracked.settled = True
+        elif restore.settle(tracked.router) or now - tracked.since > SETTLE_NS:
+            tracked.settled = True
             self._log(
                 "memory_taken_up",
-                file=self._found.name,
-                version=self._found.version,
-                age_s=round(uptake.age_ns / 1e9, 1),
-                **uptake.taken,
-                dropped=uptake.dropped.counts,
+                file=self._loaded.name,
+                version=self._loaded.version,
+                age_s=round(restore.age_ns / 1e9, 1),
+                **restore.restored,
+                dropped=restore.dropped.counts,
             )
 
     def _step(self) -> None:
-        """One slice a tick of the wheel."""
+        """Does one slice of the collection in each turn of the event loop."""
         if self._steps is None or self._stopped:
             return
         try:
@@ -165,47 +173,49 @@
         self._loop.after(0, self._step)
 
     def _collecting(self) -> Iterator[None]:
-        now, sources = self._loop.clock.now(), list(self._sources)
+        now, routers = self._loop.clock.now(), list(self._routers)
         header = codec.write_header(self._name, self._clock(), PROGRAM)
-        rows: list[Lesson] = []
-        for source in sources:
-            for part in collect(source.router, source.watcher, now):
-                rows += part
+        records: list[Record] = []
+        for tracked in routers:
+            for part in collect(tracked.router, tracked.watcher, now):
+                records += part
                 yield
-        if len(sources) > 1:
-            rows = merged(rows)
+        if len(routers) > 1:
+            records = merged(records)
             yield
-        pieces = [codec.write_part((), self._density(sources))]
-        for i in range(0, len(rows), SLICE):
-            pieces.append(codec.write_part(rows[i : i + SLICE]))
+        pieces = [codec.write_part((), self._density(routers))]
+        for i in range(0, len(records), SLICE):
+            pieces.append(codec.write_part(records[i : i + SLICE]))
             yield
         self.schedule.collected(self._loop.clock.now())
         if not self._worker.submit(lambda: self._save(header, pieces), self._saved):
-            self._saved(None, OSError("the writer takes no more"))
+            self._saved(None, OSError("the writer's queue is full"))
 
     def _save(self, header: bytes, pieces: list[bytes]) -> str:
-        """On the thread."""
-        if not self._disk.opened or not self._disk.still_there():
-            self._disk.hold(f"{PART}.lock", make=False)
+        """Writes the snapshot; runs on the writer thread."""
+        if not self._disk.opened or not self._disk.path_unchanged():
+            self._disk.open_locked(f"{PART}.lock", make=False)
         return self._folder.save(header, pieces)
 
-    def _saved(self, name: str | None, fault: Exception | None) -> None:
-        why = None if fault is None else getattr(fault, "strerror", None) or str(fault) or repr(fault)
-        self._tell(self.schedule.ended(self._loop.clock.now(), why))
+    def _saved(self, name: str | None, error: Exception | None) -> None:
+        why = None if error is None else getattr(error, "strerror", None) or str(error) or repr(error)
+        self._log_entries(self.schedule.ended(self._loop.clock.now(), why))
 
-    def _tell(self, news: list[News]) -> None:
-        for one in news:
-            self._log(one.event, folder=str(self._config.folder), **({"why": one.why} if one.why else {}))
+    def _log_entries(self, entries: list[LogEntry]) -> None:
+        for entry in entries:
+            self._log(
+                entry.event, folder=str(self._config.folder), **({"why": entry.why} if entry.why else {})
+            )
 
     def stop(self) -> None:
-        """After the loop has ended: a last snapshot, if the disk takes it in time."""
+        """Writes a last snapshot after the loop has ended, if the disk completes it in time."""
         if self._stopped:
             return
-        if self._sources:
+        if self._routers:
             for _ in self._steps or self._collecting():
                 pass
         self._stopped = True
         if not self._worker.stop(STOP_S):
             self._log("memory_left_unwritten", folder=str(self._config.folder))
-            return  # the thread still holds the folder: the lock goes with the process
+            return  # the thread still uses the folder: the lock ends with the process
         self._disk.release()
--- a/olivecourse/memory/schedule.py
+++ b/olivecourse/memory/schedule.py
@@ -1,4 +1,4 @@
-"""When a snapshot is begun and what a slow or broken disk changes: decisions, no clock and no file."""
+"""When a snapshot is begun, and how a slow or failing disk is handled; uses no clock and no file."""
 
 from __future__ import annotations
 
@@ -6,63 +6,71 @@
 from enum import Enum
 
 S = 1_000_000_000
-MOST_BACKOFF = 16  # times the interval between tries on a disk that fails
-SLOW_NS = 1 * S  # a write that takes longer is told of, once
+MAX_BACKOFF = 16  # longest time between attempts on a failing disk, in multiples of the interval
+SLOW_NS = 1 * S  # a write that takes longer than this is logged once
 
 
 class Phase(Enum):
+    """Phase of the current snapshot."""
+
     IDLE = "idle"
     COLLECTING = "collecting"
     WRITING = "writing"
 
 
 @dataclass(frozen=True, slots=True)
-class News:
-    """What an operator is to hear: a name for the log and why."""
+class LogEntry:
+    """An event to log for the operator, and its reason."""
 
     event: str
     why: str = ""
 
 
 class Schedule:
-    """One snapshot at a time. A write under way is never followed by a queue of others: the next one is
-    begun when it has ended, and holds what is known then."""
+    """Runs one snapshot at a time.
+
+    Snapshots do not queue behind a write: the next one begins after the write has ended, with the state of
+    that moment.
+    """
 
     def __init__(self, interval_ns: int, now: int) -> None:
         self._interval = interval_ns
         self._due = now + interval_ns
-        self._since = now
+        self._phase_start = now
         self.phase = Phase.IDLE
         self.failures = 0
-        self._told_slow = False
+        self._slow_logged = False
         self.written = 0
 
     def begins(self, now: int) -> bool:
-        """Whether a snapshot is to be begun now."""
+        """Begins a snapshot if one is due; returns whether it has begun."""
         if self.phase is not Phase.IDLE or now < self._due:
             return False
-        self.phase, self._since = Phase.COLLECTING, now
+        self.phase, self._phase_start = Phase.COLLECTING, now
         return True
 
     def collected(self, now: int) -> None:
-        self.phase, self._since = Phase.WRITING, now
+        """Records that the state is collected and that the write begins."""
+        self.phase, self._phase_start = Phase.WRITING, now
 
-    def looked(self, now: int) -> list[News]:
-        """At any time: a write that hangs is told of while it hangs."""
-        if self.phase is Phase.WRITING and now - self._since > SLOW_NS and not self._told_slow:
-            self._told_slow = True
-            return [News("memory_disk_slow", f"a write takes {(now - self._since) / S:.1f} s so far")]
+    def check_slow(self, now: int) -> list[LogEntry]:
+        """Reports, once, a write that is taking long; may be called at any time."""
+        if self.phase is Phase.WRITING and now - self._phase_start > SLOW_NS and not self._slow_logged:
+            self._slow_logged = True
+            return [
+                LogEntry("memory_disk_slow", f"a write takes {(now - self._phase_start) / S:.1f} s so far")
+            ]
         return []
 
-    def ended(self, now: int, fault: str | None) -> list[News]:
-        """A write came to its end, with a fault or without. Only changes are told."""
+    def ended(self, now: int, error: str | None) -> list[LogEntry]:
+        """Records the end of a write, with its error if it failed. Only a change of state is reported."""
         self.phase = Phase.IDLE
-        if fault is None:
-            news = [News("memory_writes_again")] if self.failures else []
-            self._told_slow = self._told_slow and now - self._since > SLOW_NS
+        if error is None:
+            entries = [LogEntry("memory_writes_again")] if self.failures else []
+            self._slow_logged = self._slow_logged and now - self._phase_start > SLOW_NS
             self.failures, self._due = 0, now + self._interval
             self.written += 1
-            return news
+            return entries
         self.failures += 1
-        self._due = now + self._interval * min(2 ** (self.failures - 1), MOST_BACKOFF)
-        return [News("memory_write_failed", fault)] if self.failures == 1 else []
+        self._due = now + self._interval * min(2 ** (self.failures - 1), MAX_BACKOFF)
+        return [LogEntry("memory_write_failed", error)] if self.failures == 1 else []
--- a/olivecourse/memory/section.py
+++ b/olivecourse/memory/section.py
@@ -16,7 +16,7 @@
 
 
 class HalfLives(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Seconds after which a lesson counts for half."""
+    """Half-life of the weight of each kind of record, in seconds."""
 
     pain: Seconds = DEFAULTS[Kind.PAIN].half_life_ns / S
     wait: Seconds = DEFAULTS[Kind.WAIT].half_life_ns / S
@@ -27,7 +27,7 @@
 
 
 class Limits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Seconds after which a lesson is dropped."""
+    """Age at which a record of each kind is dropped, in seconds."""
 
     pain: Seconds = DEFAULTS[Kind.PAIN].drop_after_ns / S
     wait: Seconds = DEFAULTS[Kind.WAIT].drop_after_ns / S
@@ -38,13 +38,17 @@
 
 
 class TokensSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Spent order tokens on disk."""
+    """Settings of the store of spent order tokens."""
 
-    most_wait_ms: Annotated[int, msgspec.Meta(ge=10, le=2500)] = 1000  # an order's wait for its token's sync
-    map_mb: Annotated[int, msgspec.Meta(ge=16, le=1024)] = 64  # the store's largest size
+    most_wait_ms: Annotated[int, msgspec.Meta(ge=10, le=2500)] = (
+        1000  # longest wait of an order for its token
+    )
+    map_mb: Annotated[int, msgspec.Meta(ge=16, le=1024)] = 64  # largest size of the token store
 
 
 class MemorySection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Settings of the state kept across restarts."""
+
     folder: Annotated[str, msgspec.Meta(min_length=1)]
     interval_s: Annotated[float, msgspec.Meta(ge=0.1, le=3600)] = 2.0
     keep: Annotated[int, msgspec.Meta(ge=1, le=100)] = 3
@@ -61,6 +65,7 @@
                 raise ValueError(f"drop_after_s.{kind.value} is below its half-life")
 
     def policy(self) -> Policy:
+        """The section as the policy by which records decay."""
         return Policy(
             {
                 kind: Decay(
@@ -75,14 +80,14 @@
 
 @dataclass(frozen=True)
 class MemoryConfig:
-    """The section, with its paths resolved."""
+    """The section, with its paths resolved against the folder of the operator's file."""
 
     folder: Path
     key_file: Path | None
     section: MemorySection
 
     def key(self) -> bytes | None:
-        """The MAC's key, or None where none is wanted; raises BadSection."""
+        """The MAC key, or None if no key file is set; raises BadSection."""
         if self.key_file is None:
             return None
         try:
@@ -92,12 +97,12 @@
 
 
 def read_memory(path: str) -> MemoryConfig | None:
-    """The section of the operator's file at `path`, or None without one; raises BadSection."""
+    """Reads the section of the operator's file at `path`; None if there is none. Raises BadSection."""
     section = read_section(path, "memory", MemorySection)
     if section is None:
         return None
-    here = Path(path).parent
-    key_file = here / section.key_file if section.key_file else None
-    config = MemoryConfig(here / section.folder, key_file, section)
+    base = Path(path).parent
+    key_file = base / section.key_file if section.key_file else None
+    config = MemoryConfig(base / section.folder, key_file, section)
     config.key()
     return config
--- a/olivecourse/memory/tokenstore.py
+++ b/olivecourse/memory/tokenstore.py
@@ -1,11 +1,11 @@
-"""Spent order tokens in an LMDB store: one transaction, one sync, for all that came in the meantime.
+"""Spent order tokens in an LMDB store. All tokens that arrive during one sync share the next transaction.
 
-    spent   20 bytes of BLAKE3 of the token's issuer and id -> its time of expiry (float64), 8 bytes of check
-    meta    "about" -> 32 bytes of check, then JSON: version, gateway, since when the store is without a gap,
-            the latest expiry that was pruned, how many entries there are and the sum (XOR) of their checks
+    spent   20 bytes of BLAKE3 of the token's issuer and id -> its expiry time (float64), 8 bytes of checksum
+    meta    "about" -> 32 bytes of checksum, then JSON: version, gateway, the time since which the store is
+            complete, the latest pruned expiry time, the number of entries and the XOR of their checksums
 
-The checks are BLAKE3, keyed where the operator set a key. LMDB itself has none and trusts the file that it
-maps: a process of its own reads the store first, and should that be the end of it, only of it.
+The checksums are BLAKE3, keyed if the operator set a key. LMDB has no checksums and trusts the file that it
+maps, so that a damaged file may crash the reader. A separate process therefore reads the store first.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
 from blake3 import blake3
 
 from olivecourse.fronts.tokens import MOST_SPENT, Rejected
-from olivecourse.memory.disk import FolderDisk, Held
-from olivecourse.memory.generations import Reason, file_name, following, parse
-from olivecourse.memory.grouping import Group, Spending, Verdict
+from olivecourse.memory.disk import FolderDisk, FolderLocked
+from olivecourse.memory.generations import Reason, file_name, next_number, parse
+from olivecourse.memory.grouping import Group, GroupCommit, Verdict
 from olivecourse.memory.section import MemoryConfig, TokensSection
 from olivecourse.net.loop import Loop
 from olivecourse.net.worker import Worker
@@ -35,14 +35,16 @@
 MS = 1_000_000
 PART = "tokens"
 VERSION = 1
-MARK, CHECK = 20, 8
+DIGEST, CHECKSUM = 20, 8  # bytes
 VALUE = struct.Struct("<d8s")
-PROBE_S = 20.0
-LOOK_NS = 20 * MS
-STOP_S = 1.0
+PROBE_S = 20.0  # longest time that reading the store may take
+OVERDUE_CHECK_NS = 20 * MS  # delay of the check for overdue tokens after the longest wait
+STOP_S = 1.0  # longest time that the last transaction may delay the end of the process
 
 
-class About(msgspec.Struct, frozen=True):
+class StoreMetadata(msgspec.Struct, frozen=True):
+    """The JSON under "about"; `total` is the XOR of the entries' checksums in hexadecimal."""
+
     version: int
     gateway: str
     covered_since: float
@@ -52,17 +54,19 @@
 
 
 class BadStore(Exception):
+    """A store that cannot be used; `reason` decides how it is set aside."""
+
     def __init__(self, reason: Reason, text: str) -> None:
         super().__init__(text)
         self.reason = reason
 
 
-def mark_of(name: str) -> bytes:
-    """What stands for a token in the store: neither its issuer nor its id can be read from it."""
-    return bytes(blake3(name.encode()).digest(length=MARK))
+def token_digest(name: str) -> bytes:
+    """The key of a token in the store, from which neither its issuer nor its id can be read."""
+    return bytes(blake3(name.encode()).digest(length=DIGEST))
 
 
-def _check(key: bytes | None, *parts: bytes, length: int = CHECK) -> bytes:
+def _checksum(key: bytes | None, *parts: bytes, length: int = CHECKSUM) -> bytes:
     return bytes(
         blake3(b"".join(parts), key=key).digest(length=length)
         if key is not None
@@ -70,30 +74,30 @@
     )
 
 
-def _value(key: bytes | None, mark: bytes, exp: float) -> bytes:
-    return VALUE.pack(exp, _check(key, mark, struct.pack("<d", exp)))
+def _value(key: bytes | None, digest: bytes, exp: float) -> bytes:
+    return VALUE.pack(exp, _checksum(key, digest, struct.pack("<d", exp)))
 
 
 def _xor(total: int, value: bytes) -> int:
-    return total ^ int.from_bytes(value[-CHECK:], "big")
+    return total ^ int.from_bytes(value[-CHECKSUM:], "big")
 
 
-class Store:
-    """The file. Used from one thread at a time."""
+class TokenStore:
+    """The LMDB file; must be used from one thread at a time."""
 
     def __init__(self, path: Path, map_mb: int, key: bytes | None) -> None:
-        self._path, self._map, self._key = path, map_mb * 2**20, key
+        self._path, self._map_size, self._key = path, map_mb * 2**20, key
         self._env: Any = None
-        self._file = -1  # the store's file, to see whether its name still leads to it
-        self._about = About(VERSION, "", 0.0, 0.0, 0, "0")
+        self._file = -1  # descriptor of the store's file, to check whether the path still leads to it
+        self._metadata = StoreMetadata(VERSION, "", 0.0, 0.0, 0, "0")
 
     def open(self, write: bool = True) -> None:
-        """Raises lmdb.Error or OSError."""
+        """Opens the store, and creates it if `write` is True; raises lmdb.Error or OSError."""
         if write:
             self._path.mkdir(mode=0o700, exist_ok=True)
         self._env = lmdb.open(
             str(self._path),
-            map_size=self._map,
+            map_size=self._map_size,
             max_dbs=2,
             subdir=True,
             readonly=not write,
@@ -107,6 +111,7 @@
         self._file = os.open(self._path / "data.mdb", os.O_RDONLY | os.O_CLOEXEC)
 
     def close(self) -> None:
+        """Closes the store; may be called more than once."""
         if self._env is not None:
             self._env.close()
             self._env = None
@@ -114,95 +119,102 @@
             os.close(self._file)
             self._file = -1
 
-    def still_there(self) -> bool:
+    def path_unchanged(self) -> bool:
+        """Whether the path still leads to the file that was opened."""
         if self._env is None:
             return False
         try:
-            now, then = os.stat(self._path / "data.mdb"), os.fstat(self._file)
+            current, opened = os.stat(self._path / "data.mdb"), os.fstat(self._file)
         except OSError:
             return False
-        return (now.st_ino, now.st_dev) == (then.st_ino, then.st_dev)
+        return (current.st_ino, current.st_dev) == (opened.st_ino, opened.st_dev)
+
+    def read(self, gateway: str | None) -> tuple[StoreMetadata | None, dict[bytes, float]]:
+        """Reads and checks the metadata and all tokens; the metadata are None if the store is new.
 
-    def read(self, gateway: str | None) -> tuple[About | None, dict[bytes, float]]:
-        """All of it, checked: None where the store is new. Raises BadStore or lmdb.Error."""
+        Raises BadStore or lmdb.Error.
+        """
         with self._env.begin() as txn:
             raw = txn.get(b"about", db=self._meta)
             if raw is None:
                 if txn.stat(self._spent)["entries"]:
-                    raise BadStore(Reason.DAMAGED, "entries without their count")
+                    raise BadStore(Reason.DAMAGED, "entries without metadata")
                 return None, {}
             raw = bytes(raw)
             try:
-                about = msgspec.json.decode(raw[32:], type=About)
+                metadata = msgspec.json.decode(raw[32:], type=StoreMetadata)
             except msgspec.DecodeError:
-                raise BadStore(Reason.DAMAGED, "cannot be read") from None
-            if about.version > VERSION:
-                raise BadStore(Reason.NEWER, f"of version {about.version}")
-            if _check(self._key, raw[32:], length=32) != raw[:32]:
+                raise BadStore(Reason.DAMAGED, "the metadata cannot be read") from None
+            if metadata.version > VERSION:
+                raise BadStore(Reason.NEWER, f"version {metadata.version}")
+            if _checksum(self._key, raw[32:], length=32) != raw[:32]:
                 raise BadStore(Reason.KEY if self._key else Reason.DAMAGED, "the checksum does not fit")
-            if gateway is not None and about.gateway != gateway:
-                raise BadStore(Reason.OTHER, f"of gateway {about.gateway!r}")
+            if gateway is not None and metadata.gateway != gateway:
+                raise BadStore(Reason.OTHER, f"written by gateway {metadata.gateway!r}")
             found: dict[bytes, float] = {}
             total = 0
-            for mark, value in txn.cursor(db=self._spent):
-                mark, value = bytes(mark), bytes(value)
-                if len(mark) != MARK or len(value) != VALUE.size:
+            for digest, value in txn.cursor(db=self._spent):
+                digest, value = bytes(digest), bytes(value)
+                if len(digest) != DIGEST or len(value) != VALUE.size:
                     raise BadStore(Reason.DAMAGED, "an entry of the wrong length")
-                exp, check = VALUE.unpack(value)
-                if check != _check(self._key, mark, struct.pack("<d", exp)):
+                exp, checksum = VALUE.unpack(value)
+                if checksum != _checksum(self._key, digest, struct.pack("<d", exp)):
                     raise BadStore(Reason.DAMAGED, "an entry whose checksum does not fit")
-                found[mark] = exp
+                found[digest] = exp
                 total = _xor(total, value)
-            if (len(found), f"{total:x}") != (about.count, about.total):
-                raise BadStore(Reason.DAMAGED, f"{len(found)} entries where {about.count} are told")
-            self._about = about
-            return about, found
+            if (len(found), f"{total:x}") != (metadata.count, metadata.total):
+                raise BadStore(Reason.DAMAGED, f"{len(found)} entries, but {metadata.count} are recorded")
+            self._metadata = metadata
+            return metadata, found
 
     def begin(self, gateway: str, covered_since: float) -> None:
-        """A new store: from now on no spent token of this gateway is missing from it."""
-        self._about = About(VERSION, gateway, covered_since, 0.0, 0, "0")
+        """Initialises a new store, which holds every token of `gateway` spent since `covered_since`."""
+        self._metadata = StoreMetadata(VERSION, gateway, covered_since, 0.0, 0, "0")
         self.commit(Group({}, [], 0.0))
 
     def commit(self, group: Group) -> None:
-        """Durable when it returns. Raises lmdb.Error or OSError; then all of it or nothing was done."""
-        count, total = self._about.count, int(self._about.total, 16)
+        """Commits a transaction, which is durable on return.
+
+        Raises lmdb.Error or OSError; the transaction has then been applied either entirely or not at all.
+        """
+        count, total = self._metadata.count, int(self._metadata.total, 16)
         with self._env.begin(write=True) as txn:
-            for mark in group.deletes:
-                old = txn.pop(mark, db=self._spent)
+            for digest in group.deletes:
+                old = txn.pop(digest, db=self._spent)
                 if old is not None:
                     count, total = count - 1, _xor(total, bytes(old))
-            for mark, exp in group.puts.items():
-                value = _value(self._key, mark, exp)
-                old = txn.replace(mark, value, db=self._spent)
+            for digest, exp in group.puts.items():
+                value = _value(self._key, digest, exp)
+                old = txn.replace(digest, value, db=self._spent)
                 if old is not None:
                     count, total = count - 1, _xor(total, bytes(old))
                 count, total = count + 1, _xor(total, value)
-            about = msgspec.structs.replace(
-                self._about,
+            metadata = msgspec.structs.replace(
+                self._metadata,
                 count=count,
                 total=f"{total:x}",
-                pruned_exp=max(group.pruned_exp, self._about.pruned_exp),
+                pruned_exp=max(group.pruned_exp, self._metadata.pruned_exp),
             )
-            raw = msgspec.json.encode(about)
-            txn.put(b"about", _check(self._key, raw, length=32) + raw, db=self._meta)
-        if not self.still_there():  # synced, but to a file that no restart will find
+            raw = msgspec.json.encode(metadata)
+            txn.put(b"about", _checksum(self._key, raw, length=32) + raw, db=self._meta)
+        if not self.path_unchanged():  # the data are synced, but to a file that a restart would not find
             raise OSError("the folder is gone")
-        self._about = about
+        self._metadata = metadata
 
-    def again(self) -> None:
-        """After a fault: opens what is there now, which must be of this life or empty."""
+    def reopen(self) -> None:
+        """Opens the store again after a fault; it must be this gateway's store or empty."""
         self.close()
         if not self._path.parent.exists():
             raise OSError("the folder is gone")
-        kept = self._about
+        previous = self._metadata
         self.open()
-        about, _ = self.read(kept.gateway)
-        if about is None:  # a new folder: all of this life is written again, with the time it covers
-            self._about = msgspec.structs.replace(kept, count=0, total="0")
+        metadata, _ = self.read(previous.gateway)
+        if metadata is None:  # a new folder: all entries are written again, with the time they cover
+            self._metadata = msgspec.structs.replace(previous, count=0, total="0")
 
 
 def probe(path: Path, map_mb: int) -> str | None:
-    """Reads every page of a store in a process of its own; what is wrong, or None."""
+    """Reads every page of a store in a separate process; returns a description of the fault, or None."""
     if not (path / "data.mdb").exists():
         return None
     try:
@@ -214,13 +226,16 @@
             check=False,
         )
     except subprocess.TimeoutExpired:
-        return "reading it takes too long"
-    return None if done.returncode == 0 else f"reading it ends with {done.returncode}"
+        return "reading the store timed out"
+    return None if done.returncode == 0 else f"reading the store ended with exit code {done.returncode}"
 
 
 class DurableSpent:
-    """What `fronts.tokens.Tokens` asks of spent tokens. Raises Held where another process has the folder;
-    a disk's faults are logged, and orders refused until it can be written."""
+    """The spent tokens as `fronts.tokens.Tokens` uses them, on disk.
+
+    The constructor raises FolderLocked if another process uses the folder. Disk faults are logged, and orders
+    are refused until the disk can be written.
+    """
 
     def __init__(
         self,
@@ -235,113 +250,118 @@
         self._config, section = config, config.section.tokens or TokensSection()
         self._section = section
         self._disk = FolderDisk(config.folder)
-        self._store = Store(config.folder / PART, section.map_mb, config.key())
-        self._waits: dict[bytes, Callable[[bool], object]] = {}
-        self._told_broken = False
+        self._store = TokenStore(config.folder / PART, section.map_mb, config.key())
+        self._waiting: dict[bytes, Callable[[bool], object]] = {}
+        self._failure_logged = False
         self.covered_since = clock()
         known: dict[bytes, float] = {}
-        pruned = 0.0
+        pruned_exp = 0.0
         self._usable = False
         try:
-            self._disk.hold(f"{PART}.lock")
-            about, known = self._read()
+            self._disk.open_locked(f"{PART}.lock")
+            metadata, known = self._read()
             self._usable = True
-            if about is not None:
-                self.covered_since, pruned = about.covered_since, about.pruned_exp
+            if metadata is not None:
+                self.covered_since, pruned_exp = metadata.covered_since, metadata.pruned_exp
             log("tokens_read", spent=len(known), covered_since=round(self.covered_since))
-        except Held:
+        except FolderLocked:
             raise
         except (lmdb.Error, OSError) as error:
             log("tokens_unusable", folder=str(config.folder), why=str(error))
-        self.spending = Spending(MOST_SPENT, section.most_wait_ms * MS, leeway_s, known, pruned)
+        self.group_commit = GroupCommit(MOST_SPENT, section.most_wait_ms * MS, leeway_s, known, pruned_exp)
         self._worker = Worker(loop, "tokens")
 
-    def _read(self) -> tuple[About | None, dict[bytes, float]]:
+    def _read(self) -> tuple[StoreMetadata | None, dict[bytes, float]]:
         path = self._config.folder / PART
-        wrong, reason = probe(path, self._section.map_mb), Reason.DAMAGED
-        if wrong is None:
+        fault, reason = probe(path, self._section.map_mb), Reason.DAMAGED
+        if fault is None:
             self._store.open()
             try:
-                about, known = self._store.read(self._name)
-                if about is not None:
-                    return about, known
+                metadata, known = self._store.read(self._name)
+                if metadata is not None:
+                    return metadata, known
             except BadStore as bad:
-                wrong, reason = str(bad), bad.reason
+                fault, reason = str(bad), bad.reason
                 self._store.close()
-        if wrong is not None:
-            # What was spent is not known any more: tokens issued before now are void, as without a store.
-            aside = file_name(PART, following(parse(PART, self._disk.names())), reason)
+        if fault is not None:
+            # The spent tokens are no longer known, so tokens issued before now are void, as without a store.
+            aside = file_name(PART, next_number(parse(PART, self._disk.names())), reason)
             self._disk.rename(PART, aside)
-            self._log("tokens_set_aside", folder=aside, reason=reason.value, why=wrong)
+            self._log("tokens_set_aside", folder=aside, reason=reason.value, why=fault)
             self._store.open()
         self._store.begin(self._name, self.covered_since)
         return None, {}
 
-    # What tokens ask ---------------------------------------------------------------------------------
+    # Interface for fronts.tokens ------------------------------------------------------------------------
 
     def spend(self, name: str, exp: float, now_s: float) -> None:
-        """Raises Rejected. Else the order may go as soon as `when_durable` says so."""
-        verdict = self.spending.spend(mark_of(name), exp, self._loop.clock.now(), now_s)
+        """Spends a token, or raises Rejected. `when_durable` tells when the order may be sent."""
+        verdict = self.group_commit.spend(token_digest(name), exp, self._loop.clock.now(), now_s)
         if verdict is Verdict.USED:
             raise Rejected(401, "used already")
         if verdict is Verdict.FULL:
             raise Rejected(503, "too many orders")
         if verdict is Verdict.BUSY or not self._usable:
-            self.spending.release(mark_of(name))
+            self.group_commit.release(token_digest(name))
             raise Rejected(503, "orders cannot be recorded")
-        self._loop.after(0, self._go)  # the rest of this turn's orders come along
+        # The commit begins after this turn of the loop, so that all its orders share the transaction.
+        self._loop.after(0, self._begin_commit)
 
     def release(self, name: str) -> None:
-        self._waits.pop(mark_of(name), None)
-        self.spending.release(mark_of(name))
+        """Frees a token whose order has not run."""
+        self._waiting.pop(token_digest(name), None)
+        self.group_commit.release(token_digest(name))
 
     def when_durable(self, name: str, call: Callable[[bool], object]) -> bool:
-        """Whether it is durable already; else `call(it is)` follows, within the wait that is allowed."""
-        mark = mark_of(name)
-        if self.spending.durable(mark):
+        """Whether the token is durable already.
+
+        If it is not, `call` is called within the longest wait, with True if the token has become durable.
+        """
+        digest = token_digest(name)
+        if self.group_commit.durable(digest):
             return True
-        self._waits[mark] = call
-        self._loop.after(self._section.most_wait_ms * MS + LOOK_NS, self._look)
+        self._waiting[digest] = call
+        self._loop.after(self._section.most_wait_ms * MS + OVERDUE_CHECK_NS, self._expire)
         return False
 
-    # Carrying out ------------------------------------------------------------------------------------
+    # Transactions ------------------------------------------------------------------------------------
 
-    def _go(self) -> None:
-        group = self.spending.next_group(self._loop.clock.now(), self._clock())
+    def _begin_commit(self) -> None:
+        group = self.group_commit.next_group(self._loop.clock.now(), self._clock())
         if group is not None and not self._worker.submit(lambda: self._commit(group), self._ended):
-            self._ended(None, OSError("the writer takes no more"))
+            self._ended(None, OSError("the writer's queue is full"))
 
     def _commit(self, group: Group) -> None:
-        """On the thread."""
+        """Commits a group; runs on the writer thread."""
         if group.everything:
-            if not self._disk.opened or not self._disk.still_there():
-                self._disk.hold(f"{PART}.lock", make=False)
-            self._store.again()
+            if not self._disk.opened or not self._disk.path_unchanged():
+                self._disk.open_locked(f"{PART}.lock", make=False)
+            self._store.reopen()
         self._store.commit(group)
 
-    def _ended(self, _: None, fault: Exception | None) -> None:
-        good, bad = self.spending.ended(fault is not None, self._loop.clock.now())
-        if fault is not None and not self._told_broken:
-            self._log("tokens_write_failed", folder=str(self._config.folder), why=str(fault))
-        elif fault is None and self._told_broken:
+    def _ended(self, _: None, error: Exception | None) -> None:
+        committed, rejected = self.group_commit.ended(error is not None, self._loop.clock.now())
+        if error is not None and not self._failure_logged:
+            self._log("tokens_write_failed", folder=str(self._config.folder), why=str(error))
+        elif error is None and self._failure_logged:
             self._log("tokens_writes_again", folder=str(self._config.folder))
-        self._told_broken = fault is not None
-        self._answer(good, True)
-        self._answer(bad, False)
-        self._go()
+        self._failure_logged = error is not None
+        self._notify(committed, True)
+        self._notify(rejected, False)
+        self._begin_commit()
 
-    def _look(self) -> None:
-        self._answer(self.spending.overdue(self._loop.clock.now()), False)
+    def _expire(self) -> None:
+        self._notify(self.group_commit.overdue(self._loop.clock.now()), False)
 
-    def _answer(self, marks: list[bytes], durable: bool) -> None:
-        for mark in marks:
-            call = self._waits.pop(mark, None)
+    def _notify(self, digests: list[bytes], durable: bool) -> None:
+        for digest in digests:
+            call = self._waiting.pop(digest, None)
             if call is not None:
                 call(durable)
 
     def stop(self) -> None:
-        """Lets the last transaction end."""
-        self._go()
+        """Waits for the last transaction and closes the store."""
+        self._begin_commit()
         if not self._worker.stop(STOP_S):
             self._log("tokens_left_unwritten", folder=str(self._config.folder))
             return
@@ -349,9 +369,9 @@
         self._disk.release()
 
 
-def main(words: list[str]) -> int:
-    """The process that reads a store before the gateway does."""
-    store = Store(Path(words[0]), int(words[1]), None)
+def main(arguments: list[str]) -> int:
+    """Reads every entry of a store, in the separate process that `probe` starts."""
+    store = TokenStore(Path(arguments[0]), int(arguments[1]), None)
     store.open(write=False)
     with store._env.begin() as txn:
         for db in (store._spent, store._meta):
--- a/olivecourse/memory/uptake.py
+++ b/olivecourse/memory/uptake.py
@@ -1,9 +1,10 @@
-"""Takes a snapshot up as the starting state of a Router: more careful than a fresh start, never less.
+"""Restores a snapshot as the starting state of a Router, which is at most as permissive as a fresh start.
 
-What is remembered only takes away: trust and room from stores that failed, room from classes whose fills
-were late, credit from cold stores; purges are added. A store starts at most as a fresh one does. The one
-exception in kind are hot counts, T and sending times, which say nothing of trust; the prices by which cold
-budgets are spent stay those of a fresh start.
+A record only reduces: the trust and concurrency of a store that failed, the part of requests that may fill in
+a class whose fills were late, and the credit of a cold store. Purges are added. A store starts with at most
+the trust and capacity of a fresh start. Hot counts, the threshold T and sending times are the exception: they
+may rise as well, since they imply no trust. The prices by which cold budgets are spent stay those of a fresh
+start.
 """
 
 from __future__ import annotations
@@ -12,139 +13,146 @@
 
 from olivecourse.choice import BOUND, MOST_FILLS, NAME_WORTH, SLACK, STEEP, Router, choose_t
 from olivecourse.memory.ageing import Elapsed, Kind, Policy
-from olivecourse.memory.lessons import Interval, Snapshot, StoreLesson
+from olivecourse.memory.lessons import Interval, Snapshot, StoreRecord
 from olivecourse.state import Node
 
-DOUBT = 0.6  # least weight of a store's first answer after the start; each answer halves it
-# A remembered pain starts to fade so much later, in full trust of the lesson: unheard of, a store would be
-# forgiven within 3 s, and half the sends into a trouble that lasts came from that. Any good answer ends it.
+DOUBT = 0.6  # minimum weight of a store's first answer after the start; each answer halves the minimum
+# Delay, at full weight of the record, before a restored failure score (`pain`) starts to decay. Without it a
+# store that gets no requests would be trusted again within 3 s, and half of the attempts sent to stores with
+# a lasting fault were due to that. Any good answer ends the delay.
 HOLD_NS = 5_000_000_000
-FAINT = 0.01  # a weight below which a lesson is not worth naming
+MIN_WEIGHT = 0.01  # records of a lower weight are ignored
 
 
-def most_pain(trust_floor: float) -> float:
-    """The pain at which a store beside a sound one keeps `trust_floor` of its traffic."""
+def max_pain(trust_floor: float) -> float:
+    """The pain at which a store, next to a healthy one, keeps `trust_floor` of its traffic."""
     return SLACK + (1.0 - trust_floor) / STEEP
 
 
 @dataclass
-class Dropped:
-    """Why lessons were left out, counted, for one line in the log."""
+class DropCounts:
+    """Number of records that were not restored, by reason, for one line in the log."""
 
     counts: dict[str, int] = field(default_factory=dict)
 
     def add(self, reason: str, count: int = 1) -> None:
+        """Counts `count` dropped records."""
         if count:
             self.counts[reason] = self.counts.get(reason, 0) + count
 
 
 class Uptake:
-    """Hands one snapshot's lessons to Routers. `began` and all `now` are on the caller's clock, in ns.
+    """Restores one snapshot into Routers. `began` and all `now` are on the caller's clock, in ns.
 
-    `begin` sets what is known without stores; the Router itself then asks for each store it is first told
-    of; `settle` chooses T once the stores are known.
+    `begin` restores what does not depend on stores. The Router then asks for the record of each store when it
+    first learns of that store. `settle` chooses T once the stores are known.
     """
 
     def __init__(self, snapshot: Snapshot, elapsed: Elapsed, began: int, policy: Policy) -> None:
         self._snapshot, self._elapsed, self._began, self._policy = snapshot, elapsed, began, policy
         self._stores = {s.cache: s for s in snapshot.stores}
-        self.dropped = Dropped()
-        self.taken: dict[str, int] = {"stores": 0, "classes": 0, "hot": 0, "purges": 0}
+        self.dropped = DropCounts()
+        self.restored: dict[str, int] = {"stores": 0, "classes": 0, "hot": 0, "purges": 0}
 
     @property
     def age_ns(self) -> int:
+        """The age of the snapshot when the restore began."""
         return self._elapsed.ns
 
-    def _weight(self, kind: Kind, more_ns: int = 0, now: int | None = None) -> float:
+    def _weight(self, kind: Kind, extra_ns: int = 0, now: int | None = None) -> float:
         if not self._elapsed.known:
             return 0.0
-        since = 0 if now is None else max(now - self._began, 0)
-        return self._policy.weight(kind, self._elapsed.ns + since + more_ns)
+        since_began = 0 if now is None else max(now - self._began, 0)
+        return self._policy.weight(kind, self._elapsed.ns + since_began + extra_ns)
 
     def begin(self, router: Router, now: int) -> None:
-        """Before the Router is told anything."""
+        """Restores classes, hot counts and purges; must be called before the Router's first event."""
         self._classes(router)
         self._hot(router, now)
         self._purges(router, now)
         router.recall = lambda node: self._store(router, node)
 
     def _classes(self, router: Router) -> None:
-        times, fills = self._weight(Kind.TIMES), self._weight(Kind.FILLS)
+        times_weight, fills_weight = self._weight(Kind.TIMES), self._weight(Kind.FILLS)
         known = {c.name: c for c in self._snapshot.classes}
         self.dropped.add("class_unknown", len(set(known) - {c.name for c in router.s.classes}))
-        if times < FAINT:
+        if times_weight < MIN_WEIGHT:
             self.dropped.add("sending_times_old", len(known))
             return
         for i, cls in enumerate(router.s.classes):
-            lesson = known.get(cls.name)
-            if lesson is None:
+            record = known.get(cls.name)
+            if record is None:
                 continue
-            router.size_ns[i] += times * (lesson.size_ns - router.size_ns[i])
-            router.fills[i] = min(router.fills[i], MOST_FILLS + fills * (lesson.fill_part - MOST_FILLS))
-            self.taken["classes"] += 1
-        router.density = times * self._snapshot.density
+            router.size_ns[i] += times_weight * (record.size_ns - router.size_ns[i])
+            router.fills[i] = min(
+                router.fills[i], MOST_FILLS + fills_weight * (record.fill_part - MOST_FILLS)
+            )
+            self.restored["classes"] += 1
+        router.density = times_weight * self._snapshot.density
 
     def _hot(self, router: Router, now: int) -> None:
-        """The mean of the last intervals, each weighed by its age."""
-        weighed = [(self._weight(Kind.HOT, i.age_ns), i) for i in self._snapshot.intervals]
-        weighed = [(w, i) for w, i in weighed if w >= FAINT]
-        self.dropped.add("intervals_old", len(self._snapshot.intervals) - len(weighed))
-        if not weighed:
+        """Restores the mean of the last counting intervals, each weighted by its age."""
+        weighted = [(self._weight(Kind.HOT, i.age_ns), i) for i in self._snapshot.intervals]
+        weighted = [(w, i) for w, i in weighted if w >= MIN_WEIGHT]
+        self.dropped.add("intervals_old", len(self._snapshot.intervals) - len(weighted))
+        if not weighted:
             return
-        newest, total = max(w for w, _ in weighed), sum(w for w, _ in weighed)
+        newest, total = max(w for w, _ in weighted), sum(w for w, _ in weighted)
         counts: dict[str, float] = {}
-        for weight, interval in weighed:
+        for weight, interval in weighted:
             for key, amount in interval.counts.items():
                 counts[key] = counts.get(key, 0.0) + weight * amount / total
-        # Fading: what was hot long ago has to be counted again before it earns a further name.
+        # Counts decay with age: an object that was hot long ago must be counted again before it is assigned
+        # a further store.
         router.counts = {key: amount * newest for key, amount in counts.items()}
-        last = min((i for _, i in weighed), key=lambda i: i.age_ns)
+        last = min((i for _, i in weighted), key=lambda i: i.age_ns)
         router.t = last.t
-        self.taken["hot"] = len(counts)
+        self.restored["hot"] = len(counts)
 
     def _purges(self, router: Router, now: int) -> None:
-        """Those that may still bind: an age that is not sure eases nothing."""
-        gone = self._elapsed.at_least_ns
+        """Restores the purges that may still be in force; an uncertain age shortens none of them."""
+        passed = self._elapsed.at_least_ns
         for purge in self._snapshot.purges:
-            left = purge.left_ns - gone
+            left = purge.left_ns - passed
             if left <= 0:
                 self.dropped.add("purges_settled")
                 continue
-            # Younger copies only: where the time that passed is in doubt, the purge counts as of now.
-            at = now - (purge.age_ns + gone if self._elapsed.sure else 0)
+            # Only copies younger than the purge may be served. Where the elapsed time is uncertain, the purge
+            # counts as issued now.
+            at = now - (purge.age_ns + passed if self._elapsed.certain else 0)
             known_at, known_until = router.purges.get(purge.key, (at, 0))
             router.purges[purge.key] = (max(at, known_at), max(now + left, known_until))
-            self.taken["purges"] += 1
+            self.restored["purges"] += 1
 
     def _store(self, router: Router, node: Node) -> None:
-        """A store that the Router is first told of: its lesson, if it is of this very life."""
-        lesson = self._stores.get(node.member.cache)
-        if lesson is None:
+        """Restores the record of a store that the Router first learns of, if it is of the same run."""
+        record = self._stores.get(node.member.cache)
+        if record is None:
             return
-        if lesson.life != node.member.life or not lesson.life:
+        if record.life != node.member.life or not record.life:
             self.dropped.add("store_another_life")
             return
-        self._restrain(node, lesson)
-        weight = self._weight(Kind.PAIN, lesson.pain_age_ns, router.now)
-        pain = min(lesson.pain * weight, most_pain(self._policy.trust_floor))
-        if pain >= FAINT:
+        self._restrain(node, record)
+        weight = self._weight(Kind.PAIN, record.pain_age_ns, router.now)
+        pain = min(record.pain * weight, max_pain(self._policy.trust_floor))
+        if pain >= MIN_WEIGHT:
             node.pain, node.pain_at, node.taught = pain, router.now + int(weight * HOLD_NS), DOUBT
-            node.failing = lesson.failing and pain > SLACK
-        wait = self._weight(Kind.WAIT, now=router.now)
-        if lesson.wait_ns is not None and wait >= FAINT:
-            node.wait = lesson.wait_ns
-        self.taken["stores"] += 1
-
-    def _restrain(self, node: Node, lesson: StoreLesson) -> None:
-        """Room and cold credit: at most what a fresh start gives."""
+            node.failing = record.failing and pain > SLACK
+        wait_weight = self._weight(Kind.WAIT, now=router.now)
+        if record.wait_ns is not None and wait_weight >= MIN_WEIGHT:
+            node.wait = record.wait_ns
+        self.restored["stores"] += 1
+
+    def _restrain(self, node: Node, record: StoreRecord) -> None:
+        """Restores the concurrency limit and the cold credit, at most up to the values of a fresh start."""
         weight = self._weight(Kind.LIMIT)
-        if lesson.limit < node.limit:
-            node.limit += weight * (lesson.limit - node.limit)
-        if lesson.credit_ns is not None:
-            node.credit = min(node.credit, lesson.credit_ns)
+        if record.limit < node.limit:
+            node.limit += weight * (record.limit - node.limit)
+        if record.credit_ns is not None:
+            node.credit = min(node.credit, record.credit_ns)
 
     def settle(self, router: Router) -> bool:
-        """T for the stores of now, which may be more or fewer than it was chosen for. Whether it is done."""
+        """Chooses T for the present stores, whose number may have changed; False if no store is known yet."""
         if not router.caches:
             return False
         last = min(self._snapshot.intervals, key=lambda i: i.age_ns, default=None)
@@ -154,8 +162,9 @@
 
     @staticmethod
     def threshold(router: Router, last: Interval) -> float:
-        faded = sum(router.counts.values()) / max(sum(last.counts.values()), 1e-9)
-        total = max(last.total * min(faded, 1.0), sum(router.counts.values()))
+        """The threshold T for the restored counts, scaled from the last counting interval."""
+        decayed = sum(router.counts.values()) / max(sum(last.counts.values()), 1e-9)
+        total = max(last.total * min(decayed, 1.0), sum(router.counts.values()))
         return choose_t(
             list(router.counts.values()),
             total,
--- a/tests/powercut.py
+++ b/tests/powercut.py
@@ -1,20 +1,22 @@
-"""A disk in memory that records what is done to it, and every state that a power cut may leave.
+"""A disk in memory that records its operations, and all states that a power cut may leave.
 
-Until a file is synced its writes may be lost, torn, or reach the disk out of order; until the folder is
-synced any part of what was done to names may be lost. Each prefix of the history is a moment of the cut.
+Until a file is synced, its writes may be lost, torn or out of order. Until the folder is synced, any subset
+of the operations on names may be lost. The power may fail after each prefix of the history.
 """
 
 from itertools import combinations, product
 
 
 class RecordingDisk:
+    """Implements the disk interface in memory, and records every operation in `ops`."""
+
     def __init__(self):
         self.files, self.open, self.ops, self.count = {}, {}, [], 0
 
     def names(self):
         return list(self.files)
 
-    def read(self, name, most):
+    def read(self, name, max_bytes):
         return bytes(self.files[name][1])
 
     def create(self, name):
@@ -49,7 +51,7 @@
 
 
 class StillDisk:
-    """What a machine finds after the cut."""
+    """The files that a machine finds after the power cut; read only."""
 
     def __init__(self, files):
         self.files = files
@@ -57,32 +59,32 @@
     def names(self):
         return list(self.files)
 
-    def read(self, name, most):
+    def read(self, name, max_bytes):
         return self.files[name]
 
 
 def _contents(synced, writes):
-    """Every content that a file may have, with `writes` after its last sync."""
-    whole = list(range(len(writes)))
-    subsets = [c for n in range(len(writes) + 1) for c in combinations(whole, n)]
-    for kept in subsets:
+    """Yields every content that a file may have: `synced`, and any subset of the `writes` since."""
+    indices = list(range(len(writes)))
+    subsets = [c for n in range(len(writes) + 1) for c in combinations(indices, n)]
+    for survivors in subsets:
         data, length = bytearray(synced), len(synced)
         for i, part in enumerate(writes):
-            if i in kept:  # one that arrived without those before it leaves a hole of zeros
+            if i in survivors:  # a write that survives without the writes before it leaves a hole of zeros
                 data.extend(bytes(length - len(data)))
                 data += part
             length += len(part)
         yield bytes(data)
-        if kept and len(writes[kept[-1]]) > 1:  # torn: half of the last one
-            yield bytes(data[: len(data) - len(writes[kept[-1]]) // 2])
+        if survivors and len(writes[survivors[-1]]) > 1:  # torn: half of the last write
+            yield bytes(data[: len(data) - len(writes[survivors[-1]]) // 2])
 
 
 def _named(durable, pending):
-    """Every set of names that may be found: any part of what was not synced, in order."""
+    """Yields every set of names that may be found: `durable`, and any subset of the `pending` operations."""
     for n in range(len(pending) + 1):
-        for kept in combinations(pending, n):
+        for survivors in combinations(pending, n):
             names = dict(durable)
-            for op in kept:
+            for op in survivors:
                 if op[0] == "create":
                     names[op[1]] = op[2]
                 elif op[0] == "rename" and op[1] in names:
@@ -93,7 +95,7 @@
 
 
 def states(ops):
-    """(how many operations were done, files) for every legal state after every prefix of the history."""
+    """Yields (number of completed operations, files) for every possible state after each prefix of `ops`."""
     durable, pending, synced, writes = {}, [], {}, {}
     for done in range(len(ops) + 1):
         if done:
@@ -104,7 +106,7 @@
                 synced[op[1]] = synced.get(op[1], b"") + b"".join(writes.pop(op[1], []))
             elif op[0] == "sync_folder":
                 for name in _named(durable, pending):
-                    durable_next = name  # the last one holds all that was pending
+                    durable_next = name  # the last set includes all pending operations
                 durable, pending = durable_next, []
             else:
                 pending.append(op)
@@ -113,7 +115,7 @@
             choices = [list(_contents(synced.get(i, b""), writes.get(i, []))) for i in names.values()]
             for picked in product(*choices):
                 files = dict(zip(names, picked, strict=True))
-                mark = hash(tuple(sorted(files.items())))
-                if mark not in seen:
-                    seen.add(mark)
+                fingerprint = hash(tuple(sorted(files.items())))
+                if fingerprint not in seen:
+                    seen.add(fingerprint)
                     yield done, files
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -1,5 +1,8 @@
-"""Memory across restarts: files that power cuts, other programs and chance have been at; lessons that only
-ever restrain; real programs that are killed."""
+"""Tests of state kept across restarts.
+
+The files may be damaged by power cuts, other programs or chance; restored records only ever restrict a
+Router; and real gateway processes are killed.
+"""
 
 import errno
 import json
@@ -23,13 +26,13 @@
 from olivecourse.config.gateway_config import BadConfig, load_operator
 from olivecourse.memory import codec, container
 from olivecourse.memory.ageing import DEFAULTS, Decay, Elapsed, Policy, elapsed
-from olivecourse.memory.collect import GROUPS, MOST_PURGES, Watcher, collect
-from olivecourse.memory.container import Unusable, derive_key
-from olivecourse.memory.disk import FolderDisk, Held
+from olivecourse.memory.collect import GROUPS, MAX_PURGES, Watcher, collect
+from olivecourse.memory.container import UnusableFile, derive_key
+from olivecourse.memory.disk import FolderDisk, FolderLocked
 from olivecourse.memory.folder import Folder
 from olivecourse.memory.generations import Reason
 from olivecourse.memory.keeper import Keeper
-from olivecourse.memory.lessons import ClassLesson, Interval, PurgeLesson, Snapshot, Stamp, StoreLesson
+from olivecourse.memory.lessons import ClassRecord, Interval, PurgeRecord, Snapshot, Stamp, StoreRecord
 from olivecourse.memory.merging import merged
 from olivecourse.memory.section import MemoryConfig, MemorySection
 from olivecourse.memory.uptake import Uptake
@@ -41,112 +44,112 @@
 fixed = settings(derandomize=True, database=None, deadline=None, max_examples=150)
 
 
-def snapshot(mark=1.0, **more):
-    return Snapshot("n0", Stamp(5 * S, "boot", 3 * S), mark, **more)
+def snapshot(density=1.0, **more):
+    return Snapshot("n0", Stamp(5 * S, "boot", 3 * S), density, **more)
 
 
-def save(folder, snap, pieces=3):
+def save(folder, snap, parts=3):
     body = [codec.write_part((), snap.density), codec.write_part(snap.stores), codec.write_part(snap.purges)]
     body.append(codec.write_part([*snap.classes, *snap.intervals]))
-    return folder.save(codec.write_header(snap.gateway, snap.stamp, "t"), body[:pieces] if pieces else body)
+    return folder.save(codec.write_header(snap.gateway, snap.stamp, "t"), body[:parts] if parts else body)
 
 
-# The file ----------------------------------------------------------------------------------------
+# Snapshot files ----------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("key", [None, KEY])
-def test_every_power_cut_leaves_the_old_whole_or_the_new_whole(key):
-    """All legal states of a history of four writes that keeps two: some 660 different ones."""
-    count, old, new, wrong = cuts(RecordingDisk(), key)
-    assert count > 600 and old > 600 and new > 4 and not wrong, (count, old, new, wrong)
+def test_every_power_cut_leaves_the_old_or_the_new_snapshot_intact(key):
+    """The history has four saves and keeps two files; it has about 660 different possible states."""
+    count, old, new, invalid = power_cuts(RecordingDisk(), key)
+    assert count > 600 and old > 600 and new > 4 and not invalid, (count, old, new, invalid)
 
 
-@pytest.mark.parametrize("left_out", ["sync", "sync_folder"])
-def test_the_replay_finds_a_sync_that_is_left_out(left_out):
+@pytest.mark.parametrize("omitted", ["sync", "sync_folder"])
+def test_the_power_cut_model_detects_an_omitted_sync(omitted):
     disk = RecordingDisk()
-    setattr(disk, left_out, lambda *_: None)
-    assert cuts(disk, None, saves=1)[3]
+    setattr(disk, omitted, lambda *_: None)
+    assert power_cuts(disk, None, saves=1)[3]
 
 
-def cuts(disk, key, saves=4):
-    """How many states there are, how many hold the old and the new whole, and how many neither."""
+def power_cuts(disk, key, saves=4):
+    """Counts all states, those with the last complete snapshot, those with the next, and invalid ones."""
     ends, counts = [0], [0, 0, 0, 0]
     folder = Folder(disk, "router", 2, 2**20, key)
     for number in range(1, saves + 1):
-        save(folder, snapshot(number, stores=[StoreLesson(7, "a:1@0", 0.5)]))
+        save(folder, snapshot(number, stores=[StoreRecord(7, "a:1@0", 0.5)]))
         ends.append(len(disk.ops))
     for done, files in states(disk.ops):
         found = Folder(StillDisk(files), "router", 2, 2**20, key).load("n0")
         complete = max(n for n, end in enumerate(ends) if end <= done)
-        got = 0 if found.snapshot is None else found.snapshot.density
-        good = got in (complete, complete + 1) and not found.passed
-        for i, hit in enumerate((True, got == complete, got == complete + 1, not good)):
-            counts[i] += hit
+        loaded = 0 if found.snapshot is None else found.snapshot.density
+        valid = loaded in (complete, complete + 1) and not found.skipped
+        for i, matches in enumerate((True, loaded == complete, loaded == complete + 1, not valid)):
+            counts[i] += matches
     return counts
 
 
 @fixed
 @given(data=st.data(), keyed=st.booleans())
-def test_no_mutation_of_a_file_is_taken_up(data, keyed):
+def test_no_mutation_of_a_file_is_restored(data, keyed):
     key = KEY if keyed else None
-    whole = b"".join(
+    original = b"".join(
         container.seal(
             codec.write_header("n0", Stamp(1), "t"),
-            [codec.write_part([StoreLesson(7, "a:1@0", 0.5)], 1.0)],
+            [codec.write_part([StoreRecord(7, "a:1@0", 0.5)], 1.0)],
             key,
         )
     )
-    at = data.draw(st.integers(0, len(whole) - 1))
+    at = data.draw(st.integers(0, len(original) - 1))
     change = data.draw(st.sampled_from(["flip", "cut", "drop", "insert", "swap"]))
     if change == "flip":
-        other = whole[:at] + bytes([whole[at] ^ data.draw(st.integers(1, 255))]) + whole[at + 1 :]
+        mutated = original[:at] + bytes([original[at] ^ data.draw(st.integers(1, 255))]) + original[at + 1 :]
     elif change == "cut":
-        other = whole[:at]
+        mutated = original[:at]
     elif change == "drop":
-        other = whole[:at] + whole[at + 1 :]
+        mutated = original[:at] + original[at + 1 :]
     elif change == "insert":
-        other = whole[:at] + data.draw(st.binary(min_size=1, max_size=9)) + whole[at:]
+        mutated = original[:at] + data.draw(st.binary(min_size=1, max_size=9)) + original[at:]
     else:
-        other = whole[at:] + whole[:at] if at else whole[::-1]
-    with pytest.raises(Unusable):
-        codec.read(container.unseal(other, key), "n0")
+        mutated = original[at:] + original[:at] if at else original[::-1]
+    with pytest.raises(UnusableFile):
+        codec.read(container.unseal(mutated, key), "n0")
 
 
 @fixed
 @given(header=st.binary(max_size=60), body=st.binary(max_size=200))
-def test_a_well_sealed_file_of_nonsense_is_refused_without_another_exception(header, body):
+def test_a_correctly_sealed_file_of_random_bytes_raises_nothing_but_unusable_file(header, body):
     contents = container.unseal(b"".join(container.seal(header, [body], KEY)), KEY)
     try:
         codec.read(contents, "n0")
-    except Unusable:
+    except UnusableFile:
         pass
 
 
-@pytest.mark.parametrize("wild", [float("nan"), float("inf"), -1.0, 2.0])
-def test_values_out_of_range_are_refused_though_the_checksum_fits(wild):
-    body = codec.write_part([StoreLesson(7, "a:1@0", wild)])
-    with pytest.raises(Unusable, match="pain"):
+@pytest.mark.parametrize("value", [float("nan"), float("inf"), -1.0, 2.0])
+def test_values_out_of_range_are_rejected_although_the_checksum_is_correct(value):
+    body = codec.write_part([StoreRecord(7, "a:1@0", value)])
+    with pytest.raises(UnusableFile, match="pain"):
         codec.read(container.Contents(2, codec.write_header("n0", Stamp(1), "t"), body), "n0")
 
 
 @pytest.mark.parametrize("name", sorted(p.name for p in DATA.glob("memory-v*.mem")))
-def test_files_of_every_version_still_load(name):
+def test_files_of_every_format_version_can_be_read(name):
     snap = codec.read(container.unseal((DATA / name).read_bytes(), None), "praia-1")
     assert [s.cache for s in snap.stores] == [1, 8] and snap.stores[0].pain == 0.75
-    assert snap.purges == [PurgeLesson("7f3a9c21e0b4d655", 2 * S, 4 * S), PurgeLesson(17, S, 5 * S)]
+    assert snap.purges == [PurgeRecord("7f3a9c21e0b4d655", 2 * S, 4 * S), PurgeRecord(17, S, 5 * S)]
     assert bool(snap.stamp.boot_id) == (name != "memory-v1.mem")
 
 
-def test_there_is_a_file_of_every_version():
+def test_there_is_a_sample_file_of_every_format_version():
     assert {f"memory-v{v}.mem" for v in range(1, container.VERSION + 1)} <= {p.name for p in DATA.iterdir()}
 
 
-def test_the_newest_whole_file_is_read_and_the_others_are_set_aside_untouched(tmp_path):
+def test_the_newest_intact_file_is_read_and_unusable_files_are_set_aside_unchanged(tmp_path):
     disk = FolderDisk(tmp_path)
     disk.open()
     folder = Folder(disk, "router", 3, 2**20, None)
-    for mark in (1, 2, 3):
-        save(folder, snapshot(mark))
+    for density in (1, 2, 3):
+        save(folder, snapshot(density))
     save(folder, replace(snapshot(4), gateway="n1"))
     newer = bytearray((tmp_path / "router.00000003.mem").read_bytes())
     newer[8] = 99
@@ -156,32 +159,34 @@
     (tmp_path / "router.tmp").write_bytes(b"half")
     found = folder.load("n0")
     assert found.snapshot.density == 3
-    assert [r for _, r, _ in found.passed] == [Reason.DAMAGED, Reason.DAMAGED, Reason.NEWER, Reason.OTHER]
+    assert [r for _, r, _ in found.skipped] == [Reason.DAMAGED, Reason.DAMAGED, Reason.NEWER, Reason.OTHER]
     folder.set_aside(found)
     assert (tmp_path / "router.00000005.newer").read_bytes() == bytes(newer)
-    for mark in range(8, 14):
-        assert save(folder, snapshot(mark)) == f"router.{mark:08d}.mem"
+    for density in range(8, 14):
+        assert save(folder, snapshot(density)) == f"router.{density:08d}.mem"
     assert (tmp_path / "router.00000005.newer").exists() and (tmp_path / "router.00000004.other").exists()
     assert len(list(tmp_path.glob("router.*.mem"))) == 3
-    keyed = Folder(disk, "router", 3, 2**20, KEY).load("n0")  # a key is set since: nothing old is trusted
-    assert keyed.snapshot is None and {r for _, r, _ in keyed.passed} == {Reason.KEY}
+    keyed = Folder(disk, "router", 3, 2**20, KEY).load(
+        "n0"
+    )  # files without a MAC are not trusted once a key is set
+    assert keyed.snapshot is None and {r for _, r, _ in keyed.skipped} == {Reason.KEY}
 
 
-# Ageing ------------------------------------------------------------------------------------------
+# Decay ------------------------------------------------------------------------------------------
 
 
 @fixed
 @given(
     half=st.integers(1, 10**13), drop=st.integers(1, 10**14), ages=st.lists(st.integers(-(10**12), 10**15))
 )
-def test_an_older_lesson_never_weighs_more_than_a_newer_one(half, drop, ages):
+def test_an_older_record_never_weighs_more_than_a_newer_one(half, drop, ages):
     weights = [Decay(half, drop).weight(age) for age in sorted(ages)]
     assert weights == sorted(weights, reverse=True) and all(0 <= x <= 1 for x in weights)
 
 
-def test_the_age_goes_by_the_clock_that_nobody_sets_and_is_doubted_without_it():
+def test_the_age_is_measured_by_the_time_since_boot_and_is_uncertain_without_it():
     then = Stamp(100 * S, "boot", 10 * S)
-    # The system's clock was set back by a day, or far ahead: the machine's own tells 5 s.
+    # The system clock was set back by a day, or far ahead; by the time since boot, 5 s have passed.
     for unix in (100 * S - 86_400 * S, 10**6 * S):
         assert elapsed(then, Stamp(unix, "boot", 15 * S)) == Elapsed(5 * S, True)
     assert elapsed(then, Stamp(107 * S, "other", S)) == Elapsed(7 * S, False)
@@ -191,31 +196,31 @@
     assert not elapsed(then, Stamp(100 * S, "boot", 9 * S)).known
 
 
-# Taking up ---------------------------------------------------------------------------------------
+# Restore ---------------------------------------------------------------------------------------
 
 COLD = [replace(member(i, ready_at_ns=98 * S), life=f"a:{i}@1") for i in (1, 2)]
 MEMBERS = (*COLD, *(replace(m, life=f"a:{m.cache}@0") for m in fleet() if m.cache > 2))
 
 
-def routers(snap, gone, members=MEMBERS, now=100 * S):
-    """A fresh Router and one that starts from the snapshot, told of the same stores."""
+def routers(snap, passed, members=MEMBERS, now=100 * S):
+    """A fresh Router, and one that is restored from the snapshot, with the same stores."""
     both = []
-    for known in (None, snap):
+    for saved in (None, snap):
         router = Router(make_settings(), now)
-        if known is not None:
-            uptake = Uptake(known, gone, now, POLICY)
-            uptake.begin(router, now)
+        if saved is not None:
+            restore = Uptake(saved, passed, now, POLICY)
+            restore.begin(router, now)
         router.handle(w.CacheList(1, w.ListKind.HELD, tuple(members)), now)
-        if known is not None:
-            uptake.settle(router)
+        if saved is not None:
+            restore.settle(router)
         both.append(router)
     return both
 
 
 numbers = st.floats(0, 1e12)
 lives = st.sampled_from(["a:1@1", "a:2@1", "a:3@0", "a:50@0", ""])
-lessons = st.builds(
-    StoreLesson,
+store_records = st.builds(
+    StoreRecord,
     st.integers(1, 6),
     lives,
     st.floats(0, 1),
@@ -224,13 +229,13 @@
     st.booleans(),
     st.none() | st.floats(0, 1e30),
 )
-kept = st.builds(
+snapshots = st.builds(
     Snapshot,
     st.just("n0"),
     st.just(Stamp(1)),
     st.floats(0, 1),
-    st.lists(lessons, max_size=8),
-    st.lists(st.builds(ClassLesson, st.just("read"), numbers, st.floats(0, 100)), max_size=2),
+    st.lists(store_records, max_size=8),
+    st.lists(st.builds(ClassRecord, st.just("read"), numbers, st.floats(0, 100)), max_size=2),
     st.lists(
         st.builds(
             Interval,
@@ -244,7 +249,7 @@
         max_size=3,
     ),
     st.lists(
-        st.builds(PurgeLesson, st.sampled_from(["a", 3]), st.integers(0, 10**10), st.integers(0, 10**10)),
+        st.builds(PurgeRecord, st.sampled_from(["a", 3]), st.integers(0, 10**10), st.integers(0, 10**10)),
         max_size=3,
     ),
 )
@@ -252,35 +257,35 @@
 
 @fixed
 @given(
-    snap=kept,
-    gone=st.builds(Elapsed, st.integers(0, 10**12), st.booleans(), st.booleans()),
+    snap=snapshots,
+    passed=st.builds(Elapsed, st.integers(0, 10**12), st.booleans(), st.booleans()),
     purged=st.sampled_from(["a", 3]),
     age=st.integers(0, 10**9),
 )
-def test_memory_never_raises_a_budget_nor_shortens_a_purge_nor_trusts_more_than_a_fresh_start(
-    snap, gone, purged, age
+def test_a_restore_never_raises_a_budget_nor_shortens_a_purge_nor_trusts_more_than_a_fresh_start(
+    snap, passed, purged, age
 ):
-    fresh, taught = routers(snap, gone)
-    assert taught.price_ns == fresh.price_ns
-    assert all(a <= b for a, b in zip(taught.fills, fresh.fills, strict=True))
+    fresh, restored = routers(snap, passed)
+    assert restored.price_ns == fresh.price_ns
+    assert all(a <= b for a, b in zip(restored.fills, fresh.fills, strict=True))
     for cache, node in fresh.nodes.items():
-        mine = taught.nodes[cache]
+        mine = restored.nodes[cache]
         assert mine.credit <= node.credit and mine.limit <= node.limit and mine.pain >= node.pain
-        assert taught._trust(mine, [mine, node]) >= POLICY.trust_floor - 1e-9  # nor does it shut one out
-    news = w.Purged(purged if isinstance(purged, str) else None, purged if purged == 3 else None, age)
-    for router in (fresh, taught):
-        router.handle(news, 100 * S)
+        assert restored._trust(mine, [mine, node]) >= POLICY.trust_floor - 1e-9  # nor does it exclude a store
+    event = w.Purged(purged if isinstance(purged, str) else None, purged if purged == 3 else None, age)
+    for router in (fresh, restored):
+        router.handle(event, 100 * S)
     for key, (at, until_) in fresh.purges.items():
-        assert taught.purges[key][0] >= at and taught.purges[key][1] >= until_
-    for purge in snap.purges:  # unless it has surely settled, a remembered purge binds as long as it would
-        if purge.left_ns > gone.at_least_ns:
-            at, until_ = taught.purges[purge.key]
-            assert until_ >= 100 * S + purge.left_ns - gone.at_least_ns
-            assert at >= 100 * S - purge.age_ns - gone.ns
+        assert restored.purges[key][0] >= at and restored.purges[key][1] >= until_
+    for purge in snap.purges:  # a purge that may not have settled stays in force for its whole time
+        if purge.left_ns > passed.at_least_ns:
+            at, until_ = restored.purges[purge.key]
+            assert until_ >= 100 * S + purge.left_ns - passed.at_least_ns
+            assert at >= 100 * S - purge.age_ns - passed.ns
 
 
 def learn(router, good, bad, rounds, now=100 * S):
-    """Asks and answers: stores in `bad` fail. Returns how many attempts went to them."""
+    """Sends requests, for which the stores in `bad` fail; returns the number of attempts sent to `bad`."""
     sent = 0
     for n in range(rounds):
         request = f"{now:x}-{n}"
@@ -306,33 +311,35 @@
     return sent
 
 
-def taken(router, now):
+def take_snapshot(router, now):
     snap, watcher = snapshot(router.density), Watcher()
     snap.file([x for part in collect(router, watcher, now) for x in part])
     return snap
 
 
-def test_a_restart_with_memory_hardly_asks_the_stores_that_fail_and_soon_asks_them_again_once_they_are_well():
+def test_a_restored_router_avoids_failing_stores_and_returns_to_them_soon_after_they_recover():
     members = [replace(m, life=f"a:{m.cache}@0") for m in fleet(8)]
     old = routers(snapshot(), Elapsed(0, True), members)[0]
     learn(old, (), (1, 2), 800)
-    snap = taken(old, 108 * S)
-    fresh, taught = routers(snap, Elapsed(S, True), members)
-    without, with_ = learn(fresh, (), (1, 2), 500), learn(taught, (), (1, 2), 500)
-    assert without >= 25 and with_ <= 0.2 * without, (without, with_)
-    # Wrong everywhere: what was bad is good and the reverse. Within two seconds' answers it is overruled.
-    _, wrong = routers(snap, Elapsed(S, True), members)
-    learn(wrong, (), (3, 4, 5, 6, 7, 8), 200)
-    assert wrong._pain(wrong.nodes[1]) < 0.3 and wrong._pain(wrong.nodes[3]) > wrong._pain(wrong.nodes[1])
-
-
-def test_a_lesson_belongs_to_one_life_of_one_store():
-    lesson = StoreLesson(1, "a:1@1", 1.0, 5.0, 0.1, True, 0.0)
+    snap = take_snapshot(old, 108 * S)
+    fresh, restored = routers(snap, Elapsed(S, True), members)
+    cold, warm = learn(fresh, (), (1, 2), 500), learn(restored, (), (1, 2), 500)
+    assert cold >= 25 and warm <= 0.2 * cold, (cold, warm)
+    # Every record is wrong: failing stores have recovered, and the others fail. 2 s of answers correct it.
+    _, misled = routers(snap, Elapsed(S, True), members)
+    learn(misled, (), (3, 4, 5, 6, 7, 8), 200)
+    assert misled._pain(misled.nodes[1]) < 0.3 and misled._pain(misled.nodes[3]) > misled._pain(
+        misled.nodes[1]
+    )
+
+
+def test_a_record_applies_to_one_run_of_one_store():
+    record = StoreRecord(1, "a:1@1", 1.0, 5.0, 0.1, True, 0.0)
     for change in ({"life": "b:1@1"}, {"life": "a:1@2"}, {"cache": 11}):
         changed = [replace(m, **change) if m.cache == 1 else m for m in MEMBERS]
-        fresh, taught = routers(snapshot(stores=[lesson]), Elapsed(0, True), changed)
+        fresh, restored = routers(snapshot(stores=[record]), Elapsed(0, True), changed)
         for cache, node in fresh.nodes.items():
-            mine = taught.nodes[cache]
+            mine = restored.nodes[cache]
             assert (mine.pain, mine.wait, mine.limit, mine.credit, mine.failing) == (
                 node.pain,
                 node.wait,
@@ -340,16 +347,16 @@
                 node.credit,
                 node.failing,
             )
-    _, same = routers(snapshot(stores=[lesson]), Elapsed(0, True))
+    _, same = routers(snapshot(stores=[record]), Elapsed(0, True))
     assert same.nodes[1].failing and same.nodes[1].credit == 0
 
 
-def test_a_week_old_lesson_weighs_nothing_and_hot_objects_fade():
+def test_a_week_old_record_has_no_weight_and_hot_objects_decay():
     hot = Interval(0, {"a": 900.0, "b": 20.0}, 1000.0, 50.0, 1000, 30.0)
     snap = snapshot(
-        stores=[StoreLesson(3, "a:3@0", 1.0, None, 0.1, True)],
+        stores=[StoreRecord(3, "a:3@0", 1.0, None, 0.1, True)],
         intervals=[hot],
-        classes=[ClassLesson("read", 5.0 * MS, 0.2)],
+        classes=[ClassRecord("read", 5.0 * MS, 0.2)],
     )
     fresh, week = routers(snap, Elapsed(7 * 86_400 * S, True))
     assert week.nodes[3].pain == 0 and week.counts == {} and week.fills == fresh.fills
@@ -358,34 +365,36 @@
     assert names[0] > 1 and names == sorted(names, reverse=True)
 
 
-def test_more_purges_than_fit_are_remembered_by_their_groups():
+def test_purges_above_the_maximum_are_saved_as_groups():
     router = routers(snapshot(), Elapsed(0, True))[0]
-    for n in range(MOST_PURGES + 1):
+    for n in range(MAX_PURGES + 1):
         router.handle(w.Purged(f"{n:016x}", None, 0), 100 * S)
-    purges = taken(router, 101 * S).purges
+    purges = take_snapshot(router, 101 * S).purges
     assert {p.key for p in purges} == set(range(GROUPS)) and {p.left_ns for p in purges} == {5 * S}
 
 
-def test_several_routers_are_remembered_by_the_strictest():
-    rows = [
-        StoreLesson(1, "x", 0.2, 10.0, 4.0, False, 9.0),
-        StoreLesson(1, "x", 0.6, 20.0, 2.0, True, None),
-        PurgeLesson("a", 5, 9),
-        PurgeLesson("a", 2, 7),
-        ClassLesson("r", 2.0, 1.5),
-        ClassLesson("r", 4.0, 0.5),
+def test_records_of_several_routers_are_merged_by_the_strictest():
+    records = [
+        StoreRecord(1, "x", 0.2, 10.0, 4.0, False, 9.0),
+        StoreRecord(1, "x", 0.6, 20.0, 2.0, True, None),
+        PurgeRecord("a", 5, 9),
+        PurgeRecord("a", 2, 7),
+        ClassRecord("r", 2.0, 1.5),
+        ClassRecord("r", 4.0, 0.5),
     ]
-    assert merged(rows) == [
-        StoreLesson(1, "x", 0.6, 15.0, 2.0, True, 9.0),
-        ClassLesson("r", 3.0, 0.5),
-        PurgeLesson("a", 2, 9),
+    assert merged(records) == [
+        StoreRecord(1, "x", 0.6, 15.0, 2.0, True, 9.0),
+        ClassRecord("r", 3.0, 0.5),
+        PurgeRecord("a", 2, 9),
     ]
 
 
-# The keeper, on a disk that fails -----------------------------------------------------------------
+# Snapshots on a failing disk -----------------------------------------------------------------
+
 
+class KeeperHarness:
+    """A Keeper with one Router, on an event loop that the test drives."""
 
-class Kept:
     make_loop = Loop
 
     def __init__(self, path, **section):
@@ -396,15 +405,15 @@
         self.keeper.adopt(self.router)
         self.keeper.start()
 
-    def until(self, what, seconds=20):
+    def until(self, condition, seconds=20):
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             self.loop.turn(5 * MS)
-            if found := what():
+            if found := condition():
                 return found
         raise AssertionError(self.logged)
 
-    def heard(self, event):
+    def log_fields(self, event):
         return [v for e, v in self.logged if e == event]
 
     def close(self):
@@ -412,20 +421,20 @@
         self.loop.close()
 
 
-def test_a_disk_that_is_full_slow_or_gone_is_told_once_and_serving_goes_on(tmp_path, monkeypatch):
+def test_a_full_slow_or_missing_disk_is_logged_once_and_the_loop_keeps_running(tmp_path, monkeypatch):
     folder = tmp_path / "memory"
-    kept = Kept(folder)
-    kept.until(lambda: kept.keeper.schedule.written)
+    harness = KeeperHarness(folder)
+    harness.until(lambda: harness.keeper.schedule.written)
 
     def full(self, handle, data):
         raise OSError(28, "No space left on device")
 
-    good_write, good_sync = FolderDisk.write, FolderDisk.sync
+    real_write, real_sync = FolderDisk.write, FolderDisk.sync
     monkeypatch.setattr(FolderDisk, "write", full)
-    kept.until(lambda: kept.keeper.schedule.failures >= 3)
-    assert len(kept.heard("memory_write_failed")) == 1
-    monkeypatch.setattr(FolderDisk, "write", good_write)
-    kept.until(lambda: kept.heard("memory_writes_again"))
+    harness.until(lambda: harness.keeper.schedule.failures >= 3)
+    assert len(harness.log_fields("memory_write_failed")) == 1
+    monkeypatch.setattr(FolderDisk, "write", real_write)
+    harness.until(lambda: harness.log_fields("memory_writes_again"))
     longest = [0.0]
 
     def slow(self, handle):
@@ -433,42 +442,42 @@
 
     monkeypatch.setattr(FolderDisk, "sync", slow)
 
-    def turns():
+    def timed_turn():
         before = time.monotonic()
-        kept.loop.turn(5 * MS)
+        harness.loop.turn(5 * MS)
         longest[0] = max(longest[0], time.monotonic() - before)
-        return kept.heard("memory_disk_slow")
+        return harness.log_fields("memory_disk_slow")
 
-    kept.until(turns)
-    assert longest[0] < 0.5  # the loop never waited for it
-    monkeypatch.setattr(FolderDisk, "sync", good_sync)
+    harness.until(timed_turn)
+    assert longest[0] < 0.5  # the loop never waited for the disk
+    monkeypatch.setattr(FolderDisk, "sync", real_sync)
     folder.rename(tmp_path / "elsewhere")
-    kept.until(lambda: len(kept.heard("memory_write_failed")) == 2)
-    assert not folder.exists()  # not made anew: what is missing may be a disk that was taken away
+    harness.until(lambda: len(harness.log_fields("memory_write_failed")) == 2)
+    assert not folder.exists()  # not created again: the disk may have been unmounted
     folder.mkdir()
-    kept.until(lambda: list(folder.glob("router.*.mem")))
-    kept.close()
+    harness.until(lambda: list(folder.glob("router.*.mem")))
+    harness.close()
 
 
-def test_a_second_holder_is_turned_away_and_a_folder_that_cannot_be_is_only_told(tmp_path):
-    first = Kept(tmp_path / "memory")
-    with pytest.raises(Held):
-        Kept(tmp_path / "memory")
+def test_a_second_process_is_rejected_and_a_folder_that_cannot_be_created_is_only_logged(tmp_path):
+    first = KeeperHarness(tmp_path / "memory")
+    with pytest.raises(FolderLocked):
+        KeeperHarness(tmp_path / "memory")
     first.close()
-    Kept(tmp_path / "memory").close()
-    nowhere = Kept(tmp_path / "missing" / "memory")
-    assert nowhere.heard("memory_unusable")
+    KeeperHarness(tmp_path / "memory").close()
+    nowhere = KeeperHarness(tmp_path / "missing" / "memory")
+    assert nowhere.log_fields("memory_unusable")
     nowhere.close()
 
 
-def test_a_folder_that_came_back_as_another_gateways_is_not_written(tmp_path):
+def test_a_replaced_folder_that_is_locked_by_another_gateway_is_not_written(tmp_path):
     folder = tmp_path / "m"
-    first = Kept(folder)
+    first = KeeperHarness(folder)
     first.until(lambda: first.keeper.schedule.written)
     folder.rename(tmp_path / "gone")
     other = FolderDisk(folder)
-    other.hold("router.lock")
-    first.until(lambda: first.keeper.schedule.failures >= 3)  # not the second time either
+    other.open_locked("router.lock")
+    first.until(lambda: first.keeper.schedule.failures >= 3)  # neither at the first attempt nor later
     assert [p.name for p in folder.iterdir()] == ["router.lock"]
     other.release()
     first.until(lambda: list(folder.glob("router.*.mem")))
@@ -485,7 +494,7 @@
 
 
 @pytest.mark.parametrize(
-    "memory, line, what",
+    "memory, line, message",
     [
         ("  folder: m\n  intervall_s: 2\n", 8, "intervall_s"),
         ("  folder: m\n  half_life_s:\n    pain: -1\n", 9, "half_life_s.pain"),
@@ -495,13 +504,13 @@
         ("  folder: m\n  key_file: none.key\n", 0, "none.key: No such file"),
     ],
 )
-def test_a_bad_memory_section_is_told_with_file_and_line(world, memory, line, what):  # noqa: F811
+def test_an_invalid_memory_section_is_reported_with_file_and_line(world, memory, line, message):  # noqa: F811
     folder, _, _ = world
     path = operator(folder, memory)
-    with pytest.raises(BadConfig, match=what) as told:
+    with pytest.raises(BadConfig, match=message) as raised:
         load_operator(path, {})
     if line:
-        assert str(told.value).startswith(f"{path}:{line}: memory")
+        assert str(raised.value).startswith(f"{path}:{line}: memory")
     done = run("check-config", "--operator", path)
     assert done.returncode == 2 and done.stderr.count("\n") == 1
 
@@ -509,7 +518,7 @@
 # Programs ------------------------------------------------------------------------------------------
 
 
-def test_other_sections_are_checked_by_the_same_mechanism(world):  # noqa: F811
+def test_other_sections_are_validated_in_the_same_way(world):  # noqa: F811
     folder, _, _ = world
     path = operator(folder, "  folder: m\nstorms:\n  limiter: codel\n")
     with pytest.raises(BadConfig, match=r"operator.yaml:9: storms.limiter: Invalid enum value"):
@@ -518,7 +527,7 @@
     assert load_operator(path, {}).sections["storms"].policy().limiter == "aimd"
 
 
-def test_what_a_killed_gateway_knew_is_taken_up_and_a_second_one_may_not_start(world):  # noqa: F811
+def test_the_state_of_a_killed_gateway_is_restored_and_a_second_gateway_may_not_start(world):  # noqa: F811
     folder, cache, start = world
     (folder / "memory.key").write_text("k" * 20)
     path = operator(folder, "  folder: m\n  interval_s: 0.1\n  key_file: memory.key\n")
@@ -531,12 +540,14 @@
     until(lambda: list((folder / "m").glob("router.*.mem")))
     first.end(signal.SIGKILL)
     second = start("serve", "--operator", path)
-    told = second.event("memory_taken_up")
-    assert told["stores"] == 2 and told["version"] == container.VERSION and 0 <= told["age_s"] < 60
+    restored = second.event("memory_taken_up")
+    assert (
+        restored["stores"] == 2 and restored["version"] == container.VERSION and 0 <= restored["age_s"] < 60
+    )
     assert second.end() == 0
 
 
-def test_a_planner_of_its_own_remembers_for_its_forwarders(world):  # noqa: F811
+def test_a_separate_planner_keeps_state_for_its_forwarders(world):  # noqa: F811
     folder, cache, start = world
     path = operator(folder, "  folder: m\n  interval_s: 0.1\n")
     planner = start("serve", "--operator", path, "--role", "planner")
@@ -550,7 +561,7 @@
     assert forwarder.end() == 0 and second.end() == 0
 
 
-def test_the_platforms_gateway_imports_none_of_it():
+def test_the_platforms_gateway_imports_no_library_of_memory():
     code = (
         "import sys, olivecourse.cli, olivecourse.gateway, olivecourse.service\n"
         "bad = {'lmdb', 'msgspec', 'blake3', 'google.protobuf', 'rich', 'olivecourse.memory'}\n"
@@ -560,20 +571,22 @@
     assert done.stdout.strip() == "[]", done.stdout + done.stderr
 
 
-def test_generated_code_is_fresh_and_layers_hold():
-    for words in (
+def test_generated_code_is_up_to_date_and_import_contracts_hold():
+    for command in (
         [sys.executable, "build_wire.py", "--check"],
         [str(Path(sys.executable).parent / "lint-imports")],
     ):
-        done = subprocess.run(words, cwd=ROOT, capture_output=True, text=True, env={**os.environ})
+        done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, env={**os.environ})
         assert done.returncode == 0, done.stdout + done.stderr
 
 
-def test_the_command_line_shows_verifies_forgets_and_exports(world):  # noqa: F811
+def test_the_commands_show_verify_forget_and_export(world):  # noqa: F811
     folder, cache, start = world
     path = operator(folder, "  folder: m\n  interval_s: 0.1\n")
-    for words, code in ((("show",), 1), (("verify",), 1), (("forget",), 1)):
-        assert run("memory", *words, "--operator", path).returncode == code  # nothing there yet
+    for arguments, code in ((("show",), 1), (("verify",), 1), (("forget",), 1)):
+        assert (
+            run("memory", *arguments, "--operator", path).returncode == code
+        )  # the folder does not exist yet
     running = start("serve", "--operator", path)
     running.event("ready")
     until(lambda: list((folder / "m").glob("router.*.mem")))
@@ -582,8 +595,8 @@
     shown = run("memory", "show", "--operator", path)
     assert shown.returncode == 0 and "00000001" in shown.stdout and "of n0" in shown.stdout
     assert run("memory", "verify", "--folder", str(folder / "m")).returncode == 0
-    told = json.loads(run("memory", "export", "--json", "--operator", path).stdout)
-    assert {s["cache"] for s in told["stores"]} == {1, 8} and told["gateway"] == "n0"
+    exported = json.loads(run("memory", "export", "--json", "--operator", path).stdout)
+    assert {s["cache"] for s in exported["stores"]} == {1, 8} and exported["gateway"] == "n0"
     assert "1 stores forgotten" in run("memory", "forget", "00000001", "--operator", path).stdout
     assert run("memory", "forget", "00000001", "--operator", path).returncode == 1
     (only,) = (folder / "m").glob("router.*.mem")
@@ -591,26 +604,26 @@
         s["cache"] for s in json.loads(run("memory", "export", "--json", "--operator", path).stdout)["stores"]
     ] == [8]
     only.write_bytes(only.read_bytes()[:-1])
-    bad = run("memory", "verify", "--operator", path)
-    assert bad.returncode == 1 and "lengths do not fit" in bad.stdout
+    damaged = run("memory", "verify", "--operator", path)
+    assert damaged.returncode == 1 and "lengths do not fit" in damaged.stdout
     assert run("memory", "show").returncode == 2
 
 
-def test_a_folder_that_became_read_only_is_read_and_still_held_alone(tmp_path, monkeypatch):
-    first = Kept(tmp_path)
+def test_a_folder_that_became_read_only_is_read_and_still_locked(tmp_path, monkeypatch):
+    first = KeeperHarness(tmp_path)
     first.until(lambda: first.keeper.schedule.written)
     first.close()
-    real = os.open
+    real_open = os.open
 
     def read_only(path, flags, *rest, **more):
         if flags & (os.O_CREAT | os.O_WRONLY):
             raise OSError(errno.EROFS, "Read-only file system")
-        return real(path, flags, *rest, **more)
+        return real_open(path, flags, *rest, **more)
 
     monkeypatch.setattr("olivecourse.memory.disk.os.open", read_only)
-    second = Kept(tmp_path)
-    second.until(lambda: second.heard("memory_write_failed") and second.heard("memory_taken_up"))
-    assert second.heard("memory_write_failed")[0]["why"] == "Read-only file system"
-    with pytest.raises(Held):
-        Kept(tmp_path)
+    second = KeeperHarness(tmp_path)
+    second.until(lambda: second.log_fields("memory_write_failed") and second.log_fields("memory_taken_up"))
+    assert second.log_fields("memory_write_failed")[0]["why"] == "Read-only file system"
+    with pytest.raises(FolderLocked):
+        KeeperHarness(tmp_path)
     second.close()
--- a/tests/test_spent.py
+++ b/tests/test_spent.py
@@ -1,5 +1,8 @@
-"""Spent order tokens that outlive their gateway: group commit as a model with crashes, the store's file in
-every bad state, and real gateways that are killed between spending and sending."""
+"""Tests of spent order tokens that are kept across restarts.
+
+They cover a model of group commit with crashes, damaged store files, and real gateways that are killed
+between spending a token and sending its order.
+"""
 
 import os
 import random
@@ -9,25 +12,25 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from test_memory import Kept, fixed
+from test_memory import KeeperHarness, fixed
 from test_signed import ORDER, SignedStage
 
 from olivecourse.config.gateway_config import load_operator
 from olivecourse.fronts.tokens import Rejected
-from olivecourse.memory.grouping import Group, Spending, State, Verdict
+from olivecourse.memory.grouping import Group, GroupCommit, State, Verdict
 from olivecourse.memory.section import MemoryConfig, MemorySection, TokensSection
-from olivecourse.memory.tokenstore import DurableSpent, Store, mark_of
+from olivecourse.memory.tokenstore import DurableSpent, TokenStore, token_digest
 from olivecourse.parts import MemoryPart
 
 MS = 1_000_000
-marks = st.sampled_from([b"a", b"b", b"c", b"d"])
+digests = st.sampled_from([b"a", b"b", b"c", b"d"])
 steps = st.lists(
     st.one_of(
-        st.tuples(st.just("spend"), marks),
-        st.tuples(st.just("refused"), marks),
+        st.tuples(st.just("spend"), digests),
+        st.tuples(st.just("refused"), digests),
         st.tuples(st.just("begin")),
-        st.tuples(st.just("good")),
-        st.tuples(st.just("bad"), st.booleans()),
+        st.tuples(st.just("succeeds")),
+        st.tuples(st.just("fails"), st.booleans()),
         st.tuples(st.just("wait"), st.integers(1, 400)),
         st.tuples(st.just("crash"), st.booleans()),
     ),
@@ -37,63 +40,63 @@
 
 @settings(fixed, max_examples=600)
 @given(steps=steps)
-def test_no_token_opens_a_second_order_whatever_fails_and_whenever_it_is_killed(steps):
-    """The model's disk is a dict; `opened` holds what went to a store and was not refused by it."""
+def test_no_token_opens_a_second_order_in_spite_of_faults_and_crashes(steps):
+    """The model's disk is a dict; `opened` holds the tokens whose orders were sent and not refused."""
     disk, opened, group, now = {}, set(), None, 0
-    spending = Spending(3, 300 * MS, 0.0, {}, 0.0)
+    group_commit = GroupCommit(3, 300 * MS, 0.0, {}, 0.0)
 
     def apply():
-        for mark in group.deletes:
-            disk.pop(mark, None)
+        for digest in group.deletes:
+            disk.pop(digest, None)
         disk.update(group.puts)
 
     for step in steps:
         now += MS
         if step[0] == "spend":
-            verdict = spending.spend(step[1], 900.0, now, now / 1e9)
+            verdict = group_commit.spend(step[1], 900.0, now, now / 1e9)
             assert verdict is not Verdict.TAKEN or step[1] not in opened
-        elif step[0] == "refused" and spending.durable(step[1]):
+        elif step[0] == "refused" and group_commit.durable(step[1]):
             opened.discard(step[1])
-            spending.release(step[1])
+            group_commit.release(step[1])
         elif step[0] == "begin" and group is None:
-            group = spending.next_group(now, now / 1e9)
-        elif step[0] in ("good", "bad") and group is not None:
-            if step[0] == "good" or step[1]:  # a fault tells nothing of whether it reached the disk
+            group = group_commit.next_group(now, now / 1e9)
+        elif step[0] in ("succeeds", "fails") and group is not None:
+            if step[0] == "succeeds" or step[1]:  # a failed write may have reached the disk nevertheless
                 apply()
-            good, bad = spending.ended(step[0] == "bad", now)
-            assert not set(good) & opened and all(m in disk for m in good)
-            assert step[0] == "good" or not good
-            opened |= set(good)
+            committed, rejected = group_commit.ended(step[0] == "fails", now)
+            assert not set(committed) & opened and all(m in disk for m in committed)
+            assert step[0] == "succeeds" or not committed
+            opened |= set(committed)
             group = None
         elif step[0] == "wait":
             now += step[1] * MS
-            spending.overdue(now)
+            group_commit.overdue(now)
         elif step[0] == "crash":
             if group is not None and step[1]:
                 apply()
-            group, spending = None, Spending(3, 300 * MS, 0.0, dict(disk), 0.0)
-        assert all(spending.durable(m) for m in opened)  # spent for good, also after the crash
-    assert len(spending.entries) <= 3 + len(disk)
+            group, group_commit = None, GroupCommit(3, 300 * MS, 0.0, dict(disk), 0.0)
+        assert all(group_commit.durable(m) for m in opened)  # still spent, also after a crash
+    assert len(group_commit.entries) <= 3 + len(disk)
 
 
-def test_a_clock_that_is_set_back_brings_no_token_to_life():
-    spending = Spending(8, MS, 3.0, {}, 0.0)
-    assert spending.spend(b"a", 100.0, 0, 50.0) is Verdict.TAKEN
-    spending.next_group(0, 50.0)
-    spending.ended(False, 0)
-    assert spending.spend(b"b", 500.0, 0, 110.0) is Verdict.TAKEN
-    group = spending.next_group(0, 110.0)
-    assert group.deletes == [b"a"] and group.pruned_exp == 100.0  # expired: its entry leaves
-    spending.ended(False, 0)
-    assert spending.spend(b"a", 100.0, 0, 60.0) is Verdict.USED
-    assert spending.spend(b"c", 100.5, 0, 60.0) is Verdict.TAKEN
+def test_setting_the_clock_back_makes_no_token_valid_again():
+    group_commit = GroupCommit(8, MS, 3.0, {}, 0.0)
+    assert group_commit.spend(b"a", 100.0, 0, 50.0) is Verdict.TAKEN
+    group_commit.next_group(0, 50.0)
+    group_commit.ended(False, 0)
+    assert group_commit.spend(b"b", 500.0, 0, 110.0) is Verdict.TAKEN
+    group = group_commit.next_group(0, 110.0)
+    assert group.deletes == [b"a"] and group.pruned_exp == 100.0  # the expired entry is pruned
+    group_commit.ended(False, 0)
+    assert group_commit.spend(b"a", 100.0, 0, 60.0) is Verdict.USED
+    assert group_commit.spend(b"c", 100.5, 0, 60.0) is Verdict.TAKEN
 
 
-class Store1(Kept):
-    """The store on a loop of its own."""
+class TokenStoreHarness(KeeperHarness):
+    """A DurableSpent on an event loop that the test drives."""
 
     def __init__(self, path, name="n0", **tokens):
-        self.loop, self.logged = Kept.make_loop(), []
+        self.loop, self.logged = KeeperHarness.make_loop(), []
         config = MemoryConfig(path, None, MemorySection(str(path), tokens=TokensSection(**tokens)))
         self.keeper = self.spent = DurableSpent(
             self.loop, config, name, 3.0, lambda event, **v: self.logged.append((event, v))
@@ -108,14 +111,14 @@
         return True
 
 
-def test_what_was_spent_is_spent_after_a_restart_and_what_was_released_is_not(tmp_path):
-    first = Store1(tmp_path)
+def test_a_spent_token_is_spent_after_a_restart_and_a_released_one_is_not(tmp_path):
+    first = TokenStoreHarness(tmp_path)
     assert first.spend("a") and first.spend("b")
     first.spent.release("b")
     assert first.spend("c")
     since = first.spent.covered_since
     first.close()
-    second = Store1(tmp_path)
+    second = TokenStoreHarness(tmp_path)
     assert second.spent.covered_since == since
     for used in ("a", "c"):
         with pytest.raises(Rejected, match="used already"):
@@ -124,43 +127,45 @@
     second.close()
 
 
-def test_killed_between_the_spending_and_the_sending_the_token_is_spent(tmp_path, monkeypatch):
-    first, disk = Store1(tmp_path), Store.commit
-    monkeypatch.setattr(Store, "commit", lambda self, group: (disk(self, group), time.sleep(0.3)))
+def test_a_token_is_spent_if_the_gateway_is_killed_before_it_sends_the_order(tmp_path, monkeypatch):
+    first, real_commit = TokenStoreHarness(tmp_path), TokenStore.commit
+    monkeypatch.setattr(TokenStore, "commit", lambda self, group: (real_commit(self, group), time.sleep(0.3)))
     first.spent.spend("a", time.time() + 600, time.time())
-    first.until(lambda: first.spent.spending._group)
-    time.sleep(0.1)  # on disk, and nobody was told yet: from here on the process does nothing more
+    first.until(lambda: first.spent.group_commit._group)
+    time.sleep(
+        0.1
+    )  # the token is on disk, and its order is not sent: the state of a process that is killed now
     shutil.copytree(tmp_path / "tokens", tmp_path / "left")
-    second = Store(tmp_path / "left", 64, None)
+    second = TokenStore(tmp_path / "left", 64, None)
     second.open(write=False)
-    about, known = second.read("n0")
+    metadata, known = second.read("n0")
     second.close()
-    assert about.count == 1
-    assert Spending(8, MS, 3.0, known, 0.0).spend(mark_of("a"), 2e9, 0, time.time()) is Verdict.USED
+    assert metadata.count == 1
+    assert GroupCommit(8, MS, 3.0, known, 0.0).spend(token_digest("a"), 2e9, 0, time.time()) is Verdict.USED
     first.close()
 
 
-def test_a_store_that_cannot_be_opened_refuses_orders_and_nothing_else(tmp_path, monkeypatch):
+def test_a_token_store_that_cannot_be_opened_refuses_only_orders(tmp_path, monkeypatch):
     def read_only(self, write=True):
         raise OSError(30, "Read-only file system")
 
-    monkeypatch.setattr(Store, "open", read_only)
-    store = Store1(tmp_path)
-    assert "Read-only" in dict(store.logged)["tokens_unusable"]["why"]
-    with pytest.raises(Rejected, match="cannot be recorded") as told:
-        store.spent.spend("a", time.time() + 600, time.time())
-    assert told.value.status == 503
-    store.close()
+    monkeypatch.setattr(TokenStore, "open", read_only)
+    harness = TokenStoreHarness(tmp_path)
+    assert "Read-only" in dict(harness.logged)["tokens_unusable"]["why"]
+    with pytest.raises(Rejected, match="cannot be recorded") as raised:
+        harness.spent.spend("a", time.time() + 600, time.time())
+    assert raised.value.status == 503
+    harness.close()
 
 
-def test_65000_spent_tokens_are_read_in_seconds_and_one_more_than_fits_is_turned_away(tmp_path):
-    first = Store1(tmp_path)
+def test_65000_spent_tokens_are_read_in_seconds_and_one_above_the_maximum_is_rejected(tmp_path):
+    first = TokenStoreHarness(tmp_path)
     entries = {n.to_bytes(20, "big"): time.time() + 600 for n in range(65_000)}
     first.spent._store.commit(type("G", (), {"puts": entries, "deletes": [], "pruned_exp": 0.0})())
     first.close()
     began = time.monotonic()
-    second = Store1(tmp_path)
-    assert time.monotonic() - began < 10 and len(second.spent.spending.entries) == 65_000
+    second = TokenStoreHarness(tmp_path)
+    assert time.monotonic() - began < 10 and len(second.spent.group_commit.entries) == 65_000
     assert second.spend("x")
     for n in range(536 - 1):
         second.spent.spend(f"y{n}", time.time() + 600, time.time())
@@ -188,87 +193,93 @@
 
 
 @pytest.mark.parametrize("how", ["cut", "empty", "noise", "flip"])
-def test_a_damaged_store_is_set_aside_and_what_it_covered_is_void(tmp_path, how):
-    first = Store1(tmp_path)
+def test_a_damaged_store_is_set_aside_and_the_tokens_it_covered_are_void(tmp_path, how):
+    first = TokenStoreHarness(tmp_path)
     for n in range(200):
         first.spent.spend(f"t{n}", time.time() + 600, time.time())
     assert first.spend("last")
     first.close()
     damage(tmp_path, how)
     before = time.time()
-    second = Store1(tmp_path)
-    told = dict(second.logged)["tokens_set_aside"]
-    assert told["reason"] == "damaged" and (tmp_path / told["folder"]).is_dir()
-    assert second.spent.covered_since >= before  # so that every token issued until now is turned away
+    second = TokenStoreHarness(tmp_path)
+    logged = dict(second.logged)["tokens_set_aside"]
+    assert logged["reason"] == "damaged" and (tmp_path / logged["folder"]).is_dir()
+    assert second.spent.covered_since >= before  # so every token issued until now is rejected
     assert second.spend("t1")
     second.close()
 
 
-def test_another_gateways_store_is_set_aside(tmp_path):
-    first = Store1(tmp_path)
+def test_the_store_of_another_gateway_is_set_aside(tmp_path):
+    first = TokenStoreHarness(tmp_path)
     assert first.spend("a")
     first.close()
-    second = Store1(tmp_path, name="n1")
+    second = TokenStoreHarness(tmp_path, name="n1")
     assert dict(second.logged)["tokens_set_aside"]["reason"] == "other"
     second.close()
 
 
-def test_a_disk_that_fails_turns_orders_away_and_one_that_is_slow_does_so_in_time(tmp_path, monkeypatch):
-    store = Store1(tmp_path, most_wait_ms=300)
-    assert store.spend("a")
-    commit = Store.commit
+def test_orders_are_rejected_on_a_failing_disk_and_rejected_in_time_on_a_slow_one(tmp_path, monkeypatch):
+    harness = TokenStoreHarness(tmp_path, most_wait_ms=300)
+    assert harness.spend("a")
+    commit = TokenStore.commit
 
     def full(self, group):
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr(Store, "commit", full)
-    assert store.spend("b") is False
+    monkeypatch.setattr(TokenStore, "commit", full)
+    assert harness.spend("b") is False
     with pytest.raises(Rejected, match="cannot be recorded"):
-        store.spent.spend("c", time.time() + 600, time.time())
-    monkeypatch.setattr(Store, "commit", commit)
+        harness.spent.spend("c", time.time() + 600, time.time())
+    monkeypatch.setattr(TokenStore, "commit", commit)
     time.sleep(0.15)
-    assert store.spend("b")  # nothing of it ran, so it may come again
-    assert dict(store.logged).keys() >= {"tokens_write_failed", "tokens_writes_again"}
+    assert harness.spend("b")  # the order did not run, so its token may be used again
+    assert dict(harness.logged).keys() >= {"tokens_write_failed", "tokens_writes_again"}
 
     def slow(self, group):
         time.sleep(1.2)
         commit(self, group)
 
-    monkeypatch.setattr(Store, "commit", slow)
+    monkeypatch.setattr(TokenStore, "commit", slow)
     began = time.monotonic()
-    assert store.spend("d") is False and time.monotonic() - began < 0.8
-    with pytest.raises(Rejected, match="cannot be recorded"):  # while the sync goes on: at the door
-        store.spent.spend("e", time.time() + 600, time.time())
-    monkeypatch.setattr(Store, "commit", commit)
-    store.until(lambda: store.spent.spending._group is None)
-    store.until(lambda: not any(e.state is State.ABANDONED for e in store.spent.spending.entries.values()))
-    assert store.spend("d") and store.spend("e")
-    store.close()
-
-
-def test_a_folder_taken_away_turns_orders_away_and_all_is_written_to_the_one_that_comes(tmp_path):
+    assert harness.spend("d") is False and time.monotonic() - began < 0.8
+    with pytest.raises(Rejected, match="cannot be recorded"):  # rejected at once while the sync lasts
+        harness.spent.spend("e", time.time() + 600, time.time())
+    monkeypatch.setattr(TokenStore, "commit", commit)
+    harness.until(lambda: harness.spent.group_commit._group is None)
+    harness.until(
+        lambda: not any(e.state is State.ABANDONED for e in harness.spent.group_commit.entries.values())
+    )
+    assert harness.spend("d") and harness.spend("e")
+    harness.close()
+
+
+def test_orders_are_rejected_without_the_folder_and_all_tokens_are_written_to_its_replacement(tmp_path):
     folder = tmp_path / "m"
-    store = Store1(folder)
-    assert store.spend("a")
+    harness = TokenStoreHarness(folder)
+    assert harness.spend("a")
     folder.rename(tmp_path / "gone")
-    assert store.spend("b") is False
+    assert harness.spend("b") is False
     folder.mkdir()
     time.sleep(0.15)
-    assert store.spend("c")
-    store.close()
-    again = Store1(folder)
+    assert harness.spend("c")
+    harness.close()
+    second = TokenStoreHarness(folder)
     with pytest.raises(Rejected, match="used already"):
-        again.spent.spend("a", time.time() + 600, time.time())
-    again.close()
+        second.spent.spend("a", time.time() + 600, time.time())
+    second.close()
 
 
-# Through the front ----------------------------------------------------------------------------------
+# With a whole gateway ----------------------------------------------------------------------------------
 
 
 class MemoryStage(SignedStage):
+    """A gateway for signed requests that keeps its state in a folder."""
+
     def __init__(self, folder):
         super().__init__(folder)
-        self.tokens._clock = lambda: time.time() + 4  # past the leeway after the store's first start
+        self.tokens._clock = lambda: (
+            time.time() + 4
+        )  # after the leeway that follows the first start of the token store
 
     def config(self, raw):
         super().config(raw)
@@ -277,19 +288,21 @@
         return load_operator(str(path), {})
 
     def close(self):
-        for kept in (self.gateway.part(MemoryPart).keeper, self.gateway.spent):
-            kept.stop()
+        for component in (self.gateway.part(MemoryPart).keeper, self.gateway.spent):
+            component.stop()
         super().close()
 
 
-def test_a_token_issued_before_the_restart_is_good_exactly_if_it_was_not_spent(tmp_path):
+def test_a_token_issued_before_a_restart_is_valid_exactly_if_it_was_not_spent(tmp_path):
     stage = MemoryStage(tmp_path)
     now = time.time() + 4
     used, unused = (stage.order(jti=f"token-number-{n}", now=now) for n in range(2))
     client = stage.ask(ORDER, "POST", b"cards", Authorization=f"Bearer {used}")
     line = stage.until(stage.cache.line)
     assert line.startswith("fetch")
-    assert stage.gateway.spent.spending.entries  # durable before any store heard of it
+    assert (
+        stage.gateway.spent.group_commit.entries
+    )  # the token is durable before the order is sent to any store
     stage.close()
     stage = MemoryStage(tmp_path)
     client = stage.ask(ORDER, "POST", b"cards", Authorization=f"Bearer {used}")
@@ -299,22 +312,24 @@
     stage.close()
 
 
-def test_an_order_waits_for_its_sync_and_a_client_that_leaves_frees_its_token(tmp_path, monkeypatch):
-    stage, commit, hold = MemoryStage(tmp_path), Store.commit, [True]
+def test_an_order_waits_for_the_sync_of_its_token_and_a_client_that_leaves_frees_the_token(
+    tmp_path, monkeypatch
+):
+    stage, commit, blocking = MemoryStage(tmp_path), TokenStore.commit, [True]
 
-    def held(self, group):
-        while hold[0]:
+    def blocked(self, group):
+        while blocking[0]:
             time.sleep(0.005)
         commit(self, group)
 
-    monkeypatch.setattr(Store, "commit", held)
+    monkeypatch.setattr(TokenStore, "commit", blocked)
     token = stage.order()
     client = stage.ask(ORDER, "POST", b"cards", Authorization=f"Bearer {token}")
     stage.until(lambda: stage.gateway.front.recording)
     client.sock.close()
     stage.until(lambda: not stage.gateway.front.clients)
     assert stage.cache.poll() == b"" and not stage.gateway.ledger.open
-    hold[0] = False
+    blocking[0] = False
     stage.until(lambda: not stage.gateway.front.recording)
     assert stage.cache.poll() == b""
     client = stage.ask(ORDER, "POST", b"cards", Authorization=f"Bearer {token}")
@@ -323,7 +338,7 @@
 
 
 def test_thirty_kills_at_random_moments_run_no_order_twice_and_damage_no_file():
-    """1,000 of them: docs/results/kills.md."""
+    """The results of 1,000 kills are in docs/results/kills.md."""
     from benchmarks.kills import run
 
     found = run(short=True, seed=7, trials=30)
@@ -333,10 +348,13 @@
         assert found.get(never, 0) == 0, found
 
 
-def test_a_power_cut_in_a_commit_leaves_the_old_set_or_the_new_one(tmp_path):
-    """LMDB writes the pages of a transaction, syncs, and then its meta page. Until that is durable any part
-    of the others may have reached the disk, whole or torn: 300 such states, and the one with all of it."""
-    page, store = 4096, Store(tmp_path / "tokens", 64, None)
+def test_a_power_cut_during_a_commit_leaves_the_old_or_the_new_set_of_tokens(tmp_path):
+    """LMDB writes the pages of a transaction, syncs, and then writes its meta page.
+
+    Until the meta page is durable, any subset of the other pages may have reached the disk, complete or torn.
+    The test checks 300 such states, and the state with all pages.
+    """
+    page, store = 4096, TokenStore(tmp_path / "tokens", 64, None)
     store.open()
     store.begin("n0", 1.0)
     first = {bytes([n]) * 20: 9e9 for n in range(120)}
@@ -365,7 +383,7 @@
         folder = tmp_path / f"state-{state}"
         folder.mkdir()
         (folder / "data.mdb").write_bytes(data)
-        found = Store(folder, 64, None)
+        found = TokenStore(folder, 64, None)
         found.open(write=False)
         outcomes.append(found.read("n0")[1].keys())
         found.close()
