--- a/olivecourse/memory/codec.py
+++ b/olivecourse/memory/codec.py
@@ -85,12 +85,12 @@
 def read_header(contents: Contents) -> tuple[str, Stamp]:
     """The gateway that wrote a file, and the time of its snapshot; raises UnusableFile."""
     try:
-        header = pb.Header.FromString(contents.header)
+        message = pb.Header.FromString(contents.header)
     except DecodeError:
         raise UnusableFile(Reason.DAMAGED, "the header cannot be read") from None
     if contents.version < 2:
-        return header.gateway, Stamp(header.unix_ns)
-    return header.gateway, Stamp(header.unix_ns, header.boot_id, header.boot_ns)
+        return message.gateway, Stamp(message.unix_ns)
+    return message.gateway, Stamp(message.unix_ns, message.boot_id, message.boot_ns)
 
 
 def read(contents: Contents, gateway: str | None) -> Snapshot:
--- a/olivecourse/memory/keeper.py
+++ b/olivecourse/memory/keeper.py
@@ -93,10 +93,10 @@
         """Restores the saved state into a Router and tracks it; must precede the Router's first event."""
         now = self._loop.clock.now()
         tracked = TrackedRouter(router, now)
-        settled = [s for s in self._routers if s.settled]
+        settled_routers = [s for s in self._routers if s.settled]
         snapshot, read_at = (
-            (self._live_snapshot(settled), self._clock())
-            if settled
+            (self._live_snapshot(settled_routers), self._clock())
+            if settled_routers
             else (self._loaded.snapshot, self._clock())
         )
         if snapshot is not None:
--- a/olivecourse/memory/tokenstore.py
+++ b/olivecourse/memory/tokenstore.py
@@ -255,20 +255,20 @@
         self._failure_logged = False
         self.covered_since = clock()
         known: dict[bytes, float] = {}
-        pruned_exp = 0.0
+        latest_pruned = 0.0
         self._usable = False
         try:
             self._disk.open_locked(f"{PART}.lock")
             metadata, known = self._read()
             self._usable = True
             if metadata is not None:
-                self.covered_since, pruned_exp = metadata.covered_since, metadata.pruned_exp
+                self.covered_since, latest_pruned = metadata.covered_since, metadata.pruned_exp
             log("tokens_read", spent=len(known), covered_since=round(self.covered_since))
         except FolderLocked:
             raise
         except (lmdb.Error, OSError) as error:
             log("tokens_unusable", folder=str(config.folder), why=str(error))
-        self.group_commit = GroupCommit(MOST_SPENT, section.most_wait_ms * MS, leeway_s, known, pruned_exp)
+        self.group_commit = GroupCommit(MOST_SPENT, section.most_wait_ms * MS, leeway_s, known, latest_pruned)
         self._worker = Worker(loop, "tokens")
 
     def _read(self) -> tuple[StoreMetadata | None, dict[bytes, float]]:
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -148,8 +148,8 @@
     disk = FolderDisk(tmp_path)
     disk.open()
     folder = Folder(disk, "router", 3, 2**20, None)
-    for density in (1, 2, 3):
-        save(folder, snapshot(density))
+    for number in (1, 2, 3):
+        save(folder, snapshot(number))
     save(folder, replace(snapshot(4), gateway="n1"))
     newer = bytearray((tmp_path / "router.00000003.mem").read_bytes())
     newer[8] = 99
@@ -162,8 +162,8 @@
     assert [r for _, r, _ in found.skipped] == [Reason.DAMAGED, Reason.DAMAGED, Reason.NEWER, Reason.OTHER]
     folder.set_aside(found)
     assert (tmp_path / "router.00000005.newer").read_bytes() == bytes(newer)
-    for density in range(8, 14):
-        assert save(folder, snapshot(density)) == f"router.{density:08d}.mem"
+    for number in range(8, 14):
+        assert save(folder, snapshot(number)) == f"router.{number:08d}.mem"
     assert (tmp_path / "router.00000005.newer").exists() and (tmp_path / "router.00000004.other").exists()
     assert len(list(tmp_path.glob("router.*.mem"))) == 3
     keyed = Folder(disk, "router", 3, 2**20, KEY).load(
@@ -459,7 +459,7 @@
     harness.close()
 
 
-def test_a_second_process_is_rejected_and_a_folder_that_cannot_be_created_is_only_logged(tmp_path):
+def test_a_locked_folder_is_rejected_and_a_folder_that_cannot_be_created_is_only_logged(tmp_path):
     first = KeeperHarness(tmp_path / "memory")
     with pytest.raises(FolderLocked):
         KeeperHarness(tmp_path / "memory")
--- a/tests/test_spent.py
+++ b/tests/test_spent.py
@@ -202,8 +202,8 @@
     damage(tmp_path, how)
     before = time.time()
     second = TokenStoreHarness(tmp_path)
-    logged = dict(second.logged)["tokens_set_aside"]
-    assert logged["reason"] == "damaged" and (tmp_path / logged["folder"]).is_dir()
+    entry = dict(second.logged)["tokens_set_aside"]
+    assert entry["reason"] == "damaged" and (tmp_path / entry["folder"]).is_dir()
     assert second.spent.covered_since >= before  # so every token issued until now is rejected
     assert second.spend("t1")
     second.close()
