--- a/olivecourse/memory/commands.py
+++ b/olivecourse/memory/commands.py
@@ -221,13 +221,15 @@
                 opened.disk.read(generation.name, opened.config.section.max_kb * 1024), opened.config.key()
             )
             snapshot = codec.read(contents, opened.gateway)
-            click.echo(f"{generation.name}: whole, version {contents.version}, {len(snapshot.stores)} stores")
+            click.echo(
+                f"{generation.name}: intact, version {contents.version}, {len(snapshot.stores)} stores"
+            )
         except (UnusableFile, OSError) as error:
             damaged += 1
             click.echo(f"{generation.name}: {error}")
     metadata, known, fault = opened.tokens()
     if metadata is not None:
-        click.echo(f"{TOKENS}: whole, {len(known)} spent")
+        click.echo(f"{TOKENS}: intact, {len(known)} spent")
     elif fault:
         damaged += 1
         click.echo(f"{TOKENS}: {fault}")
--- a/olivecourse/memory/folder.py
+++ b/olivecourse/memory/folder.py
@@ -97,8 +97,8 @@
 
     def clear(self) -> int:
         """Removes every snapshot that has not been set aside; returns their number."""
-        whole = [g for g in parse(self._part, self._disk.names()) if g.readable]
-        for generation in whole:
+        intact = [g for g in parse(self._part, self._disk.names()) if g.readable]
+        for generation in intact:
             self._disk.unlink(generation.name)
         self._disk.sync_folder()
-        return len(whole)
+        return len(intact)
--- a/olivecourse/memory/generations.py
+++ b/olivecourse/memory/generations.py
@@ -60,6 +60,6 @@
 
     Files of a later program version, another gateway or another key are never removed.
     """
-    whole = [g for g in generations if g.readable]
+    intact = [g for g in generations if g.readable]
     damaged = [g for g in generations if g.ending == Reason.DAMAGED.value]
-    return whole[keep:] + damaged[MAX_DAMAGED:]
+    return intact[keep:] + damaged[MAX_DAMAGED:]
--- a/olivecourse/memory/wire/__init__.py
+++ b/olivecourse/memory/wire/__init__.py
@@ -0,0 +1,1 @@
+"""Generated protobuf code of the snapshot format (memory.proto)."""
--- a/olivecourse/storm/admission.py
+++ b/olivecourse/storm/admission.py
@@ -37,6 +37,7 @@
         self._target, self.limit, self._decreased_at = target_ns, start, -self.DECREASE_INTERVAL_NS
 
     def sample(self, waited_ns: float, in_flight: int, lost: bool, now: int) -> None:
+        """Lowers the limit if a request was lost or waited beyond the target, and raises it otherwise."""
         if lost or waited_ns > self._target:
             if now - self._decreased_at >= self.DECREASE_INTERVAL_NS:
                 self._decreased_at = now
@@ -64,6 +65,7 @@
         self._count = 0
 
     def sample(self, waited_ns: float, in_flight: int, lost: bool, now: int) -> None:
+        """Updates the waiting times, and moves the limit towards the value that their ratio gives."""
         waited = max(waited_ns, 1.0 * MS) * (4.0 if lost else 1.0)
         if not self._baseline:
             self._baseline = self._recent = waited
--- a/olivecourse/storm/notice.py
+++ b/olivecourse/storm/notice.py
@@ -51,11 +51,13 @@
         self._decay = 0.5 ** (BIN_NS / HALF_LIFE_NS)
 
     def add(self, bin_: Bin) -> None:
+        """Adds a bin to the decaying totals."""
         total, decay = self._sum, self._decay
         total.first, total.retries = total.first * decay + bin_.first, total.retries * decay + bin_.retries
         total.useful = total.useful * decay + bin_.useful
 
     def level(self) -> float:
+        """The root of the product of both shares."""
         total = self._sum
         if total.offered < MIN_ARRIVALS * (1 - self._decay):
             return 0.0
@@ -80,6 +82,7 @@
         self._bins = 0
 
     def add(self, bin_: Bin) -> None:
+        """Adds a bin to the recent statistics, and to the baseline unless the level is raised."""
         arrivals, decay = bin_.offered, self.RECENT_DECAY
         self._bins += 1
         self._mean = decay * self._mean + (1 - decay) * arrivals
@@ -91,6 +94,7 @@
         return max(self._square - self._mean**2, 0.0) / self._mean if self._mean > 0 else 0.0
 
     def level(self) -> float:
+        """The excess of the recent dispersion over the baseline, scaled to 0 to 1."""
         if self._bins < 10 or self._mean < 1:
             return 0.0
         return min(max(self._index() / max(self._baseline, 1.0) - 1, 0.0) / self.CERTAIN_RATIO, 1.0)
--- a/tests/powercut.py
+++ b/tests/powercut.py
@@ -80,7 +80,7 @@
 
 
 def _named(durable, pending):
-    """Yields every set of names that may be found: `durable`, and any subset of the `pending` operations."""
+    """Yields every set of names that may be found: `durable` after any subset of `pending`, in order."""
     for n in range(len(pending) + 1):
         for survivors in combinations(pending, n):
             names = dict(durable)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -49,6 +49,7 @@
 
 
 def save(folder, snap, parts=3):
+    """Saves a snapshot whose body consists of the first `parts` serialised parts, or of all if 0."""
     body = [codec.write_part((), snap.density), codec.write_part(snap.stores), codec.write_part(snap.purges)]
     body.append(codec.write_part([*snap.classes, *snap.intervals]))
     return folder.save(codec.write_header(snap.gateway, snap.stamp, "t"), body[:parts] if parts else body)
@@ -166,9 +167,8 @@
         assert save(folder, snapshot(number)) == f"router.{number:08d}.mem"
     assert (tmp_path / "router.00000005.newer").exists() and (tmp_path / "router.00000004.other").exists()
     assert len(list(tmp_path.glob("router.*.mem"))) == 3
-    keyed = Folder(disk, "router", 3, 2**20, KEY).load(
-        "n0"
-    )  # files without a MAC are not trusted once a key is set
+    # Files without a MAC are not trusted once a key is set.
+    keyed = Folder(disk, "router", 3, 2**20, KEY).load("n0")
     assert keyed.snapshot is None and {r for _, r, _ in keyed.skipped} == {Reason.KEY}
 
 
@@ -269,9 +269,15 @@
     assert restored.price_ns == fresh.price_ns
     assert all(a <= b for a, b in zip(restored.fills, fresh.fills, strict=True))
     for cache, node in fresh.nodes.items():
-        mine = restored.nodes[cache]
-        assert mine.credit <= node.credit and mine.limit <= node.limit and mine.pain >= node.pain
-        assert restored._trust(mine, [mine, node]) >= POLICY.trust_floor - 1e-9  # nor does it exclude a store
+        restored_node = restored.nodes[cache]
+        assert (
+            restored_node.credit <= node.credit
+            and restored_node.limit <= node.limit
+            and restored_node.pain >= node.pain
+        )
+        assert (
+            restored._trust(restored_node, [restored_node, node]) >= POLICY.trust_floor - 1e-9
+        )  # nor does it exclude a store
     event = w.Purged(purged if isinstance(purged, str) else None, purged if purged == 3 else None, age)
     for router in (fresh, restored):
         router.handle(event, 100 * S)
@@ -291,16 +297,16 @@
         request = f"{now:x}-{n}"
         acts = router.handle(w.Request(request, 0, object=f"o{n % 97}"), now + n * 10 * MS)
         for attempt in range(4):
-            made = sends(acts)
-            if not made:
+            attempts = sends(acts)
+            if not attempts:
                 break
-            sent += made[0].cache in bad
-            status = w.Status.ERROR if made[0].cache in bad else w.Status.SERVED
+            sent += attempts[0].cache in bad
+            status = w.Status.ERROR if attempts[0].cache in bad else w.Status.SERVED
             acts = router.handle(
                 w.AttemptEnded(
                     request,
                     attempt,
-                    made[0].cache,
+                    attempts[0].cache,
                     status,
                     MS,
                     status is w.Status.SERVED,
@@ -312,6 +318,7 @@
 
 
 def take_snapshot(router, now):
+    """A Snapshot of the Router's present state."""
     snap, watcher = snapshot(router.density), Watcher()
     snap.file([x for part in collect(router, watcher, now) for x in part])
     return snap
@@ -323,8 +330,8 @@
     learn(old, (), (1, 2), 800)
     snap = take_snapshot(old, 108 * S)
     fresh, restored = routers(snap, Elapsed(S, True), members)
-    cold, warm = learn(fresh, (), (1, 2), 500), learn(restored, (), (1, 2), 500)
-    assert cold >= 25 and warm <= 0.2 * cold, (cold, warm)
+    fresh_sent, restored_sent = learn(fresh, (), (1, 2), 500), learn(restored, (), (1, 2), 500)
+    assert fresh_sent >= 25 and restored_sent <= 0.2 * fresh_sent, (fresh_sent, restored_sent)
     # Every record is wrong: failing stores have recovered, and the others fail. 2 s of answers correct it.
     _, misled = routers(snap, Elapsed(S, True), members)
     learn(misled, (), (3, 4, 5, 6, 7, 8), 200)
@@ -339,8 +346,14 @@
         changed = [replace(m, **change) if m.cache == 1 else m for m in MEMBERS]
         fresh, restored = routers(snapshot(stores=[record]), Elapsed(0, True), changed)
         for cache, node in fresh.nodes.items():
-            mine = restored.nodes[cache]
-            assert (mine.pain, mine.wait, mine.limit, mine.credit, mine.failing) == (
+            restored_node = restored.nodes[cache]
+            assert (
+                restored_node.pain,
+                restored_node.wait,
+                restored_node.limit,
+                restored_node.credit,
+                restored_node.failing,
+            ) == (
                 node.pain,
                 node.wait,
                 node.limit,
@@ -488,6 +501,7 @@
 
 
 def operator(folder, memory):
+    """Writes an operator's file with a `memory:` section; returns its path."""
     text = (folder / "operator.yaml").read_text().split("memory:")[0]
     (folder / "operator.yaml").write_text(f"{text}memory:\n{memory}")
     return str(folder / "operator.yaml")
--- a/tests/test_spent.py
+++ b/tests/test_spent.py
@@ -132,9 +132,8 @@
     monkeypatch.setattr(TokenStore, "commit", lambda self, group: (real_commit(self, group), time.sleep(0.3)))
     first.spent.spend("a", time.time() + 600, time.time())
     first.until(lambda: first.spent.group_commit._group)
-    time.sleep(
-        0.1
-    )  # the token is on disk, and its order is not sent: the state of a process that is killed now
+    # After this the token is on disk and its order is not sent, as if the process were killed at this moment.
+    time.sleep(0.1)
     shutil.copytree(tmp_path / "tokens", tmp_path / "left")
     second = TokenStore(tmp_path / "left", 64, None)
     second.open(write=False)
@@ -175,6 +174,7 @@
 
 
 def damage(path, how):
+    """Damages the file of the token store."""
     file = path / "tokens" / "data.mdb"
     data = bytearray(file.read_bytes())
     if how == "cut":
@@ -277,9 +277,8 @@
 
     def __init__(self, folder):
         super().__init__(folder)
-        self.tokens._clock = lambda: (
-            time.time() + 4
-        )  # after the leeway that follows the first start of the token store
+        # The clock is past the leeway that follows the first start of the token store.
+        self.tokens._clock = lambda: time.time() + 4
 
     def config(self, raw):
         super().config(raw)
@@ -300,9 +299,8 @@
     client = stage.ask(ORDER, "POST", b"cards", Authorization=f"Bearer {used}")
     line = stage.until(stage.cache.line)
     assert line.startswith("fetch")
-    assert (
-        stage.gateway.spent.group_commit.entries
-    )  # the token is durable before the order is sent to any store
+    # The token was durable before the order was sent to the store.
+    assert stage.gateway.spent.group_commit.entries
     stage.close()
     stage = MemoryStage(tmp_path)
     client = stage.ask(ORDER, "POST", b"cards", Authorization=f"Bearer {used}")
