--- a/olivecourse/memory/keeper.py
+++ b/olivecourse/memory/keeper.py
@@ -25,7 +25,7 @@
 MS = 1_000_000
 INTERVAL_CHECK_NS = 1_000 * MS  # a counting interval lasts five times as long
 TICK_NS = 100 * MS
-SETTLE_NS = 2_000 * MS  # by then the stores are known, and the result of the restore can be logged
+RESTORE_TIMEOUT_NS = 2_000 * MS  # by then the stores are known, and the result of the restore can be logged
 STOP_S = 1.0  # longest time that the last write may delay the end of the process
 PART = "router"
 PROGRAM = "0.3.0"
@@ -39,7 +39,7 @@
     since: int
     restore: Uptake | None = None
     watcher: Watcher = field(default_factory=Watcher)
-    settled: bool = False
+    restore_done: bool = False
 
 
 class Keeper:
@@ -93,10 +93,10 @@
         """Restores the saved state into a Router and tracks it; must precede the Router's first event."""
         now = self._loop.clock.now()
         tracked = TrackedRouter(router, now)
-        settled_routers = [s for s in self._routers if s.settled]
+        restored_routers = [s for s in self._routers if s.restore_done]
         snapshot, read_at = (
-            (self._live_snapshot(settled_routers), self._clock())
-            if settled_routers
+            (self._live_snapshot(restored_routers), self._clock())
+            if restored_routers
             else (self._loaded.snapshot, self._clock())
         )
         if snapshot is not None:
@@ -134,8 +134,8 @@
             return
         now = self._loop.clock.now()
         for tracked in self._routers:
-            if not tracked.settled:
-                self._settle(tracked, now)
+            if not tracked.restore_done:
+                self._finish_restore(tracked, now)
         if now >= self._next_interval_check:
             self._next_interval_check = now + INTERVAL_CHECK_NS
             for tracked in self._routers:
@@ -146,12 +146,12 @@
             self._step()
         self._loop.after(TICK_NS, self._tick)
 
-    def _settle(self, tracked: TrackedRouter, now: int) -> None:
+    def _finish_restore(self, tracked: TrackedRouter, now: int) -> None:
         restore = tracked.restore
         if restore is None:
-            tracked.settled = True
-        elif restore.settle(tracked.router) or now - tracked.since > SETTLE_NS:
-            tracked.settled = True
+            tracked.restore_done = True
+        elif restore.settle(tracked.router) or now - tracked.since > RESTORE_TIMEOUT_NS:
+            tracked.restore_done = True
             self._log(
                 "memory_taken_up",
                 file=self._loaded.name,
--- a/olivecourse/memory/lessons.py
+++ b/olivecourse/memory/lessons.py
@@ -25,7 +25,7 @@
 class StoreRecord:
     """What is known of one run of one store, parent or origin.
 
-    `life` identifies the run by the store's address and start time. `pain` is the Router's failure score,
+    `life` identifies the run by the store's address and start time. `pain` is the Router's error score,
     from 0 to 1, as of the store's last answer. The Router also lowers the score as time passes; that decay is
     no evidence about the store and is not included.
     """
--- a/olivecourse/memory/uptake.py
+++ b/olivecourse/memory/uptake.py
@@ -17,7 +17,7 @@
 from olivecourse.state import Node
 
 DOUBT = 0.6  # minimum weight of a store's first answer after the start; each answer halves the minimum
-# Delay, at full weight of the record, before a restored failure score (`pain`) starts to decay. Without it a
+# Delay, at full weight of the record, before a restored error score (`pain`) starts to decay. Without it a
 # store that gets no requests would be trusted again within 3 s, and half of the attempts sent to stores with
 # a lasting fault were due to that. Any good answer ends the delay.
 HOLD_NS = 5_000_000_000
--- a/olivecourse/storm/guard.py
+++ b/olivecourse/storm/guard.py
@@ -114,29 +114,31 @@
 
     # Limits that the Router applies (interface.Limits) -------------------------------------------------
 
-    def admit(self, ask: w.Request, cost_ns: float, left_ns: float, open_: int) -> bool:
+    def admit(self, request: w.Request, cost_ns: float, left_ns: float, open_: int) -> bool:
         """Whether to accept a request; see `interface.Limits.admit`."""
-        self._open[ask.request] = OpenRequest(self._now, cost_ns, open_, ask.cls, ask.client, self._key(ask))
+        self._open[request.request] = OpenRequest(
+            self._now, cost_ns, open_, request.cls, request.client, self._key(request)
+        )
         if not self.monitor.storm:
             return True
-        cls = self._classes[ask.cls]
-        retry, weight = (self._is_retry, self._weight) if ask.request == self._request else (False, 1.0)
+        cls = self._classes[request.cls]
+        retry, weight = (self._is_retry, self._weight) if request.request == self._request else (False, 1.0)
         candidate = AdmissionRequest(cls.worth, max(cost_ns, 1.0), left_ns, cls.write, retry, weight)
         verdict = self.admission.admit(candidate, open_)
         if verdict is not Verdict.ADMIT:
             self.rejected[verdict.value] += 1
         return verdict is Verdict.ADMIT
 
-    def again(self, ask: w.Request, cache: int, source: int | None) -> bool:
+    def again(self, request: w.Request, cache: int, source: int | None) -> bool:
         """Whether the retry budgets allow another attempt after one through `cache` and `source` failed."""
         if not self.monitor.storm or self.budgets.spend(
-            self._bucket_names(ask.cls, cache, source), self._now
+            self._bucket_names(request.cls, cache, source), self._now
         ):
             return True
         self.rejected["budget"] += 1
         return False
 
-    def wait(self, ask: w.Request, longest_ns: int) -> int:
+    def wait(self, request: w.Request, longest_ns: int) -> int:
         """The Retry-After time for a refused request in ns, at most `longest_ns`."""
         if not self.monitor.storm:
             return longest_ns
@@ -174,8 +176,8 @@
                 self._failed(opened, now)
 
     @staticmethod
-    def _key(ask: w.Request) -> str:
-        return f"{ask.object}/{ask.part or 0}"
+    def _key(request: w.Request) -> str:
+        return f"{request.object}/{request.part or 0}"
 
     def _failed(self, opened: OpenRequest, now: int) -> None:
         if opened.client is not None:
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -228,11 +228,11 @@
     The server works in order of arrival, also for clients that have left, and stops from 15 s to 20 s.
     """
 
-    def __init__(self, guarded, ignores_retry_after, seed=5, marked=True):
+    def __init__(self, with_controller, ignores_retry_after, seed=5, marked=True):
         self.random, self.ignores_retry_after, self.marked = random.Random(seed), ignores_retry_after, marked
         classes = (w.RequestClass("read", 300 * MS, 0.0, S, effect=w.Effect.IDEMPOTENT),)
         router_settings = w.Settings(classes=classes, retry_after=True, max_retry_after_ns=S)
-        self.guard = Guard(Policy(), router_settings, 0, self.random.random) if guarded else None
+        self.guard = Guard(Policy(), router_settings, 0, self.random.random) if with_controller else None
         self.queue, self.open, self.good = [], {}, [0] * 400
         self.due = [(self.random.randrange(5 * S), c, 0) for c in range(300)]
         self.logged, self.count, self.longest_queue = [], 0, 0
@@ -242,7 +242,7 @@
         for now in range(0, seconds * S, 10 * MS):
             while self.due and self.due[0][0] <= now:
                 _, client, tries = heapq.heappop(self.due)
-                self.ask(client, tries, now)
+                self.send_request(client, tries, now)
             for name, (client, tries, since) in list(self.open.items()):
                 if now - since >= S:
                     self.end(name, now, w.ClientLeft(name))
@@ -258,9 +258,9 @@
                 self.logged += self.guard.went([], now)
         return self.good
 
-    def ask(self, client, tries, now):
+    def send_request(self, client, tries, now):
         self.count += 1
-        ask = w.Request(
+        request = w.Request(
             f"r{self.count}",
             0,
             object=f"o{client}",
@@ -268,16 +268,16 @@
             flags=w.Flag(2 if tries and self.marked else 0),
         )
         if self.guard is not None:
-            self.guard.came(ask, now)
-            if not self.guard.admit(ask, 10 * MS, S, len(self.open)):
-                wait = self.guard.wait(ask, S)
-                self.guard.went([w.Refuse(ask.request, wait)], now)
+            self.guard.came(request, now)
+            if not self.guard.admit(request, 10 * MS, S, len(self.open)):
+                wait = self.guard.wait(request, S)
+                self.guard.went([w.Refuse(request.request, wait)], now)
                 heapq.heappush(
                     self.due, (now + (10 * MS if self.ignores_retry_after else wait), client, tries + 1)
                 )
                 return
-        self.open[ask.request] = (client, tries, now)
-        self.queue.append(ask.request)
+        self.open[request.request] = (client, tries, now)
+        self.queue.append(request.request)
         self.longest_queue = max(self.longest_queue, len(self.queue))
 
     def end(self, name, now, event):
@@ -322,13 +322,13 @@
         end(name, now, event)
 
     office.end = count_served
-    ask = office.ask
+    send_request = office.send_request
 
     def half_noncompliant(client, tries, now):
         office.ignores_retry_after = client % 2 == 1
-        ask(client, tries, now)
+        send_request(client, tries, now)
 
-    office.ask = half_noncompliant
+    office.send_request = half_noncompliant
     office.play(26)
     assert min(served) > 0 and served[0] >= served[1], served
 
@@ -336,10 +336,12 @@
 def test_the_controller_limits_nothing_without_a_storm():
     guard = Office(True, False).guard
     for n in range(3000):
-        ask = w.Request(f"r{n}", 0, object="o")
-        guard.came(ask, n * 10 * MS)
-        assert guard.admit(ask, 10 * MS, S, 5) and guard.again(ask, 1, 2) and guard.wait(ask, S) == S
-        guard.came(w.AttemptEnded(ask.request, 0, 1, w.Status.SERVED, MS, True), n * 10 * MS + MS)
+        request = w.Request(f"r{n}", 0, object="o")
+        guard.came(request, n * 10 * MS)
+        assert (
+            guard.admit(request, 10 * MS, S, 5) and guard.again(request, 1, 2) and guard.wait(request, S) == S
+        )
+        guard.came(w.AttemptEnded(request.request, 0, 1, w.Status.SERVED, MS, True), n * 10 * MS + MS)
         assert guard.went([], n * 10 * MS + MS) == [] and not guard._open
 
 
