--- a/olivecourse/memory/grouping.py
+++ b/olivecourse/memory/grouping.py
@@ -23,7 +23,7 @@
 
     QUEUED = "queued"  # not yet passed to the disk
     WRITING = "writing"  # in the transaction that is in progress
-    SPENT = "spent"  # durable
+    SPENT = "spent"  # on disk
     ABANDONED = "abandoned"  # the order was refused during the write; the token is freed when the write ends
 
 
--- a/olivecourse/memory/keeper.py
+++ b/olivecourse/memory/keeper.py
@@ -23,7 +23,7 @@
 from olivecourse.net.worker import Worker
 
 MS = 1_000_000
-INTERVAL_CHECK_NS = 1_000 * MS  # a counting interval lasts five times as long
+INTERVAL_CHECK_NS = 1_000 * MS  # between checks for an ended counting interval, which lasts 5 s
 TICK_NS = 100 * MS
 RESTORE_TIMEOUT_NS = 2_000 * MS  # by then the stores are known, and the result of the restore can be logged
 STOP_S = 1.0  # longest time that the last write may delay the end of the process
@@ -123,7 +123,7 @@
     def _density(routers: list[TrackedRouter]) -> float:
         return max((s.router.density for s in routers), default=0.0)
 
-    # Time --------------------------------------------------------------------------------------------
+    # Timers ------------------------------------------------------------------------------------------
 
     def start(self) -> None:
         """Begins the periodic work on the event loop."""
