--- a/olivecourse/memory/__init__.py
+++ b/olivecourse/memory/__init__.py
@@ -1,5 +1,7 @@
-"""Memory across restarts: what a gateway has learned, kept in a folder and aged when it is read.
+"""State that a gateway keeps across restarts: what its Router has learned, and spent order tokens.
 
-`lessons`, `ageing`, `uptake`, `collect`, `schedule`, `generations` and `grouping` decide and touch nothing;
-`container` and `codec` turn lessons into bytes; `disk`, `folder`, `tokenstore` and `keeper` carry out.
+- Decisions, without a file, clock or thread: `lessons`, `ageing`, `uptake`, `collect`, `merging`, `schedule`,
+  `generations` and `grouping`.
+- Conversion of records to bytes and back: `container` and `codec`.
+- Input and output: `disk`, `folder`, `tokenstore` and `keeper`.
 """
