--- a/olivecourse/fronts/listener.py
+++ b/olivecourse/fronts/listener.py
@@ -14,7 +14,7 @@
 from olivecourse import interface as w
 from olivecourse.config.address import Address
 from olivecourse.net.loop import READ, Loop
-from olivecourse.net.ringbuf import ROOMY
+from olivecourse.net.ringbuf import MAX_IDLE_CAPACITY
 from olivecourse.net.stream import READS, Stream, listen
 
 MS = 1_000_000
@@ -154,7 +154,7 @@
     def _drop(self) -> None:
         for _ in range(READS):
             try:
-                if not self.sock.recv(ROOMY):
+                if not self.sock.recv(MAX_IDLE_CAPACITY):
                     self.close("closed by the other side")
                     return
             except (BlockingIOError, InterruptedError):
--- a/olivecourse/net/peers.py
+++ b/olivecourse/net/peers.py
@@ -1,4 +1,4 @@
-"""Short UDP messages between the gateways of a tier."""
+"""Short UDP messages between the gateways of one tier."""
 
 from __future__ import annotations
 
@@ -9,24 +9,35 @@
 from olivecourse.config.address import Address
 from olivecourse.net.loop import READ, Loop
 
-MOST = 256  # a longer datagram breaks the protocol
-READS = 64
+MAX_DATAGRAM_BYTES = 256  # bytes; a longer datagram violates the protocol
+READS_PER_TURN = 64  # datagrams read in one turn of the loop
 
 
 class Peers:
+    """The UDP socket for messages to and from the other gateways."""
+
     def __init__(
         self,
         loop: Loop,
         listen: Address,
         peers: list[Address],
-        everyone: Address | None,
+        group_address: Address | None,
         emit: Callable[[w.Event], None],
         log: Callable[..., None],
         shared: bool = False,
     ) -> None:
-        """`shared` lets another process bind the same address; the system then gives each a part."""
-        self._loop, self._peers, self._all, self._emit, self._log = loop, peers, everyone, emit, log
-        self._numbers = {address: i for i, address in enumerate(peers)}
+        """`peers` are the addresses by peer number, and `group_address` is the address of all peers.
+
+        `shared` lets another process bind the same address; the system then divides the datagrams among them.
+        """
+        self._loop, self._peers, self._group_address, self._emit, self._log = (
+            loop,
+            peers,
+            group_address,
+            emit,
+            log,
+        )
+        self._peer_numbers = {address: number for number, address in enumerate(peers)}
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
             if shared:
@@ -36,35 +47,36 @@
             self._sock.close()
             raise
         self._sock.setblocking(False)
-        loop.watch(self._sock, READ, self._ready)
+        loop.watch(self._sock, READ, self._on_readable)
 
-    def move(self, peers: list[Address], everyone: Address | None) -> None:
-        """The addresses of a new configuration."""
-        self._peers, self._all = peers, everyone
-        self._numbers = {address: i for i, address in enumerate(peers)}
+    def move(self, peers: list[Address], group_address: Address | None) -> None:
+        """Replaces the peer addresses by those of a new configuration."""
+        self._peers, self._group_address = peers, group_address
+        self._peer_numbers = {address: number for number, address in enumerate(peers)}
 
-    def _ready(self, mask: int) -> None:
-        for _ in range(READS):
+    def _on_readable(self, mask: int) -> None:
+        for _ in range(READS_PER_TURN):
             try:
-                data, sender = self._sock.recvfrom(MOST + 1)
+                data, sender = self._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except (BlockingIOError, InterruptedError):
                 return
-            except OSError as error:  # a peer that is down answers with an ICMP error
+            except OSError as error:  # the host of a peer that is down answers with an ICMP error
                 self._log("peer_error", why=str(error))
                 return
-            number = self._numbers.get(sender)
-            if number is None or len(data) > MOST:
+            number = self._peer_numbers.get(sender)
+            if number is None or len(data) > MAX_DATAGRAM_BYTES:
                 self._log("peer_datagram_dropped", sender=f"{sender[0]}:{sender[1]}", size=len(data))
                 continue
             self._emit(w.PeerMessage(number, data))
 
     def tell(self, action: w.TellPeer) -> None:
+        """Sends the message of a TellPeer action to one peer or to all; a failed send is only logged."""
         if action.peer == "all":
-            target = self._all
+            target = self._group_address
         else:
-            place = int(action.peer)
-            target = self._peers[place] if 0 <= place < len(self._peers) else None
-        if target is None or len(action.payload) > MOST:
+            number = int(action.peer)
+            target = self._peers[number] if 0 <= number < len(self._peers) else None
+        if target is None or len(action.payload) > MAX_DATAGRAM_BYTES:
             self._log("peer_message_not_sent", peer=str(action.peer), size=len(action.payload))
             return
         try:
@@ -73,5 +85,6 @@
             self._log("peer_error", why=str(error))
 
     def close(self) -> None:
+        """Closes the socket."""
         self._loop.forget(self._sock)
         self._sock.close()
--- a/olivecourse/net/ringbuf.py
+++ b/olivecourse/net/ringbuf.py
@@ -1,25 +1,27 @@
-"""A growing ring of bytes; each connection has one for each direction."""
+"""A growing ring buffer of bytes; each connection has one for each direction."""
 
 from __future__ import annotations
 
 import socket
 
-FIRST = 4096
-ROOMY = 65536  # an empty ring larger than this is given back: hundreds of idle connections must fit in memory
+INITIAL_CAPACITY = 4096
+# An empty buffer larger than this (in bytes) is replaced by a small one, since hundreds of idle connections
+# must fit in memory.
+MAX_IDLE_CAPACITY = 65536
 
 
 class BufferFull(Exception):
-    """The ring may grow no further."""
+    """The buffer has reached its size limit."""
 
 
 class RingBuffer:
-    """Bytes in order of arrival, up to `limit`."""
+    """A first-in, first-out byte buffer that grows up to `limit` bytes."""
 
     __slots__ = ("_data", "_head", "_size", "limit")
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
-        self._data = bytearray(min(FIRST, limit))
+        self._data = bytearray(min(INITIAL_CAPACITY, limit))
         self._head = self._size = 0
 
     def __len__(self) -> int:
@@ -27,20 +29,21 @@
 
     @property
     def capacity(self) -> int:
+        """The allocated size in bytes."""
         return len(self._data)
 
-    def _grow(self, need: int) -> None:
-        if need > self.limit:
-            raise BufferFull(f"{need} bytes in a buffer of {self.limit}")
-        wider = len(self._data)
-        while wider < need:
-            wider *= 2
-        data = bytearray(min(wider, self.limit))
+    def _grow(self, required: int) -> None:
+        if required > self.limit:
+            raise BufferFull(f"{required} bytes in a buffer of {self.limit}")
+        new_capacity = len(self._data)
+        while new_capacity < required:
+            new_capacity *= 2
+        data = bytearray(min(new_capacity, self.limit))
         data[: self._size] = self.peek(self._size)
         self._data, self._head = data, 0
 
     def write(self, data: bytes) -> None:
-        """Appends all of it or raises BufferFull and appends nothing."""
+        """Appends all of `data`, or raises BufferFull and appends nothing."""
         if self._size + len(data) > len(self._data):
             self._grow(self._size + len(data))
         start = (self._head + self._size) % len(self._data)
@@ -50,46 +53,52 @@
         self._size += len(data)
 
     def receive(self, sock: socket.socket) -> int:
-        """Reads once from the socket: 0 means closed, a negative count that no more is there."""
-        if len(self._data) - self._size < FIRST // 2 and len(self._data) < self.limit:
+        """Reads once from the socket and returns the number of bytes read.
+
+        0 means that the peer has closed. A negated count means that the read was shorter than the free space,
+        so that the socket is empty now.
+        """
+        if len(self._data) - self._size < INITIAL_CAPACITY // 2 and len(self._data) < self.limit:
             self._grow(min(2 * len(self._data), self.limit))
         if self._size == len(self._data):
-            raise BufferFull(f"{self._size} bytes that nobody could use")
+            raise BufferFull(f"buffer full: {self._size} bytes that could not be parsed")
         start = (self._head + self._size) % len(self._data)
         end = self._head if start < self._head else len(self._data)
-        with memoryview(self._data) as view, view[start:end] as part:
-            room = len(part)
-            got = sock.recv_into(part)
-        self._size += got
-        return got if got == room else -got
+        with memoryview(self._data) as view, view[start:end] as free_space:
+            free_bytes = len(free_space)
+            received = sock.recv_into(free_space)
+        self._size += received
+        return received if received == free_bytes else -received
 
     def send(self, sock: socket.socket) -> int:
-        """Writes once to the socket what it takes."""
+        """Writes once to the socket, removes the bytes that the socket accepted and returns their count."""
         end = min(self._head + self._size, len(self._data))
-        with memoryview(self._data) as view, view[self._head : end] as part:
-            sent = sock.send(part)
+        with memoryview(self._data) as view, view[self._head : end] as free_space:
+            sent = sock.send(free_space)
         self.skip(sent)
         return sent
 
-    def peek(self, count: int, at: int = 0) -> bytes:
-        """Up to `count` bytes from the place `at`, left where they are."""
-        count = max(min(count, self._size - at), 0)
-        start = (self._head + at) % len(self._data)
+    def peek(self, count: int, offset: int = 0) -> bytes:
+        """Returns up to `count` bytes from position `offset` without removing them."""
+        count = max(min(count, self._size - offset), 0)
+        start = (self._head + offset) % len(self._data)
         first = min(count, len(self._data) - start)
         return bytes(self._data[start : start + first]) + bytes(self._data[: count - first])
 
     def shrink(self) -> None:
-        """Gives room back that an empty ring does not need just now."""
-        if not self._size and len(self._data) > FIRST:
-            self._data, self._head = bytearray(FIRST), 0
+        """Frees the additional memory of an empty buffer."""
+        if not self._size and len(self._data) > INITIAL_CAPACITY:
+            self._data, self._head = bytearray(INITIAL_CAPACITY), 0
 
     def skip(self, count: int) -> None:
+        """Removes the first `count` bytes."""
         self._size -= count
         self._head = (self._head + count) % len(self._data) if self._size else 0
-        if not self._size and len(self._data) > ROOMY:
-            self._data = bytearray(FIRST)
+        if not self._size and len(self._data) > MAX_IDLE_CAPACITY:
+            self._data = bytearray(INITIAL_CAPACITY)
 
     def take(self, count: int) -> bytes:
+        """Removes and returns up to `count` bytes."""
         data = self.peek(count)
         self.skip(len(data))
         return data
--- a/olivecourse/net/seam.py
+++ b/olivecourse/net/seam.py
@@ -1,6 +1,6 @@
-"""The seam between forwarders and planners over a local socket: batches of events one way, actions the other.
+"""The link between forwarders and planners over a Unix socket: events go to the planner, actions come back.
 
-Each batch is a line of JSON: the clock, then [type, field, ...] for each event or action.
+Each batch is one line of JSON: the sender's clock, then [type, field, ...] for each event or action.
 """
 
 from __future__ import annotations
@@ -20,11 +20,12 @@
 from olivecourse.net.stream import Stream, listen_unix
 
 MS = 1_000_000
-MOST = 8 * 2**20
-AGAIN_NS = 200 * MS
-SILENT_NS = 1_000 * MS  # a Router answers its own tick of 100 ms: silence for longer is a planner that hangs
+MAX_BATCH_BYTES = 8 * 2**20
+RECONNECT_DELAY_NS = 200 * MS
+# The Router sets a timer every 100 ms, so a planner that is silent for longer than this hangs.
+SILENCE_TIMEOUT_NS = 1_000 * MS
 
-KINDS: dict[str, type] = {
+MESSAGE_TYPES: dict[str, type] = {
     kind.__name__: kind
     for kind in (
         w.CacheList,
@@ -51,7 +52,7 @@
         w.Member,
     )
 }
-READERS: dict[str, Callable[[Any], Any]] = {
+FIELD_DECODERS: dict[str, Callable[[Any], Any]] = {
     "Status": w.Status,
     "Note": w.Note,
     "Flag": w.Flag,
@@ -63,69 +64,78 @@
 }
 
 
-def _plain(value: Any) -> Any:
+def _encode_field(value: Any) -> Any:
     if isinstance(value, w.Status | w.State | w.ListKind):
         return value.value
     if isinstance(value, bytes):
         return b64encode(value).decode()
     if isinstance(value, tuple):
-        return [pack(v) if isinstance(v, w.Member) else v for v in value]
+        return [encode_message(v) if isinstance(v, w.Member) else v for v in value]
     return value
 
 
-def pack(one: Any) -> list[Any]:
-    return [type(one).__name__, *(_plain(getattr(one, f.name)) for f in dataclasses.fields(one))]
+def encode_message(message: Any) -> list[Any]:
+    """Converts an event, an action or a member to a JSON array: its type's name, then its fields in order."""
+    return [
+        type(message).__name__,
+        *(_encode_field(getattr(message, f.name)) for f in dataclasses.fields(message)),
+    ]
 
 
 def unpack(row: Any) -> Any:
-    kind = KINDS[row[0]]
-    slots = dataclasses.fields(kind)
-    if len(slots) != len(row) - 1:
-        raise ValueError(f"{row[0]} has {len(slots)} fields")
+    """Rebuilds the object from the array that `encode_message` made; raises ValueError or KeyError."""
+    kind = MESSAGE_TYPES[row[0]]
+    fields = dataclasses.fields(kind)
+    if len(fields) != len(row) - 1:
+        raise ValueError(f"{row[0]} has {len(fields)} fields")
     return kind(
         *(
-            READERS[str(f.type)](v) if str(f.type) in READERS and v is not None else v
-            for f, v in zip(slots, row[1:], strict=True)
+            FIELD_DECODERS[str(f.type)](v) if str(f.type) in FIELD_DECODERS and v is not None else v
+            for f, v in zip(fields, row[1:], strict=True)
         )
     )
 
 
-def write_batch(now: int, rows: Sequence[Any]) -> bytes:
-    return json.dumps([now, [pack(r) for r in rows]], separators=(",", ":")).encode() + b"\n"
+def write_batch(now: int, messages: Sequence[Any]) -> bytes:
+    """Encodes the clock `now` (nanoseconds) and the events or actions as one line."""
+    return json.dumps([now, [encode_message(r) for r in messages]], separators=(",", ":")).encode() + b"\n"
 
 
 class LineStream(Stream):
-    """Both ends: whole lines in, batches out."""
+    """A connection that decodes received lines into batches; the common base of both ends."""
 
     def __init__(self, loop: Loop, sock: socket.socket, log: Callable[..., None], connecting: bool) -> None:
         self.log = log
-        self._part = bytearray()
-        super().__init__(loop, sock, 2**20, MOST, connecting)
+        self._partial_line = bytearray()
+        super().__init__(loop, sock, 2**20, MAX_BATCH_BYTES, connecting)
 
     def received(self) -> None:
-        self._part += self.inbox.take(len(self.inbox))
-        *lines, rest = self._part.split(b"\n")
-        self._part = bytearray(rest)
+        self._partial_line += self.inbox.take(len(self.inbox))
+        *lines, rest = self._partial_line.split(b"\n")
+        self._partial_line = bytearray(rest)
         for line in lines:
             try:
-                now, rows = json.loads(line)
-                batch = [unpack(row) for row in rows]
+                now, messages = json.loads(line)
+                batch = [unpack(row) for row in messages]
             except (ValueError, KeyError, TypeError, IndexError) as error:
                 self.log("seam_broken", why=repr(error)[:120])
                 self.close("broken batch")
                 return
-            self.got(int(now), batch)
-        if len(self._part) > MOST:
+            self.batch_received(int(now), batch)
+        if len(self._partial_line) > MAX_BATCH_BYTES:
             self.close("batch too long")
 
-    def got(self, now: int, batch: list[Any]) -> None:
+    def batch_received(self, now: int, batch: list[Any]) -> None:
+        """Called with each batch and the clock of its sender."""
         raise NotImplementedError
 
 
-class _ToPlanner(LineStream):
+class _PlannerConnection(LineStream):
+    """A forwarder's connection to its planner."""
+
     def __init__(self, owner: RemotePlanner) -> None:
         self.owner = owner
-        self.heard = owner.loop.clock.now()
+        self.last_received_ns = owner.loop.clock.now()
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         sock.setblocking(False)
         try:
@@ -135,83 +145,92 @@
             raise
         super().__init__(owner.loop, sock, owner.log, False)
 
-    def got(self, now: int, batch: list[Any]) -> None:
-        self.heard = self.loop.clock.now()
-        self.owner.act(batch)
+    def batch_received(self, now: int, batch: list[Any]) -> None:
+        self.last_received_ns = self.loop.clock.now()
+        self.owner.on_actions(batch)
 
     def closed(self, why: str) -> None:
-        self.owner.lost(why)
+        self.owner.connection_lost(why)
 
 
 class RemotePlanner:
-    """A forwarder's end. `lost` is called once for each loss, `joined` for each connection."""
+    """A forwarder's end of the link, which reconnects after each loss.
+
+    `on_connected` is called for each connection, `on_disconnected` once for each lost one, and `on_actions`
+    for each batch of actions.
+    """
 
     def __init__(
         self,
         loop: Loop,
         path: str,
-        act: Callable[[list[Any]], None],
-        joined: Callable[[], None],
-        left: Callable[[], None],
+        on_actions: Callable[[list[Any]], None],
+        on_connected: Callable[[], None],
+        on_disconnected: Callable[[], None],
         log: Callable[..., None],
     ) -> None:
-        self.loop, self.path, self.act, self.log = loop, path, act, log
-        self._joined, self._left, self._stopped = joined, left, False
-        self.stream: _ToPlanner | None = None
+        self.loop, self.path, self.on_actions, self.log = loop, path, on_actions, log
+        self._on_connected, self._on_disconnected, self._stopped = on_connected, on_disconnected, False
+        self.stream: _PlannerConnection | None = None
         self._connect()
-        self._watch()
+        self._check_silence()
 
     def _connect(self) -> None:
         if self._stopped:
             return
         try:
-            self.stream = _ToPlanner(self)
+            self.stream = _PlannerConnection(self)
         except OSError as error:
             self.log("planner_unreachable", why=str(error))
-            self.loop.after(AGAIN_NS, self._connect)
+            self.loop.after(RECONNECT_DELAY_NS, self._connect)
             return
-        self._joined()
+        self._on_connected()
 
-    def _watch(self) -> None:
-        if self.stream is not None and self.loop.clock.now() - self.stream.heard > SILENT_NS:
+    def _check_silence(self) -> None:
+        if (
+            self.stream is not None
+            and self.loop.clock.now() - self.stream.last_received_ns > SILENCE_TIMEOUT_NS
+        ):
             self.stream.close("silent")
         if not self._stopped:
-            self.loop.after(SILENT_NS // 4, self._watch)
+            self.loop.after(SILENCE_TIMEOUT_NS // 4, self._check_silence)
 
-    def lost(self, why: str) -> None:
+    def connection_lost(self, why: str) -> None:
+        """Handles the loss of the connection: reports it and schedules a new one."""
         self.stream = None
         if self._stopped:
             return
         self.log("planner_lost", why=why)
-        self._left()
-        self.loop.after(AGAIN_NS, self._connect)
+        self._on_disconnected()
+        self.loop.after(RECONNECT_DELAY_NS, self._connect)
 
     def send(self, events: Sequence[w.Event], now: int) -> bool:
-        """Whether a planner is there to decide."""
+        """Sends events to the planner and returns whether one is connected."""
         if self.stream is None:
             return False
         self.stream.write(write_batch(now, events))
         return self.stream is not None
 
     def close(self) -> None:
+        """Closes the connection for good."""
         self._stopped = True
         if self.stream is not None:
             self.stream.close("end")
 
 
-class _FromForwarder(LineStream):
-    """One forwarder, and the Router that decides for it."""
+class _ForwarderConnection(LineStream):
+    """The connection of one forwarder, with the planner that decides for it."""
 
     def __init__(self, server: PlannerServer, sock: socket.socket) -> None:
         self.server = server
         self.planner: Planner | None = None
         super().__init__(server.loop, sock, server.log, False)
 
-    def got(self, now: int, batch: list[Any]) -> None:
+    def batch_received(self, now: int, batch: list[Any]) -> None:
         actions: list[w.Action] = []
         if self.planner is None:
             self.planner = Planner(self.server.settings, now, self.log)
-            self.server.made(self.planner)
+            self.server.on_planner_created(self.planner)
             actions += self.planner.start()
         actions += self.planner.decide(batch, now)
         if actions:
@@ -220,12 +239,15 @@
     def closed(self, why: str) -> None:
         self.server.streams.discard(self)
         if self.planner is not None:
-            self.server.gone(self.planner)
+            self.server.on_planner_removed(self.planner)
         self.log("forwarder_left", why=why)
 
 
 class PlannerServer:
-    """A planner as a process of its own."""
+    """Serves forwarders in a separate planner process: each connection gets a Planner of its own.
+
+    `on_planner_created` and `on_planner_removed` are called as forwarders connect and disconnect.
+    """
 
     def __init__(
         self,
@@ -233,14 +255,14 @@
         path: str,
         settings: w.Settings,
         log: Callable[..., None],
-        made: Callable[[Planner], None] = lambda unused: None,
-        gone: Callable[[Planner], None] = lambda unused: None,
+        on_planner_created: Callable[[Planner], None] = lambda unused: None,
+        on_planner_removed: Callable[[Planner], None] = lambda unused: None,
     ) -> None:
         self.loop, self.path, self.settings, self.log = loop, path, settings, log
-        self.made, self.gone = made, gone
-        self.streams: set[_FromForwarder] = set()
+        self.on_planner_created, self.on_planner_removed = on_planner_created, on_planner_removed
+        self.streams: set[_ForwarderConnection] = set()
         if os.path.exists(path) and stat.S_ISSOCK(os.stat(path).st_mode):
-            os.unlink(path)  # left by a planner that was killed
+            os.unlink(path)  # the socket file of a planner that was killed
         self._sock = listen_unix(path, 16)
         loop.watch(self._sock, READ, self._accept)
 
@@ -250,9 +272,10 @@
         except OSError:
             return
         sock.setblocking(False)
-        self.streams.add(_FromForwarder(self, sock))
+        self.streams.add(_ForwarderConnection(self, sock))
 
     def close(self) -> None:
+        """Stops listening, closes all connections and removes the socket file."""
         self.loop.forget(self._sock)
         self._sock.close()
         for stream in list(self.streams):
--- a/olivecourse/net/stores.py
+++ b/olivecourse/net/stores.py
@@ -1,4 +1,4 @@
-"""Connections to stores, parents and the origin, and the line protocol spoken on them."""
+"""Connections to stores, parents and the origin, and the line protocol on them."""
 
 from __future__ import annotations
 
@@ -17,15 +17,18 @@
 from olivecourse.net.stream import Stream
 
 MS = 1_000_000
-MOST_LINE = 2048
-WAIT_TOGETHER = 16
-QUIET_NS = 500 * MS
-# Answers arrive in one go, within 0.4 ms of their first byte as measured; one that stops short never ends.
-STUCK_NS, STUCK_MOST_NS = 250 * MS, 2_000 * MS  # without a further byte, and at all
-LOST_NS = 150 * MS  # an attempt given up after so long, with nothing heard since it went, lost its answer
-NEAR_NS = 50 * MS  # the module gives up a little before the time is over
+MAX_LINE_BYTES = 2048
+MAX_WAITING_WHILE_CONNECTING = 16  # attempts that share a connection which is still connecting
+SILENCE_NS = 500 * MS  # a connection that received data within this time counts as alive
+# The whole response was measured to arrive within 0.4 ms of its first byte; a response that stops in between
+# never ends. The first limit is the time without a further byte, the second the time for the whole response.
+RESPONSE_PROGRESS_TIMEOUT_NS, RESPONSE_TIMEOUT_NS = 250 * MS, 2_000 * MS
+# If an attempt is cancelled after this time and the store has sent nothing since the attempt was sent, its
+# response is lost.
+LOST_RESPONSE_NS = 150 * MS
+DEADLINE_MARGIN_NS = 50 * MS  # the decision module cancels attempts a little before their deadline
 TAG = re.compile(r"[0-9A-Za-z_.-]{1,64}")
-MOST_BODY = 240_000
+MOST_BODY = 240_000  # bytes
 STATUSES = {
     "data": w.Status.SERVED,
     "unchanged": w.Status.SERVED,
@@ -46,7 +49,7 @@
     "NO_FILL": w.Note.NO_FILL_PLACE,
     "ORIGIN_ERR": w.Note.ORIGIN_FAILED,
 }
-HOWS = (
+FILL_OPTION_WORDS = (
     (w.How.JOIN, "coalesce"),
     (w.How.HELD_ONLY, "shallow"),
     (w.How.NO_PARENT_COPY, "transit"),
@@ -56,7 +59,7 @@
 
 @dataclass(frozen=True)
 class Limits:
-    """What the settings and the descriptor limit allow."""
+    """Timeouts in nanoseconds and connection counts that the settings and the descriptor limit allow."""
 
     connect_ns: int
     idle_ns: int
@@ -65,7 +68,8 @@
     total: int
 
 
-def _fields(text: str) -> dict[str, str]:
+def _parse_fields(text: str) -> dict[str, str]:
+    """Parses `name=value,name=value`, or `-` for no fields; raises ValueError."""
     if text == "-":
         return {}
     if text.count("=") != text.count(",") + 1:
@@ -73,240 +77,261 @@
     return dict(pair.split("=", 1) for pair in text.split(","))
 
 
-def _promised(attempt: Attempt, word: str, named: dict[str, str], size: int) -> bool:
-    """Whether an answer carries what the protocol says it does: a spoilt one must not pass for a good one."""
-    if word not in ("data", "unchanged"):
+def _has_required_fields(attempt: Attempt, status_word: str, fields: dict[str, str], size: int) -> bool:
+    """Returns whether a response has the fields and the body that its status word requires.
+
+    A damaged response must not be taken for a good one.
+    """
+    if status_word not in ("data", "unchanged"):
         return not size
     entry = attempt.entry
-    if word == "unchanged" and (size or not entry.holds or entry.cls.write):
+    if status_word == "unchanged" and (size or not entry.holds or entry.cls.write):
         return False
-    # The archive's answer to an order is no copy: it has neither a tag nor an age.
+    # The origin's response to a write is not a copy, so it has neither a tag nor an age.
     return entry.cls.write or (
-        TAG.fullmatch(named.get("version", "")) is not None and named.get("stamp", "").isdecimal()
+        TAG.fullmatch(fields.get("version", "")) is not None and fields.get("stamp", "").isdecimal()
     )
 
 
-def _whole(text: str | None) -> int | None:
+def _parse_int(text: str | None) -> int | None:
     return int(float(text)) if text else None
 
 
 def read_report(text: str, fields: tuple[str, ...]) -> tuple[float | None, ...] | None:
-    """A load report `name:value;name:value` in the order of the settings' fields. None where it can't be
-    read: the answer is none the worse for it."""
+    """Parses a load report `name:value;name:value` into the values of `fields`, in their order.
+
+    Returns None for an unreadable report, which does not invalidate the response.
+    """
     try:
-        told = {
+        values = {
             REPORTED.get(name, name): float(value)
             for name, value in (pair.split(":") for pair in text.split(";"))
         }
     except ValueError:
         return None
-    return tuple(told.get(name) for name in fields) if all(map(math.isfinite, told.values())) else None
+    return tuple(values.get(name) for name in fields) if all(map(math.isfinite, values.values())) else None
 
 
 class StoreStream(Stream):
-    """One connection: many requests, answers in any order."""
+    """One connection to a store, with several requests at a time and responses in any order."""
 
     def __init__(self, pool: Pool, cache: int, address: Address) -> None:
         self.pool, self.cache, self.address = pool, cache, address
         self.waiting: deque[Attempt] = deque()
-        self.out: dict[str, Attempt] = {}
-        self.spent = False  # an answer never came: nothing new is asked here, and it ends when it is empty
-        self._part_since = 0  # when the answer that is still incomplete began; 0 if there is none
-        self._head: tuple[str, str, dict[str, str], int] | None = None
+        self.in_flight: dict[str, Attempt] = {}
+        # True once a response was lost: no new request is sent here, and the connection closes when idle.
+        self.spent = False
+        self._incomplete_since = 0  # when the still incomplete response began to arrive; 0 if there is none
+        self._response_head: tuple[str, str, dict[str, str], int] | None = None
         self._pumping = False
-        self.writing: Attempt | None = None  # whose bytes are being handed to the system
-        self._partly = False  # the system has not yet taken the last byte of an attempt
+        self.writing: Attempt | None = None  # the attempt whose bytes are being written to the socket
+        self._partly = False  # the socket has not yet accepted the last byte of an attempt
         self.fault = ""
         super().__init__(
-            pool.loop, Stream.connect(pool.loop, address), MOST_BODY + 4 * MOST_LINE, 2**20, connecting=True
+            pool.loop,
+            Stream.connect(pool.loop, address),
+            MOST_BODY + 4 * MAX_LINE_BYTES,
+            2**20,
+            connecting=True,
         )
-        self.deadline = self.loop.after(pool.limits.connect_ns, self._late)
+        self.connect_timer = self.loop.after(pool.limits.connect_ns, self._on_connect_timeout)
         self.idle_since = self.heard = self.loop.clock.now()
 
     @property
     def load(self) -> int:
-        return len(self.out) + len(self.waiting)
+        """The number of attempts sent or waiting on this connection."""
+        return len(self.in_flight) + len(self.waiting)
 
-    def _late(self) -> None:
-        # Guards against a machine that vanished: nothing answers, not even a refusal.
+    def _on_connect_timeout(self) -> None:
+        # Guards against a host that has vanished and so neither accepts nor refuses the connection.
         if self.connecting:
             self.close("connect timed out")
 
     def opened(self) -> None:
-        self.deadline.cancel()
-        self.pump()
+        self.connect_timer.cancel()
+        self.send_waiting()
         if not self.load:
-            self.pool.relieve(self)
+            self.pool.move_waiting_to(self)
 
     def drained(self) -> None:
         if self._partly:
             self._partly = False
             self.pool.sends += 1
-        self.pump()
+        self.send_waiting()
 
-    def pump(self) -> None:
-        """Sends what waits, each only once the line before it has left and after a last look at the rules.
+    def send_waiting(self) -> None:
+        """Sends waiting attempts, each after the previous one has left and after a last check of the rules.
 
-        Not while sockets' handlers run: clients who have left, and notices, may come later in the same turn.
+        The attempts are sent after the socket handlers of this turn have run, since these may still report
+        disconnected clients, or changes from discovery, that make an attempt void.
         """
         if self.waiting and not self._pumping and not self.connecting:
-            self.loop.soon(self._pump)
+            self.loop.soon(self._send_waiting)
 
-    def _pump(self) -> None:
+    def _send_waiting(self) -> None:
         if self._pumping or self.connecting:
             return
         self._pumping = True
         try:
             while self.waiting and self.open and not len(self.outbox):
                 if self.waiting[0].entry.cls.effect is w.Effect.AT_MOST_ONCE:
-                    self.read()  # the store may have closed: then nothing of it ran, and a send would hide it
+                    # If the store has closed already, the attempt has certainly not run; after a send, that
+                    # would no longer be known.
+                    self.read()
                     if not self.open or not self.waiting:
                         continue
                 attempt = self.waiting.popleft()
                 if not attempt.ended:
-                    attempt.entry.reply.look()  # its client may have left while we were held up
+                    attempt.entry.reply.look()  # the client may have disconnected while the attempt waited
                 if attempt.ended:
                     continue
                 if not self.pool.may_go(attempt):
                     attempt.place = None
                     self.pool.ledger.end(attempt, w.Status.NOT_SENT)
                     continue
-                if not self._go(attempt):
+                if not self._send_attempt(attempt):
                     break
-        finally:  # a fault must not leave the connection asleep for good
+        finally:  # after a fault, the connection must still be able to send
             self._pumping = False
 
-    def _go(self, attempt: Attempt) -> bool:
-        """Whether a byte of it left, or the connection broke; else it waits on, to be looked at again."""
+    def _send_attempt(self, attempt: Attempt) -> bool:
+        """Sends an attempt and returns whether a byte of it was sent or the connection was closed.
+
+        Otherwise the attempt goes back to the head of the queue and is checked again before the next try.
+        """
         request = attempt.entry.ask.request
-        self.out[request] = attempt
+        self.in_flight[request] = attempt
         attempt.entry.asked_on.append(self)
         self.pool.ledger.goes(attempt)
         self.writing = attempt
         self._partly = True
-        gone = self.offer(self.pool.request(attempt))
+        any_sent = self.offer(self.pool.encode_request(attempt))
         self.writing = None
-        if not gone and self.open:
-            del self.out[request]
+        if not any_sent and self.open:
+            del self.in_flight[request]
             attempt.entry.asked_on.remove(self)
             self.pool.ledger.never_went(attempt)
             self._partly = False
             self.waiting.appendleft(attempt)
-        return gone or not self.open
+        return any_sent or not self.open
 
     def received(self) -> None:
         self.heard = self.loop.clock.now()
-        taken = self._answers()
-        if not self.open or self._head is None and not len(self.inbox):
-            self._part_since = 0
-        elif taken or not self._part_since:
-            self._part_since = self.heard
-            self.loop.after(STUCK_NS, self._stuck)
-
-    def _stuck(self) -> None:
-        """Guards against an answer that stops short, behind which nothing more can be read."""
-        if not self.open or not self._part_since:
+        completed = self._read_responses()
+        if not self.open or self._response_head is None and not len(self.inbox):
+            self._incomplete_since = 0
+        elif completed or not self._incomplete_since:
+            self._incomplete_since = self.heard
+            self.loop.after(RESPONSE_PROGRESS_TIMEOUT_NS, self._check_incomplete)
+
+    def _check_incomplete(self) -> None:
+        """Closes the connection if a response stays incomplete, since no later response can then be read."""
+        if not self.open or not self._incomplete_since:
             return
         now = self.loop.clock.now()
-        if now - self.heard >= STUCK_NS or now - self._part_since >= STUCK_MOST_NS:
-            self._broken("an answer stops short")
+        if (
+            now - self.heard >= RESPONSE_PROGRESS_TIMEOUT_NS
+            or now - self._incomplete_since >= RESPONSE_TIMEOUT_NS
+        ):
+            self._close_broken("an answer stops short")
         else:
-            self.loop.after(STUCK_NS, self._stuck)
+            self.loop.after(RESPONSE_PROGRESS_TIMEOUT_NS, self._check_incomplete)
 
-    def _answers(self) -> int:
-        """Takes all whole answers, and counts them."""
-        taken = 0
+    def _read_responses(self) -> int:
+        """Processes all complete responses in the inbox and returns their number."""
+        completed = 0
         while self.open:
-            if self._head is None:
-                line = self.inbox.peek(MOST_LINE)
+            if self._response_head is None:
+                line = self.inbox.peek(MAX_LINE_BYTES)
                 end = line.find(b"\r\n")
                 if end < 0:
-                    if len(line) >= MOST_LINE:
-                        self._broken("line too long")
+                    if len(line) >= MAX_LINE_BYTES:
+                        self._close_broken("line too long")
                     break
                 self.inbox.skip(end + 2)
                 try:
-                    request, word, fields, length = line[:end].decode("ascii").split(" ")
-                    self._head = (request, word, _fields(fields), int(length))
-                    if word not in STATUSES or not 0 <= self._head[3] <= MOST_BODY:
-                        raise ValueError(word)
+                    request, status_word, fields_text, length = line[:end].decode("ascii").split(" ")
+                    self._response_head = (request, status_word, _parse_fields(fields_text), int(length))
+                    if status_word not in STATUSES or not 0 <= self._response_head[3] <= MOST_BODY:
+                        raise ValueError(status_word)
                 except ValueError:
-                    self._broken(repr(line[: min(end, 60)]))
+                    self._close_broken(repr(line[: min(end, 60)]))
                     break
-            request, word, named, size = self._head
+            request, status_word, fields, size = self._response_head
             if len(self.inbox) < size + 2:
                 break
             body = self.inbox.take(size)
             if self.inbox.take(2) != b"\r\n":
-                self._broken("no line end after the body")
+                self._close_broken("no line end after the body")
                 break
-            self._head = None
-            taken += 1
-            self._answer(request, word, named, body)
-        return taken
+            self._response_head = None
+            completed += 1
+            self._handle_response(request, status_word, fields, body)
+        return completed
 
-    def _broken(self, what: str) -> None:
-        self.fault = what
+    def _close_broken(self, reason: str) -> None:
+        self.fault = reason
         self.close("broken answer")
 
-    def _answer(self, request: str, word: str, named: dict[str, str], body: bytes) -> None:
-        attempt = self.out.get(request)
-        if attempt is None:  # late, a second copy, or an id that was never asked here
+    def _handle_response(self, request: str, status_word: str, fields: dict[str, str], body: bytes) -> None:
+        attempt = self.in_flight.get(request)
+        if attempt is None:  # a late response, a duplicate, or an id that was never sent on this connection
             return
-        if not _promised(attempt, word, named, len(body)):
-            self._broken(f"{word} without what it promises")
+        if not _has_required_fields(attempt, status_word, fields, len(body)):
+            self._close_broken(f"{status_word} lacks required fields")
             return
-        del self.out[request]
-        self._idle()
+        del self.in_flight[request]
+        self._check_idle()
         try:
-            wait, note = _whole(named.get("took")), NOTES.get(named.get("n", ""), w.Note.NONE)
+            wait_ms, note = _parse_int(fields.get("took")), NOTES.get(fields.get("n", ""), w.Note.NONE)
         except (ValueError, OverflowError):
-            wait, note = None, w.Note.NONE
-        told = named.get("l")
-        report = read_report(told, self.pool.reports) if told and self.pool.reports else None
+            wait_ms, note = None, w.Note.NONE
+        report_text = fields.get("l")
+        report = read_report(report_text, self.pool.reports) if report_text and self.pool.reports else None
         self.pool.ledger.end(
             attempt,
-            STATUSES[word],
+            STATUSES[status_word],
             note,
-            None if wait is None else wait * MS,
+            None if wait_ms is None else wait_ms * MS,
             body,
-            named.get("version"),
-            word == "unchanged",
+            fields.get("version"),
+            status_word == "unchanged",
             report,
         )
 
-    def _idle(self) -> None:
+    def _check_idle(self) -> None:
         if not self.load:
             self.idle_since = self.loop.clock.now()
-            self.pool.relieve(self)
-            if self.spent:  # not at once: an answer in the midst of this turn may still be read
-                self.loop.after(0, lambda: None if self.load else self.close("an answer never came"))
+            self.pool.move_waiting_to(self)
+            if self.spent:  # closed in the next turn, as this turn may still read responses from the inbox
+                self.loop.after(0, lambda: None if self.load else self.close("a response never arrived"))
 
     def abort(self, attempt: Attempt) -> None:
+        """Cancels an attempt: sends `abort` if the attempt was sent, else removes it from the queue."""
         request = attempt.entry.ask.request
-        if self.out.get(request) is attempt:
-            del self.out[request]
+        if self.in_flight.get(request) is attempt:
+            del self.in_flight[request]
             now = self.loop.clock.now()
-            # Guards against a connection that has lost its place: nothing new is asked on it any more.
+            # Guards against a connection whose responses no longer arrive: no new request is sent on it.
             age = now - attempt.sent_at
             self.spent |= (
-                now >= attempt.deadline - NEAR_NS
-                and age > NEAR_NS
+                now >= attempt.deadline - DEADLINE_MARGIN_NS
+                and age > DEADLINE_MARGIN_NS
                 or self.heard < attempt.sent_at
-                and age > LOST_NS
+                and age > LOST_RESPONSE_NS
             )
             self.write(f"abort {request}\r\n".encode())
         elif attempt in self.waiting:
             self.waiting.remove(attempt)
-        self._idle()
+        self._check_idle()
 
     def closed(self, why: str) -> None:
-        self.deadline.cancel()
-        self.pool.lost(self, why)
+        self.connect_timer.cancel()
+        self.pool.connection_closed(self, why)
 
 
 class Pool:
-    """All connections to all stores; bounded by the descriptor limit."""
+    """The connections to all stores, bounded by the descriptor limit."""
 
     def __init__(
         self,
@@ -318,18 +343,21 @@
         reports: tuple[str, ...],
         log: Callable[..., None],
     ) -> None:
-        """`reports` names the fields of load reports, none where answers hold none."""
+        """`classes` are the names of the request classes, `reports` the fields of load reports, if any."""
         self.reports = reports
         self.loop, self.directory, self.ledger, self.limits = loop, directory, ledger, limits
         self.log = log
         self.classes = classes
         self._stores: dict[int, list[StoreStream]] = {}
         self.count = 0
-        self.sends = 0  # attempts whose last byte the system took, since the start
+        self.sends = 0  # attempts whose last byte the socket has accepted, since the start
         self._sweep()
 
     def may_go(self, attempt: Attempt) -> bool:
-        """The last look before the first byte: drains of the store and of the source, and the ledger's."""
+        """Returns whether an attempt may still be sent, checked immediately before its first byte.
+
+        The store and the source must not be drained, and the request itself must still allow the attempt.
+        """
         source = attempt.source
         return (
             self.directory.ready(attempt.action.cache)
@@ -337,66 +365,76 @@
             and self.ledger.may_go(attempt)
         )
 
-    def request(self, attempt: Attempt) -> bytes:
-        act, entry, names = attempt.action, attempt.entry, self.directory.names
-        left = max(attempt.deadline - self.loop.clock.now(), MS) // MS
-        ask = entry.ask
-        named = [
-            f"sort={self.classes[ask.cls]}",
-            f"asset={ask.object}",
-            f"slice={ask.part or 0}",
-            f"patience={left}",
+    def encode_request(self, attempt: Attempt) -> bytes:
+        """Encodes the `fetch` line and the body of an attempt."""
+        fetch_action, entry, names = attempt.action, attempt.entry, self.directory.names
+        remaining_ms = max(attempt.deadline - self.loop.clock.now(), MS) // MS
+        request_event = entry.ask
+        fields = [
+            f"sort={self.classes[request_event.cls]}",
+            f"asset={request_event.object}",
+            f"slice={request_event.part or 0}",
+            f"patience={remaining_ms}",
         ]
-        if isinstance(act, w.ReadThrough):
+        if isinstance(fetch_action, w.ReadThrough):
             if attempt.source is not None:
-                named.append(f"fetch={names[attempt.source]}")  # which may_go has just found ready
-            if act.rank:
-                named.append(f"retain={act.rank}")
-            if act.max_age_ns:
-                # Rounded down and counted from now, so that a wait never lets an older copy through.
-                named.append(f"newer={max(act.max_age_ns // MS, 1)}")
-            if act.how:
-                named.append("handle=" + "+".join(word for bit, word in HOWS if act.how & bit))
+                fields.append(f"fetch={names[attempt.source]}")  # may_go has just found the source ready
+            if fetch_action.rank:
+                fields.append(f"retain={fetch_action.rank}")
+            if fetch_action.max_age_ns:
+                # The age limit is rounded down and counts from now: a delay must never admit an older copy.
+                fields.append(f"newer={max(fetch_action.max_age_ns // MS, 1)}")
+            if fetch_action.how:
+                fields.append(
+                    "handle=" + "+".join(name for bit, name in FILL_OPTION_WORDS if fetch_action.how & bit)
+                )
         if entry.key:
-            named.append(f"{STORE_IDEMPOTENCY_KEY}={entry.key}")
+            fields.append(f"{STORE_IDEMPOTENCY_KEY}={entry.key}")
         if entry.holds and not entry.cls.write:
-            named.append(f"holds={entry.holds}")
-        return f"fetch {ask.request} {','.join(named)} {len(entry.body)}\r\n".encode() + entry.body + b"\r\n"
+            fields.append(f"holds={entry.holds}")
+        return (
+            f"fetch {request_event.request} {','.join(fields)} {len(entry.body)}\r\n".encode()
+            + entry.body
+            + b"\r\n"
+        )
 
     def send(self, attempt: Attempt) -> None:
+        """Queues an attempt on a connection to its store, or fails it if there can be none."""
         stream = self._pick(attempt)
         if stream is None:
             self.ledger.end(attempt, w.Status.CONNECT_FAILED)
             return
         attempt.place = stream
         stream.waiting.append(attempt)
-        stream.pump()
+        stream.send_waiting()
 
     def abort(self, attempt: Attempt) -> None:
+        """Cancels an attempt on the connection that carries it."""
         if isinstance(attempt.place, StoreStream):
             attempt.place.abort(attempt)
 
     def _pick(self, attempt: Attempt) -> StoreStream | None:
-        """The least busy connection that was never asked this id; a new one while there is room."""
+        """Returns the least loaded connection that has not carried this request, or a new one."""
         cache, asked_on = attempt.action.cache, attempt.entry.asked_on
         address = self.directory.addresses.get(cache)
         if address is None:
             return None
         streams = self._stores.setdefault(cache, [])
-        # Never twice on one connection: a second copy of the first answer would pass for the second's.
-        fit = [
+        # A request id is never sent twice on one connection: a duplicate of the first attempt's response
+        # would be taken for the response to the second attempt.
+        candidates = [
             s
             for s in streams
             if not s.spent and s.address == address and s not in asked_on and s.load < self.limits.streams
         ]
-        best = min(fit, key=lambda s: (s.load, s.connecting), default=None)
-        # A store that no connection reaches may have vanished: what waits for one connection learns it
-        # together and soon, where a connection each would start the time-out anew for every attempt.
-        unproven = best is not None and best.connecting and all(s.connecting for s in streams)
+        best = min(candidates, key=lambda s: (s.load, s.connecting), default=None)
+        # A store with no established connection may have vanished. Attempts that wait together on one
+        # connection then fail together and early; a new connection for each would restart the timeout.
+        unconfirmed = best is not None and best.connecting and all(s.connecting for s in streams)
         if best is not None and (
             not best.load
-            or unproven
-            and best.load < WAIT_TOGETHER
+            or unconfirmed
+            and best.load < MAX_WAITING_WHILE_CONNECTING
             or len(streams) >= self.limits.per_store
             or self.count >= self.limits.total
         ):
@@ -407,28 +445,31 @@
             stream = StoreStream(self, cache, address)
         except OSError as error:
             self.log("store_connect_failed", store=self.directory.names.get(cache), why=str(error))
-            return best  # out of descriptors, say: what is open can still be used
+            return best  # for example when out of descriptors: the open connections are still usable
         streams.append(stream)
         self.count += 1
         return stream
 
-    def relieve(self, free: StoreStream) -> None:
-        """Gives a connection with nothing on it what waits for another one of its store to come up."""
-        if free.connecting or free.spent or not free.open:
+    def move_waiting_to(self, idle_stream: StoreStream) -> None:
+        """Moves one attempt from a connection of the same store that is still connecting to `idle_stream`."""
+        if idle_stream.connecting or idle_stream.spent or not idle_stream.open:
             return
-        for late in self._stores.get(free.cache, ()):
-            if not late.connecting or late.address != free.address:
+        for connecting_stream in self._stores.get(idle_stream.cache, ()):
+            if not connecting_stream.connecting or connecting_stream.address != idle_stream.address:
                 continue
-            moved = next((a for a in late.waiting if not a.ended and free not in a.entry.asked_on), None)
+            moved = next(
+                (a for a in connecting_stream.waiting if not a.ended and idle_stream not in a.entry.asked_on),
+                None,
+            )
             if moved is not None:
-                late.waiting.remove(moved)
-                moved.place = free
-                free.waiting.append(moved)
-                free.pump()
+                connecting_stream.waiting.remove(moved)
+                moved.place = idle_stream
+                idle_stream.waiting.append(moved)
+                idle_stream.send_waiting()
                 return
 
-    def lost(self, stream: StoreStream, why: str) -> None:
-        """Ends what was on a connection: what had gone out may have run, what waited never did."""
+    def connection_closed(self, stream: StoreStream, why: str) -> None:
+        """Ends the attempts of a closed connection: those sent may have run, those still waiting have not."""
         self.count -= 1
         streams = self._stores.get(stream.cache, [])
         if stream in streams:
@@ -440,43 +481,44 @@
                 "store_connection_lost",
                 store=self.directory.names.get(stream.cache),
                 why=why,
-                out=len(stream.out),
+                out=len(stream.in_flight),
                 waiting=len(stream.waiting),
             )
         waiting, stream.waiting = list(stream.waiting), deque()
-        out, stream.out = list(stream.out.values()), {}
+        in_flight, stream.in_flight = list(stream.in_flight.values()), {}
         for attempt in waiting:
             attempt.place = None
             self.ledger.end(attempt, w.Status.CONNECT_FAILED)
-        for attempt in out:
-            # The one whose first byte the system would not take has not left.
-            never = stream.unsent and attempt is stream.writing
-            self.ledger.end(attempt, w.Status.CONNECT_FAILED if never else w.Status.RESET)
+        for attempt in in_flight:
+            # The attempt whose first byte the socket did not accept has not been sent.
+            not_sent = stream.unsent and attempt is stream.writing
+            self.ledger.end(attempt, w.Status.CONNECT_FAILED if not_sent else w.Status.RESET)
 
     def _sweep(self) -> None:
-        """Closes connections before the store would: a request that crosses such a close may have run."""
-        self.loop.after(250 * MS, self._sweep)  # first, so that a fault below does not end it for good
+        """Closes idle connections before the store does: a request crossing the store's close may have run."""
+        self.loop.after(250 * MS, self._sweep)  # first, so that a fault below does not end the sweeps
         now = self.loop.clock.now()
         for cache, streams in list(self._stores.items()):
-            gone = cache not in self.directory.states
+            unlisted = cache not in self.directory.states
             for stream in list(streams):
-                old = gone or stream.spent or stream.address != self.directory.addresses.get(cache)
-                if not stream.load and (old or now - stream.idle_since > self.limits.idle_ns):
+                obsolete = unlisted or stream.spent or stream.address != self.directory.addresses.get(cache)
+                if not stream.load and (obsolete or now - stream.idle_since > self.limits.idle_ns):
                     stream.close("idle")
             if not streams:
                 del self._stores[cache]
 
-    def drop(self, cache: int, when: int) -> None:
-        """The store died at `when` at the latest: older connections that are silent never answer any more.
+    def drop(self, cache: int, died_at: int) -> None:
+        """Closes silent connections to a store that died at the time `died_at` at the latest.
 
-        Guards against attempts that wait till their deadlines for a machine that vanished without a reset.
+        Guards against attempts that wait until their deadlines for a host that vanished without a reset.
         """
-        quiet = self.loop.clock.now() - QUIET_NS
+        silent_since = self.loop.clock.now() - SILENCE_NS
         for stream in list(self._stores.get(cache, ())):
-            if stream.heard < min(when, quiet):
+            if stream.heard < min(died_at, silent_since):
                 stream.close("its store is gone")
 
     def close_idle(self, cache: int) -> None:
+        """Closes the connections to a store that carry no attempt."""
         for stream in list(self._stores.get(cache, ())):
             if not stream.load:
                 stream.close("idle")
--- a/olivecourse/net/stream.py
+++ b/olivecourse/net/stream.py
@@ -1,4 +1,4 @@
-"""A non-blocking TCP connection with one ring buffer a direction."""
+"""Listening sockets, and non-blocking stream connections with one ring buffer for each direction."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from olivecourse.net.loop import READ, WRITE, Loop
 from olivecourse.net.ringbuf import BufferFull, RingBuffer
 
-READS = 16  # a turn's reads from one connection: a flood on one must not starve the others
+READS = 16  # reads from one connection in one turn: a flood on one connection must not starve the others
 
 
 def listen(address: Address, shared: bool = False) -> socket.socket:
-    """A listening socket; `shared` lets another process listen at the same address (SO_REUSEPORT)."""
+    """Returns a listening socket; `shared` lets another process listen at the same address (SO_REUSEPORT)."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        # A restart finds the connections of its predecessor lingering on the address.
+        # After a restart, connections of the previous process may still be in TIME_WAIT on the address.
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         if shared:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
@@ -30,12 +30,12 @@
     return sock
 
 
-def listen_unix(name: str, backlog: int) -> socket.socket:
-    """A listening Unix socket that only this user may connect to; raises OSError."""
+def listen_unix(path: str, backlog: int) -> socket.socket:
+    """Returns a listening Unix socket to which only this user may connect; raises OSError."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
     try:
-        sock.bind(name)
-        os.chmod(name, 0o600)
+        sock.bind(path)
+        os.chmod(path, 0o600)
         sock.listen(backlog)
         sock.setblocking(False)
     except OSError:
@@ -45,24 +45,36 @@
 
 
 class Stream:
-    """Subclasses fill in `opened`, `received` and `closed`; `closed` comes exactly once."""
+    """A connection watched by the loop.
+
+    Subclasses override `opened`, `received` and `closed`; `closed` is called exactly once, unless the socket
+    is detached.
+    """
 
     def __init__(
-        self, loop: Loop, sock: socket.socket, most_in: int, most_out: int, connecting: bool = False
+        self,
+        loop: Loop,
+        sock: socket.socket,
+        max_inbox_bytes: int,
+        max_outbox_bytes: int,
+        connecting: bool = False,
     ) -> None:
         self.loop, self.sock = loop, sock
-        self.inbox, self.outbox = RingBuffer(most_in), RingBuffer(most_out)
+        self.inbox, self.outbox = RingBuffer(max_inbox_bytes), RingBuffer(max_outbox_bytes)
         self.connecting, self.open = connecting, True
         self.reads = READS
-        self.unsent = False  # closed because the system took not a byte of the last write
-        self._blocked = False  # something waits for the system to take bytes again, and is not in the outbox
+        self.unsent = False  # closed because the socket accepted no byte of the last write
+        self._blocked = False  # data refused by `offer`, which is not in the outbox, waits for writability
         self._mask = WRITE if connecting else READ
         loop.watch(sock, self._mask, self._ready)
 
     @staticmethod
     def connect(loop: Loop, address: Address) -> socket.socket:
-        """A socket whose connection is under way; raises OSError where it is refused at once, or where there
-        is no descriptor for it and the loop's owner has none to spare."""
+        """Returns a socket that is connecting.
+
+        Raises OSError if the connection is refused at once, or if no file descriptor is available and the
+        loop's owner cannot free one.
+        """
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         except OSError as error:
@@ -77,16 +89,22 @@
             raise OSError(code, "connect")
         return sock
 
-    def opened(self) -> None: ...
+    def opened(self) -> None:
+        """Called once when an outgoing connection is established."""
+        ...
 
-    def received(self) -> None: ...
+    def received(self) -> None:
+        """Called after each read that has added bytes to `inbox`."""
+        ...
 
-    def closed(self, why: str) -> None: ...
+    def closed(self, why: str) -> None:
+        """Called once when the connection has been closed, with the reason."""
+        ...
 
     def _ready(self, mask: int) -> None:
         try:
             self._handle(mask)
-        except Exception as error:  # a fault that stayed would come again with every turn
+        except Exception as error:  # without the close, the fault would occur again in every turn
             self.close(f"fault: {type(error).__name__}")
             raise
 
@@ -106,13 +124,14 @@
             self.read()
 
     def read(self) -> None:
+        """Reads available bytes into `inbox`, in at most `reads` reads, and calls `received` after each."""
         for _ in range(self.reads):
             try:
                 got = self.inbox.receive(self.sock)
             except (BlockingIOError, InterruptedError):
                 return
-            except BufferFull as full:
-                self.close(str(full))
+            except BufferFull as error:
+                self.close(str(error))
                 return
             except OSError as error:
                 self.close(errno.errorcode.get(error.errno or 0, "error"))
@@ -121,16 +140,16 @@
                 self.close("closed by the other side")
                 return
             self.received()
-            # A short read emptied the socket: asking again would only cost a call and an exception.
+            # A short read has emptied the socket; another one would only cost a system call and an exception.
             if got < 0 or not self.open:
                 return
 
     def write(self, data: bytes) -> None:
-        """Queues the bytes and sends what the socket takes; a full buffer closes the connection."""
+        """Sends the bytes and queues those that the socket does not accept; closes if the queue is full."""
         if not self.open:
             return
         if not self.connecting and not len(self.outbox):
-            # Straight to the system, which mostly takes all: the ring is for what it does not take.
+            # The socket mostly accepts all bytes at once; only the rest goes through the ring buffer.
             sent = self._send(data)
             if not self.open:
                 return
@@ -138,11 +157,14 @@
                 self.drained()
                 return
             data = data[sent:] if sent else data
-        self._keep(data)
+        self._queue(data)
 
     def offer(self, data: bytes) -> bool:
-        """As `write`, but nothing is kept where the system takes not a byte now: then False, and `drained`
-        comes once it may take some. For what must not leave later than it was looked at."""
+        """Like `write`, but queues nothing and returns False if the socket accepts no byte now.
+
+        `drained` is then called once the socket is writable again. Used for data that is checked immediately
+        before its first byte is sent and must be checked again after a delay.
+        """
         if not self.open or self.connecting or len(self.outbox):
             return False
         sent = self._send(data)
@@ -151,13 +173,13 @@
             self._want()
             return False
         if self.open and sent < len(data):
-            self._keep(data[sent:])
+            self._queue(data[sent:])
         elif self.open:
             self.drained()
         return True
 
     def _send(self, data: bytes) -> int:
-        """How many bytes the system took; the stream is closed where it failed."""
+        """Returns how many bytes the socket accepted; closes the stream if the send fails."""
         try:
             return self.sock.send(data)
         except (BlockingIOError, InterruptedError):
@@ -167,16 +189,17 @@
             self.close(errno.errorcode.get(error.errno or 0, "error"))
             return 0
 
-    def _keep(self, data: bytes) -> None:
+    def _queue(self, data: bytes) -> None:
         try:
             self.outbox.write(data)
-        except BufferFull as full:
-            self.close(str(full))
+        except BufferFull as error:
+            self.close(str(error))
             return
         if not self.connecting:
             self._want()
 
     def flush(self) -> None:
+        """Sends as much of the outbox as the socket accepts."""
         self._blocked = False
         try:
             while len(self.outbox):
@@ -191,7 +214,7 @@
             self.drained()
 
     def drained(self) -> None:
-        """Everything written is with the system."""
+        """Called when all written bytes are sent, or the socket is writable again after a refused `offer`."""
 
     def _want(self) -> None:
         mask = READ | (WRITE if len(self.outbox) or self._blocked else 0)
@@ -200,12 +223,13 @@
             self.loop.change(self.sock, mask, self._ready)
 
     def detach(self) -> socket.socket:
-        """Lets go of the socket without closing it, for another owner; `closed` does not come."""
+        """Stops watching the socket and returns it open, for another owner; `closed` is not called."""
         self.open = False
         self.loop.forget(self.sock)
         return self.sock
 
     def close(self, why: str = "done") -> None:
+        """Closes the connection and calls `closed`; has no effect if the connection is closed already."""
         if not self.open:
             return
         self.open = False
--- a/olivecourse/net/worker.py
+++ b/olivecourse/net/worker.py
@@ -1,4 +1,4 @@
-"""A thread for what must block, beside the loop: jobs go in one at a time, results come back on the loop."""
+"""A thread for blocking jobs beside the event loop: jobs run one at a time, results return on the loop."""
 
 from __future__ import annotations
 
@@ -15,27 +15,28 @@
 
 
 class Worker:
-    """Runs jobs in order. `most` waiting ones are taken, more are turned away."""
+    """Runs jobs in order on one daemon thread, which starts with the first job."""
 
     def __init__(self, loop: Loop, name: str, most: int = 16) -> None:
-        self._loop, self._name, self._most = loop, name, most
+        """`name` is the name of the thread; at most `max_pending` jobs wait for it."""
+        self._loop, self._name, self._max_pending = loop, name, most
         self._jobs: deque[tuple[Job, Done]] = deque()
         self._results: deque[tuple[Done, Any, Exception | None]] = deque()
-        self._ready = threading.Condition()
+        self._condition = threading.Condition()
         self._stopping = False
         self._thread: threading.Thread | None = None
-        self._wakes, self._woken = socket.socketpair()
-        self._wakes.setblocking(False)
-        self._woken.setblocking(False)
-        loop.watch(self._woken, READ, self._back)
+        self._wake_sender, self._wake_receiver = socket.socketpair()
+        self._wake_sender.setblocking(False)
+        self._wake_receiver.setblocking(False)
+        loop.watch(self._wake_receiver, READ, self._on_wake)
 
     def submit(self, job: Job, done: Done) -> bool:
-        """Whether the job was taken. `done(result, error)` is called on the loop."""
-        with self._ready:
-            if self._stopping or len(self._jobs) >= self._most:
+        """Queues the job and returns whether it was accepted; `done(result, error)` is called on the loop."""
+        with self._condition:
+            if self._stopping or len(self._jobs) >= self._max_pending:
                 return False
             self._jobs.append((job, done))
-            self._ready.notify()
+            self._condition.notify()
         if self._thread is None:
             self._thread = threading.Thread(target=self._run, name=self._name, daemon=True)
             self._thread.start()
@@ -43,49 +44,51 @@
 
     def _run(self) -> None:
         while True:
-            with self._ready:
+            with self._condition:
                 while not self._jobs and not self._stopping:
-                    self._ready.wait()
+                    self._condition.wait()
                 if not self._jobs:
                     return
                 job, done = self._jobs.popleft()
             result: Any = None
-            fault: Exception | None = None
+            job_error: Exception | None = None
             try:
                 result = job()
-            except Exception as error:  # told on the loop: a job's fault must not end the thread
-                fault = error
-            self._results.append((done, result, fault))
+            except Exception as error:  # reported on the loop: a job's fault must not end the thread
+                job_error = error
+            self._results.append((done, result, job_error))
             try:
-                self._wakes.send(b"\0")
-            except OSError:  # full: the loop is woken already; closed: nobody waits any more
+                self._wake_sender.send(b"\0")
+            except OSError:  # the socket is full, so the loop wakes up anyway, or closed, so nothing waits
                 pass
 
-    def _back(self, mask: int) -> None:
+    def _on_wake(self, mask: int) -> None:
         try:
-            self._woken.recv(4096)
+            self._wake_receiver.recv(4096)
         except (BlockingIOError, InterruptedError):
             return
         self.settle()
 
     def settle(self) -> None:
-        """Hands over the results that are there."""
+        """Calls the `done` callbacks of all finished jobs."""
         while self._results:
-            done, result, fault = self._results.popleft()
-            done(result, fault)
+            done, result, job_error = self._results.popleft()
+            done(result, job_error)
 
     def stop(self, timeout_s: float) -> bool:
-        """Lets what was taken end, for `timeout_s` seconds at most; whether it did. A job that hangs on a
-        disk is left behind: the thread does not keep the process alive."""
-        with self._ready:
+        """Waits up to `timeout_s` seconds for the accepted jobs and returns whether all have ended.
+
+        A job that hangs on a disk is abandoned: the daemon thread does not keep the process alive.
+        """
+        with self._condition:
             self._stopping = True
-            self._ready.notify()
+            self._condition.notify()
         if self._thread is not None:
             self._thread.join(timeout_s)
         self.settle()
         ended = self._thread is None or not self._thread.is_alive()
-        self._loop.forget(self._woken)
-        self._woken.close()
+        self._loop.forget(self._wake_receiver)
+        self._wake_receiver.close()
         if ended:
-            self._wakes.close()
+            self._wake_sender.close()
         return ended
