--- a/olivecourse/fronts/codec.py
+++ b/olivecourse/fronts/codec.py
@@ -1,4 +1,4 @@
-"""Frames of the platform's Thrift service, by the library's compiled codec."""
+"""Encodes and decodes frames of the Thrift service, with the compiled codec of the Thrift library."""
 
 from __future__ import annotations
 
@@ -9,11 +9,13 @@
 from thrift.Thrift import TType
 from thrift.transport.TTransport import TMemoryBuffer
 
-MOST_FRAME = 64 * 1024  # a write carries at most 48,000 bytes, and the fields are short
-_MAP = (TType.STRING, "UTF8", TType.STRING, "UTF8", False)
+MAX_FRAME_BYTES = 64 * 1024  # bytes: a write has a body of at most 48,000 bytes, and the fields are short
+_MAP_SPEC = (TType.STRING, "UTF8", TType.STRING, "UTF8", False)
 
 
 class Struct:
+    """Base class of the Thrift structs; the constructor takes the fields of `thrift_spec` by keyword."""
+
     thrift_spec: Any = ()
 
     def __init__(self, **values: Any) -> None:
@@ -23,40 +25,50 @@
 
 
 class ServeArgs(Struct):
+    """Arguments of the method `serve`: the request fields and the body."""
+
     fields: dict[str, str] | None = None
     body: bytes | None = None
 
     def __init__(self, fields: dict[str, str] | None = None, body: bytes | None = None) -> None:
         self.fields, self.body = fields, body
 
-    thrift_spec = (None, (1, TType.MAP, "fields", _MAP, None), (2, TType.STRING, "body", "BINARY", None))
+    thrift_spec = (None, (1, TType.MAP, "fields", _MAP_SPEC, None), (2, TType.STRING, "body", "BINARY", None))
 
 
 class ForgetArgs(Struct):
+    """Argument of the method `forget`: the sequence number of the request to cancel."""
+
     seqid: int | None
     thrift_spec = (None, (1, TType.I32, "seqid", None, None))
 
 
 class IsWellArgs(Struct):
+    """Argument of the health check `isWell`."""
+
     thrift_spec = (None, (1, TType.BOOL, "unused", None, None))
 
 
 class Answer(Struct):
+    """The successful response of `serve` and `isWell`."""
+
     thrift_spec = (
         None,
         (1, TType.STRING, "body", "BINARY", None),
-        (2, TType.MAP, "fields", _MAP, None),
+        (2, TType.MAP, "fields", _MAP_SPEC, None),
         (3, TType.BOOL, "good", None, None),
     )
 
 
 class Refusal(Struct):
-    """Both exceptions, Backoff and Lost, have this form."""
+    """The common form of both Thrift exceptions, Backoff (refused) and Lost (failed)."""
 
-    thrift_spec = (None, (1, TType.MAP, "fields", _MAP, None))
+    thrift_spec = (None, (1, TType.MAP, "fields", _MAP_SPEC, None))
 
 
 class Result(Struct):
+    """The result of a call: either a successful response or one of the two exceptions."""
+
     thrift_spec = (
         (0, TType.STRUCT, "success", [Answer, Answer.thrift_spec], None),
         (1, TType.STRUCT, "refused", [Refusal, Refusal.thrift_spec], None),
@@ -65,13 +77,13 @@
 
 
 class Fault(Struct):
-    """An application exception."""
+    """A Thrift application exception (TApplicationException)."""
 
     thrift_spec = (None, (1, TType.STRING, "message", "UTF8", None), (2, TType.I32, "type", None, None))
 
 
 def encode(name: str, kind: int, number: int, value: Struct) -> bytes:
-    """A whole frame."""
+    """Encodes a message as one frame with its length prefix."""
     buffer = TMemoryBuffer()
     protocol = TBinaryProtocolAccelerated(buffer)
     protocol.writeMessageBegin(name, kind, number)
@@ -80,67 +92,73 @@
     return len(data).to_bytes(4, "big") + data
 
 
-# The frequent answers have one shape, so their frames are put together from its parts: through the library
-# each took 20 us to write, of 300 us in all for a request.
+# The frequent responses have a fixed layout, so their frames are assembled from constant parts. Encoding a
+# response by the library took 20 us of the 300 us that a whole request takes.
 _HEAD = b"\x80\x01\x00\x02\x00\x00\x00\x05serve"
 _SUCCESS, _REFUSED, _FAILED = b"\x0c\x00\x00", b"\x0c\x00\x01", b"\x0c\x00\x02"
 _BODY, _GOOD_END = b"\x0b\x00\x01", b"\x02\x00\x03\x01\x00\x00"
-_NUMBER = struct.Struct(">i")
+_INT32 = struct.Struct(">i")
 
 
-def _map(place: int, fields: dict[str, str]) -> bytes:
-    out = [struct.pack(">BhBBi", TType.MAP, place, TType.STRING, TType.STRING, len(fields))]
+def _encode_map(field_id: int, fields: dict[str, str]) -> bytes:
+    """Encodes a map of texts as the struct field with the id `field_id`."""
+    chunks = [struct.pack(">BhBBi", TType.MAP, field_id, TType.STRING, TType.STRING, len(fields))]
     for text in (text for pair in fields.items() for text in pair):
         data = text.encode()
-        out += (_NUMBER.pack(len(data)), data)
-    return b"".join(out)
+        chunks += (_INT32.pack(len(data)), data)
+    return b"".join(chunks)
 
 
 def answer_frame(number: int, body: bytes, fields: dict[str, str]) -> bytes:
-    """A served answer; the same bytes as `encode` gives for its Result."""
-    named = _map(2, fields)
-    size = len(_HEAD) + 4 + 3 + 3 + 4 + len(body) + len(named) + len(_GOOD_END)
+    """Encodes a successful `serve` response, to the same bytes as `encode` does for its Result."""
+    encoded_fields = _encode_map(2, fields)
+    size = len(_HEAD) + 4 + 3 + 3 + 4 + len(body) + len(encoded_fields) + len(_GOOD_END)
     return b"".join(
         (
-            _NUMBER.pack(size),
+            _INT32.pack(size),
             _HEAD,
-            _NUMBER.pack(number),
+            _INT32.pack(number),
             _SUCCESS,
             _BODY,
-            _NUMBER.pack(len(body)),
+            _INT32.pack(len(body)),
             body,
-            named,
+            encoded_fields,
             _GOOD_END,
         )
     )
 
 
 def refusal_frame(number: int, refused: bool, fields: dict[str, str]) -> bytes:
-    """A Backoff or a Lost; the same bytes as `encode` gives for its Result."""
-    data = b"".join((_HEAD, _NUMBER.pack(number), _REFUSED if refused else _FAILED, _map(1, fields), b"\0\0"))
-    return _NUMBER.pack(len(data)) + data
+    """Encodes the exception Backoff (if `refused`) or Lost, to the same bytes as `encode` for its Result."""
+    data = b"".join(
+        (_HEAD, _INT32.pack(number), _REFUSED if refused else _FAILED, _encode_map(1, fields), b"\0\0")
+    )
+    return _INT32.pack(len(data)) + data
+
 
+# One protocol object decodes all frames, since creating one costs more than decoding a frame.
+_PROTOCOL = TBinaryProtocolAccelerated(TMemoryBuffer(), container_length_limit=64)
 
-# One protocol object serves all frames: making one costs more than reading a frame with it.
-_READER = TBinaryProtocolAccelerated(TMemoryBuffer(), container_length_limit=64)
 
+def decode(frame: bytes, argument_types: dict[str, type[Struct]]) -> tuple[str, int, int, Struct | None]:
+    """Decodes a frame (without its length prefix) into method, message type, sequence number and arguments.
 
-def decode(frame: bytes, kinds: dict[str, type[Struct]]) -> tuple[str, int, int, Struct | None]:
-    """The method, message type, number and arguments; None for a method that is not known."""
+    The arguments are None for an unknown method. Invalid bytes raise ValueError or a library exception.
+    """
     if len(frame) < 12 or frame[:3] != b"\x80\x01\x00":
         raise ValueError("not strict binary")
     end = 8 + int.from_bytes(frame[4:8], "big")
     if end > min(len(frame) - 4, 72):
         raise ValueError("name too long")
     name, kind = frame[8:end].decode(), frame[3]
-    number = _NUMBER.unpack_from(frame, end)[0]
-    if name not in kinds:
+    number = _INT32.unpack_from(frame, end)[0]
+    if name not in argument_types:
         return name, kind, number, None
-    value = kinds[name]()
-    # The limits guard against a few hostile bytes that announce gigabytes.
-    _READER.string_length_limit = len(frame)
-    _READER.trans = TMemoryBuffer(frame[end + 4 :])
-    _READER._fast_decode(value, _READER, [kinds[name], value.thrift_spec])
+    value = argument_types[name]()
+    # The length limits guard against a short malicious frame that announces gigabytes of data.
+    _PROTOCOL.string_length_limit = len(frame)
+    _PROTOCOL.trans = TMemoryBuffer(frame[end + 4 :])
+    _PROTOCOL._fast_decode(value, _PROTOCOL, [argument_types[name], value.thrift_spec])
     return name, kind, number, value
 
 
--- a/olivecourse/fronts/listener.py
+++ b/olivecourse/fronts/listener.py
@@ -1,4 +1,4 @@
-"""What both fronts share: the listening socket, the clients on it, and how long they may say nothing."""
+"""Common base of the Thrift and HTTP servers: the listening socket, client connections and their timeouts."""
 
 from __future__ import annotations
 
@@ -19,139 +19,157 @@
 
 MS = 1_000_000
 SWEEP_NS = 200 * MS
-FIRST_NS = 2_300 * MS  # to a first whole request; with the sweep under the 3 s that any client is owed
-PART_NS, PART_MOST_NS = 2_300 * MS, 6_000 * MS  # for the rest of one begun: with nothing open, and at all
-IDLE_NS = 5_000 * MS  # between two requests; well-behaved clients leave after 4 s
-YOUNG_NS = 100 * MS  # a connection so new may still be about to ask
-LINGER_NS = 500 * MS  # lingering close: for a client to see our end and close its own
-AGAIN_NS = 50 * MS  # until the next try to accept, where no descriptor could be had for a newcomer
+# The time until the first complete request. Together with the sweep interval, it stays below the 3 s which
+# every client must be given.
+FIRST_NS = 2_300 * MS
+# The time for the rest of an incomplete request: while no other request is open, and in any case.
+PARTIAL_REQUEST_TIMEOUT_NS, MAX_PARTIAL_REQUEST_TIMEOUT_NS = 2_300 * MS, 6_000 * MS
+IDLE_NS = 5_000 * MS  # the time between two requests; well-behaved clients close after 4 s
+MIN_EVICTION_AGE_NS = 100 * MS  # a connection younger than this may still be about to send its first request
+LINGER_NS = 500 * MS  # how long a lingering close waits for the client to close its side
+ACCEPT_RETRY_NS = 50 * MS  # the delay before accepting again after no file descriptor was available
 
 
-def hung_up(sock: socket.socket) -> bool:
-    """Whether the other side has ended, however much that it wrote before is still unread."""
-    look = select.poll()
-    look.register(sock, select.POLLRDHUP)
-    return bool(look.poll(0))
+def has_peer_closed(sock: socket.socket) -> bool:
+    """Returns whether the peer has closed its sending side, even if data from it is still unread."""
+    poller = select.poll()
+    poller.register(sock, select.POLLRDHUP)
+    return bool(poller.poll(0))
 
 
-class Taker(Protocol):
-    """The core, as fronts see it."""
+class RequestCore(Protocol):
+    """The request core, as the servers see it."""
 
     def take(
         self, ask: w.Request, body: bytes, holds: str | None, reply: Any, key: str | None = None
-    ) -> None: ...
+    ) -> None:
+        """Accepts a request, which is answered through `reply`; `holds` is the tag of the client's copy."""
+        ...
 
-    def leave(self, request: str) -> None: ...
+    def leave(self, request: str) -> None:
+        """Ends the request with this id because its client no longer waits for it."""
+        ...
 
-    def turned_away(self, cls: int) -> None: ...
+    def turned_away(self, cls: int) -> None:
+        """Counts a request of the class `cls` that the server refused without accepting it."""
+        ...
 
 
-class Heir(Protocol):
-    """Where one client's connection went, or came from: another process of this gateway."""
+class HandoverPeer(Protocol):
+    """Another process of this gateway that has taken over a client's connection, or has handed it over."""
 
     def answer(self, number: int, frame: bytes) -> None:
-        """The frame that ends a number which is still open here."""
+        """Passes on the response frame of a sequence number that is open in the other process."""
         ...
 
     def forget(self, number: int) -> None:
-        """The client stopped waiting for a number that is open there."""
+        """Reports that the client cancelled a sequence number that is open in the other process."""
         ...
 
     def gone(self) -> None:
-        """The client has left."""
+        """Reports that the client has disconnected."""
         ...
 
 
 @dataclass(frozen=True)
 class Handed:
-    """A client's connection in the state in which it changes hands."""
+    """The state of a client's connection when it is handed over to another process."""
 
-    last: int  # the highest number so far
-    taken: int  # requests that could be read
-    open: list[int]  # numbers whose answers are still to come from elsewhere
-    read: bytes  # come and not yet used
-    unsent: bytes  # answers, or the rest of one, that the client has not taken
+    last: int  # the highest sequence number so far
+    taken: int  # the number of valid requests
+    open: list[int]  # sequence numbers whose responses are still to come from another process
+    read: bytes  # received but not yet processed
+    unsent: bytes  # responses, or the rest of one, that the socket has not accepted
 
 
 class Client(Stream):
-    """One client's connection; subclasses call `settle` whenever what is open on it has changed."""
+    """One client's connection; subclasses call `update_group` whenever the set of open requests has changed."""
 
     def __init__(self, front: Listener, sock: socket.socket, most_in: int, most_out: int) -> None:
-        self.owner = front
-        self.since = front.loop.clock.now()
-        self.begun = 0  # when the request that is still incomplete began to arrive; 0 if there is none
+        self.listener = front
+        self.connected_at = front.loop.clock.now()
+        self.incomplete_since = 0  # when the still incomplete request began to arrive; 0 if there is none
         self.answered = False
-        self.taken = 0  # requests that could be read
-        self._who: int | None = None
-        self.lingers = False  # our side has ended; whatever still comes is read and dropped
+        self.taken = 0  # the number of valid requests
+        self._client_address: int | None = None
+        self.lingers = False  # the sending side is closed; data that still arrives is read and discarded
         super().__init__(front.loop, sock, most_in, most_out)
 
     def load(self) -> int:
-        """Requests that are owed an answer here."""
+        """Returns the number of requests on this connection that have no response yet."""
         raise NotImplementedError
 
-    def who(self) -> int | None:
-        """Who asks, by the address alone, as those who come back do so on a new port; None unless wanted."""
-        if self._who is None and self.owner.names:
+    def client_address(self) -> int | None:
+        """Returns the client's IP address as a number, or None unless the listener identifies clients.
+
+        The port is left out, since a returning client comes from a new port.
+        """
+        if self._client_address is None and self.listener.names:
             try:
-                self._who = int(ipaddress.ip_address(self.sock.getpeername()[0]))
-            except (OSError, ValueError):  # it has left already
+                self._client_address = int(ipaddress.ip_address(self.sock.getpeername()[0]))
+            except (OSError, ValueError):  # the client has disconnected already
                 return None
-        return self._who
+        return self._client_address
 
     def write(self, data: bytes) -> None:
+        """Sends response bytes to the client."""
         self.answered = True
         super().write(data)
 
     def read(self) -> None:
-        """Takes in all that has come before any of it is used: of a client that asks and goes, nothing is."""
+        """Reads all available data before any of it is processed.
+
+        The requests of a client that sends them and closes at once are therefore never started.
+        """
         if self.lingers:
-            self._drop()
+            self._discard_input()
             return
-        more = True
+        still_open = True
         for _ in range(READS):
             if len(self.inbox) >= self.inbox.limit:
-                more = not hung_up(self.sock)  # the end may lie behind what there is no room for now
+                still_open = not has_peer_closed(
+                    self.sock
+                )  # the end of the stream may follow data that does not fit now
                 break
             try:
-                got = self.inbox.receive(self.sock)
+                received_bytes = self.inbox.receive(self.sock)
             except (BlockingIOError, InterruptedError):
                 break
             except OSError as error:
                 self.close(errno.errorcode.get(error.errno or 0, "error"))
                 return
-            if not got:
-                more = False
+            if not received_bytes:
+                still_open = False
                 break
-        if not more:
+        if not still_open:
             self.close("closed by the other side")
         elif len(self.inbox):
-            self.use()
+            self.process_inbox()
 
-    def use(self) -> None:
-        """Hands what has come to `received`, and closes where that leaves a full buffer as it was."""
+    def process_inbox(self) -> None:
+        """Calls `received` for the data read, and closes the connection if the buffer is still full then."""
         self.received()
         if self.open and len(self.inbox) >= self.inbox.limit:
-            self.close(f"{len(self.inbox)} bytes that nobody could use")
+            self.close(f"{len(self.inbox)} bytes that could not be parsed")
 
     def linger(self, why: str) -> None:
-        """Ends our side and waits a little for the client to end its own: lingering close, RFC 9112, 9.6.
+        """Closes the sending side and waits for the client to close its own: lingering close, RFC 9112, 9.6.
 
-        Guards against a reset, which a close over unread bytes is, and which may take the last answer along.
-        What is read from here on was written across our end: the client sends it again, so it must not go on.
+        Closing with unread data would reset the connection, and the reset may destroy the last response. Data
+        read from now on crossed the close; the client sends it again, so it must not be processed here.
         """
         if not self.open or self.lingers:
             return
         try:
             self.sock.shutdown(socket.SHUT_WR)
-        except OSError:  # it has gone already
+        except OSError:  # the client has disconnected already
             self.close(why)
             return
         self.lingers = True
-        self.owner.lingering(self)
+        self.listener.mark_lingering(self)
         self.loop.after(LINGER_NS, lambda: self.close(why))
 
-    def _drop(self) -> None:
+    def _discard_input(self) -> None:
         for _ in range(READS):
             try:
                 if not self.sock.recv(MAX_IDLE_CAPACITY):
@@ -164,58 +182,79 @@
                 return
 
     def resting(self) -> bool:
-        """Whether nothing is owed here and nothing has begun to arrive, after a last look."""
+        """Reads once more and returns whether no request is open, unsent or partly received."""
         if self.open and not self.lingers:
             self.read()
-        return self.open and not self.lingers and not self.load() and not len(self.outbox) and not self.begun
-
-    def settle(self) -> None:
-        self.owner.place(self)
+        return (
+            self.open
+            and not self.lingers
+            and not self.load()
+            and not len(self.outbox)
+            and not self.incomplete_since
+        )
+
+    def update_group(self) -> None:
+        """Reclassifies this connection in its listener."""
+        self.listener.classify(self)
 
     def closed(self, why: str) -> None:
-        self.owner.left(self)
+        self.listener.remove_client(self)
 
 
 class Listener:
-    """Accepts up to `most` clients; subclasses make the stream of each.
+    """Accepts up to `max_clients` connections; subclasses create the stream of each.
 
-    A full table makes room by closing whoever is most likely of no use, and only if all are at work the
-    newcomer. Guards against connections by the hundred that say nothing, or ask once and stay.
+    At the limit, a new client replaces the connection that is least likely to be needed; if all connections
+    have open requests, the new one is closed. This guards against hundreds of connections that send nothing,
+    or send one request and stay open.
     """
 
     def __init__(
         self,
         loop: Loop,
         address: Address,
-        core: Taker,
+        core: RequestCore,
         classes: dict[str, tuple[int, bool]],
         wait_ns: int,
-        most: int,
-        unread: int,
+        max_clients: int,
+        max_unread_bytes: int,
         log: Callable[..., None],
         shared: bool = False,
         sock: socket.socket | None = None,
     ) -> None:
-        """`sock` listens already, in another process too, and is used in place of `address`."""
+        """`classes` maps the name of a request class to its number and whether it writes. `wait_ns` is the
+        retry delay sent with a refusal, and `max_unread_bytes` limits unread responses over all clients.
+
+        `sock` is a socket that listens already, possibly also in another process, and replaces `address`.
+        """
         self.loop, self.core, self.classes = loop, core, classes
-        self.wait_ns, self.log, self._most, self._unread = wait_ns, log, most, unread
+        self.wait_ns, self.log, self._most, self._max_unread_bytes = (
+            wait_ns,
+            log,
+            max_clients,
+            max_unread_bytes,
+        )
         self.clients: set[Client] = set()
-        self._fresh: dict[Client, int] = {}  # nothing was ever answered and nothing is open
-        # Answered, and since when nothing is open, the longest first. Those that asked only once are apart:
-        # else a crowd of them drives out the connections of usual clients, who then add to it by coming back.
-        self._once: dict[Client, int] = {}
-        self._idle: dict[Client, int] = {}
+        self._new_clients: dict[Client, int] = {}  # clients without any response and without an open request
+        # Idle clients that have had a response, with the start of their idle time, the longest idle first.
+        # Clients with a single request are kept apart: a crowd of them would otherwise displace regular
+        # clients, whose reconnections would add to the crowd.
+        self._single_request_clients: dict[Client, int] = {}
+        self._idle_clients: dict[Client, int] = {}
         self._sock = listen(address, shared) if sock is None else sock
         self._sock.setblocking(False)
         self.port: int = self._sock.getsockname()[1]
         self._closed = self._paused = False
-        self._lingering: dict[Client, None] = {}  # the longest first
-        self.draining = False  # clients are to go elsewhere: each is closed once nothing is open on it
-        self.names = False  # whether requests are to tell who asks
+        self._lingering: dict[Client, None] = {}  # connections in a lingering close, the oldest first
+        self.draining = (
+            False  # clients shall move to another gateway: each connection is closed once it is idle
+        )
+        self.names = False  # whether requests carry the identity of their client
         loop.watch(self._sock, READ, self._accept)
         loop.after(SWEEP_NS, self._sweep)
 
     def client(self, sock: socket.socket) -> Client:
+        """Creates the stream of an accepted connection."""
         raise NotImplementedError
 
     def _accept(self, mask: int) -> None:
@@ -224,7 +263,7 @@
                 sock, _ = self._sock.accept()
             except (BlockingIOError, InterruptedError):
                 return
-            except ConnectionError:  # the client left before we came
+            except ConnectionError:  # the client disconnected before the accept
                 continue
             except OSError as error:  # out of descriptors
                 self.log("accept_failed", why=str(error))
@@ -240,14 +279,16 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             client = self.client(sock)
             self.clients.add(client)
-            self.place(client)
+            self.classify(client)
 
     def _pause(self) -> None:
-        """Leaves newcomers with the system for a moment. Guards against a loop that does nothing but fail to
-        accept them, while what would free a descriptor waits."""
+        """Stops accepting for ACCEPT_RETRY_NS, so that new connections wait in the backlog.
+
+        Guards against a loop that only fails to accept while the work that would free a descriptor waits.
+        """
         self.loop.forget(self._sock)
         self._paused = True
-        self.loop.after(AGAIN_NS, self._resume)
+        self.loop.after(ACCEPT_RETRY_NS, self._resume)
 
     def _resume(self) -> None:
         if self._paused and self._sock.fileno() >= 0:
@@ -255,17 +296,17 @@
             self.loop.watch(self._sock, READ, self._accept)
 
     def fileno(self) -> int:
-        """Of the listening socket, for another process that is to accept here too; -1 once it is closed."""
+        """Returns the descriptor of the listening socket, for sharing with another process; -1 if closed."""
         return self._sock.fileno()
 
-    def limit(self, most: int, unread: int) -> None:
-        """New limits on clients and on bytes of unread answers; who is idle and over them leaves now."""
-        self._most, self._unread = most, unread
-        while len(self.clients) > most and self.make_room():
+    def limit(self, max_clients: int, max_unread_bytes: int) -> None:
+        """Sets new limits on clients and on unread response bytes; closes idle clients above the limit."""
+        self._most, self._max_unread_bytes = max_clients, max_unread_bytes
+        while len(self.clients) > max_clients and self.make_room():
             pass
 
     def no_more(self) -> None:
-        """Stops accepting. Where another process accepts on the same socket, nobody is turned away."""
+        """Stops accepting; another process that shares the socket continues to accept all clients."""
         if self._sock.fileno() >= 0:
             if not self._paused:
                 self.loop.forget(self._sock)
@@ -273,100 +314,120 @@
             self._sock.close()
 
     def drain(self, draining: bool) -> None:
-        """While it drains, clients' connections are closed as soon as nothing is open on them. Newcomers are
-        served as ever: who still comes has not been told yet."""
+        """Starts or stops draining, in which each connection is closed as soon as no request is open on it.
+
+        New connections are still served, since their clients have not learned of the drain yet.
+        """
         self.draining = draining
         if draining:
             for client in [c for c in self.clients if not c.load()]:
-                self._let_go(client)
+                self._close_if_idle(client)
 
-    def _let_go(self, client: Client) -> None:
+    def _close_if_idle(self, client: Client) -> None:
         if self.draining and client.resting():
             client.linger("draining")
 
-    def place(self, client: Client) -> None:
-        """Files a client by what is open on it."""
-        self._lift(client)
+    def classify(self, client: Client) -> None:
+        """Puts a client into the group that matches its open requests and its history."""
+        self._remove_from_groups(client)
         if client.open and not client.lingers and not client.load():
             if self.draining:
-                self.loop.after(0, lambda: self._let_go(client))
+                self.loop.after(0, lambda: self._close_if_idle(client))
             if client.answered:
-                (self._once if client.taken < 2 else self._idle)[client] = self.loop.clock.now()
+                (self._single_request_clients if client.taken < 2 else self._idle_clients)[client] = (
+                    self.loop.clock.now()
+                )
                 client.inbox.shrink()
                 client.outbox.shrink()
             else:
-                self._fresh[client] = client.since
+                self._new_clients[client] = client.connected_at
 
-    def _lift(self, client: Client) -> None:
-        self._fresh.pop(client, None)
-        self._once.pop(client, None)
-        self._idle.pop(client, None)
+    def _remove_from_groups(self, client: Client) -> None:
+        self._new_clients.pop(client, None)
+        self._single_request_clients.pop(client, None)
+        self._idle_clients.pop(client, None)
 
-    def lingering(self, client: Client) -> None:
-        self._lift(client)
+    def mark_lingering(self, client: Client) -> None:
+        """Records that a client's connection is in a lingering close."""
+        self._remove_from_groups(client)
         self._lingering[client] = None
 
-    def left(self, client: Client) -> None:
-        self._lift(client)
+    def remove_client(self, client: Client) -> None:
+        """Removes a client whose connection is closed or belongs to another process now."""
+        self._remove_from_groups(client)
         self._lingering.pop(client, None)
         self.clients.discard(client)
 
     def make_room(self) -> bool:
-        """Closes one that has been told of its end, or never asked, else the longest idle one; whether there
-        was one to close."""
+        """Closes one connection and returns whether there was one to close.
+
+        Lingering connections are closed first, then those without any request, then the longest idle ones.
+        """
         for client in self._lingering:
             client.close("room for another")
             return True
-        old = self.loop.clock.now() - YOUNG_NS
-        for groups, before in (
-            ((self._fresh, self._once, self._idle), old),
-            ((self._once, self._idle, self._fresh), old + YOUNG_NS),
+        eviction_cutoff = self.loop.clock.now() - MIN_EVICTION_AGE_NS
+        for groups, cutoff in (
+            ((self._new_clients, self._single_request_clients, self._idle_clients), eviction_cutoff),
+            (
+                (self._single_request_clients, self._idle_clients, self._new_clients),
+                eviction_cutoff + MIN_EVICTION_AGE_NS,
+            ),
         ):
             for group in groups:
-                for client in list(islice((c for c, since in group.items() if since <= before), 8)):
-                    if client.resting():  # else its request has come already, and it is not the one
+                for client in list(islice((c for c, idle_since in group.items() if idle_since <= cutoff), 8)):
+                    if client.resting():  # otherwise a request of the client has just arrived
                         client.close("room for another")
                     if not client.open:
                         return True
         return False
 
     def _sweep(self) -> None:
-        """Closes connections that never ask, never finish asking, or stay without asking again."""
+        """Closes connections without a request, with an incomplete request, or idle for too long."""
         if self._closed:
             return
-        self.loop.after(SWEEP_NS, self._sweep)  # first, so that a fault below does not end it for good
+        self.loop.after(SWEEP_NS, self._sweep)  # first, so that a fault below does not end the sweeps
         now, unread = self.loop.clock.now(), 0
         for client in list(self.clients):
-            part = now - client.begun if client.begun else 0
+            partial_ns = now - client.incomplete_since if client.incomplete_since else 0
             unread += len(client.outbox)
             if client.lingers:
                 continue
-            if part > (PART_MOST_NS if client.load() else PART_NS):
+            if partial_ns > (MAX_PARTIAL_REQUEST_TIMEOUT_NS if client.load() else PARTIAL_REQUEST_TIMEOUT_NS):
                 client.close("never finished asking")
-            elif client in self._fresh and now - client.since > FIRST_NS:
+            elif client in self._new_clients and now - client.connected_at > FIRST_NS:
                 if client.resting():
                     client.linger("never asked")
-            elif now - self._idle.get(client, self._once.get(client, now)) > IDLE_NS and client.resting():
+            elif (
+                now - self._idle_clients.get(client, self._single_request_clients.get(client, now)) > IDLE_NS
+                and client.resting()
+            ):
                 client.linger("idle")
-        while unread > self._unread:  # answers that nobody reads must not take the memory of the others
-            worst = max(self.clients, key=lambda c: len(c.outbox))
-            unread -= len(worst.outbox)
-            self.log("client_does_not_read", unread=len(worst.outbox))
-            worst.close("does not read")
+        while (
+            unread > self._max_unread_bytes
+        ):  # clients that do not read must not use up the memory of the others
+            slowest = max(self.clients, key=lambda c: len(c.outbox))
+            unread -= len(slowest.outbox)
+            self.log("client_does_not_read", unread=len(slowest.outbox))
+            slowest.close("does not read")
 
     def flushed(self) -> bool:
-        """Whether every answer has left."""
+        """Returns whether every response has been sent."""
         return not any(len(c.outbox) for c in self.clients)
 
     def retire(self) -> None:
-        """The process is about to end: newcomers that the system holds are let in, no more come, and every
-        client is told of our end as soon as nothing is open on it."""
+        """Prepares for the end of the process.
+
+        Connections in the backlog are accepted, further ones are not, and each connection is closed as soon
+        as no request is open on it.
+        """
         if not self._closed and not self._paused and self._sock.fileno() >= 0:
             self._accept(READ)
         self.no_more()
         self.drain(True)
 
     def close(self) -> None:
+        """Stops accepting and closes all connections at once."""
         self._closed = True
         self.no_more()
         for client in list(self.clients):
--- a/olivecourse/fronts/signed.py
+++ b/olivecourse/fronts/signed.py
@@ -1,7 +1,7 @@
-"""The second front: HTTP with signed links and Bearer tokens. It only translates.
+"""The HTTP server, for signed links and Bearer tokens. It translates between HTTP and the request core.
 
 GET  /CLASS/OBJECT/PART?shard=G&kb=SIZE&URISigningPackage=TOKEN    a read
-POST /CLASS/OBJECT/PART?shard=G                                    an order, with an Authorization header
+POST /CLASS/OBJECT/PART?shard=G                                    a write, with an Authorization header
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 from olivecourse import interface as w
 from olivecourse.config.address import Address
 from olivecourse.core.ledger import Crowded, Duplicate
-from olivecourse.fronts.listener import Client, Listener, Taker
-from olivecourse.fronts.thrift import MOST_WRITE, BadRequest, read_request
+from olivecourse.fronts.listener import Client, Listener, RequestCore
+from olivecourse.fronts.thrift import MAX_WRITE_BYTES, BadRequest, read_request
 from olivecourse.fronts.tokens import Rejected, Tokens
 from olivecourse.net.loop import Loop
 
 MS = 1_000_000
-MOST_HEAD = 16_384
-MOST_QUEUED = 8  # pipelined requests that wait for the one before
+MAX_HEAD_BYTES = 16_384
+MAX_PIPELINED_REQUESTS = 8  # pipelined requests that wait for the response to the previous one
 REASONS = {
     200: "OK",
     304: "Not Modified",
@@ -40,88 +40,107 @@
 }
 
 
-class Asked:
-    """One HTTP request as it arrived."""
+class HttpRequest:
+    """One HTTP request as parsed."""
 
     def __init__(self) -> None:
-        self.method, self.target, self.keep = "", b"", True
+        self.method, self.target, self.keep_alive = "", b"", True
         self.headers: dict[str, str] = {}
         self.body = bytearray()
-        self.head = 0
-        self.twice = False
+        self.head_bytes = 0
+        self.has_duplicate_header = False
 
 
 class SignedReply:
-    """The place of one answer; `mark` is the order token that it used up."""
+    """Sends the one response to a request; `mark` identifies the order token that the request has used up."""
 
-    def __init__(self, client: SignedClient, keep: bool, mark: str | None) -> None:
-        self._client, self._keep, self.mark = client, keep, mark
+    def __init__(self, client: SignedClient, keep_alive: bool, mark: str | None) -> None:
+        self._client, self._keep_alive, self.mark = client, keep_alive, mark
 
     def served(self, body: bytes, tag: str | None, same: bool) -> None:
+        """Sends the object, or a 304 if the client's copy is the same."""
         headers = [f'ETag: "{tag}"'] if tag else []
         if same:
-            self._client.answer(304, b"", headers, self._keep)
+            self._client.answer(304, b"", headers, self._keep_alive)
         else:
-            self._client.answer(200, body, [*headers, "Content-Type: application/octet-stream"], self._keep)
+            self._client.answer(
+                200, body, [*headers, "Content-Type: application/octet-stream"], self._keep_alive
+            )
 
     def refused(self, wait_ns: int) -> None:
+        """Sends a 503 with Retry-After and makes the order token usable again."""
         if self.mark is not None:
             self._client.front.tokens.spent.release(self.mark)
-        self._client.answer(503, b"", [f"Retry-After: {max(-(-wait_ns // (1000 * MS)), 1)}"], self._keep)
+        self._client.answer(
+            503, b"", [f"Retry-After: {max(-(-wait_ns // (1000 * MS)), 1)}"], self._keep_alive
+        )
 
     def failed(self, late: bool) -> None:
-        self._client.answer(504 if late else 502, b"", [], self._keep)
+        """Sends a 504 if the request was `late`, else a 502."""
+        self._client.answer(504 if late else 502, b"", [], self._keep_alive)
 
     def look(self) -> None:
+        """Reads from the client, to notice whether it has disconnected."""
         if self._client.open:
             self._client.read()
 
 
 class SignedClient(Client):
+    """One client's HTTP connection, which answers its requests one after another."""
+
     def __init__(self, front: SignedFront, sock: socket.socket) -> None:
         self.front = front
         self.open_request: str | None = None
         self.busy = False
-        self.queue: deque[Asked] = deque()
-        self.asked = Asked()
+        self.queue: deque[HttpRequest] = deque()
+        self.http_request = HttpRequest()
         self.parser = httptools.HttpRequestParser(self)
         super().__init__(front, sock, 65_536, 2**20)
 
     def load(self) -> int:
         return int(self.busy) + len(self.queue)
 
-    # What httptools calls ----------------------------------------------------------------------------
+    # Callbacks of the httptools parser ---------------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        self.asked = Asked()
-        self.begun = self.loop.clock.now()
+        """Called at the start of a request."""
+        self.http_request = HttpRequest()
+        self.incomplete_since = self.loop.clock.now()
 
     def on_url(self, part: bytes) -> None:
-        self.asked.target += part
-        self._grown(len(part))
+        """Called with each part of the request target."""
+        self.http_request.target += part
+        self._count_head_bytes(len(part))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self._grown(len(name) + len(value))
+        """Called with each header."""
+        self._count_head_bytes(len(name) + len(value))
         key = name.decode("latin-1").lower()
-        # Two Authorization headers, or two lengths: which of them counts is anybody's guess.
-        self.asked.twice |= key in self.asked.headers and key in ("authorization", "host", "if-none-match")
-        self.asked.headers[key] = value.decode("latin-1").strip()
+        # It is ambiguous which of two Authorization, Host or If-None-Match headers applies.
+        self.http_request.has_duplicate_header |= key in self.http_request.headers and key in (
+            "authorization",
+            "host",
+            "if-none-match",
+        )
+        self.http_request.headers[key] = value.decode("latin-1").strip()
 
     def on_body(self, part: bytes) -> None:
-        if len(self.asked.body) <= MOST_WRITE:
-            self.asked.body += part
+        """Called with each part of the body; a body above the limit is cut there and refused later."""
+        if len(self.http_request.body) <= MAX_WRITE_BYTES:
+            self.http_request.body += part
 
     def on_message_complete(self) -> None:
-        self.asked.method = self.parser.get_method().decode("ascii")
-        self.asked.keep = self.parser.should_keep_alive()
-        if len(self.queue) >= MOST_QUEUED:
+        """Called at the end of a request."""
+        self.http_request.method = self.parser.get_method().decode("ascii")
+        self.http_request.keep_alive = self.parser.should_keep_alive()
+        if len(self.queue) >= MAX_PIPELINED_REQUESTS:
             raise ValueError("too many requests at once")
-        self.queue.append(self.asked)
-        self.begun = 0
+        self.queue.append(self.http_request)
+        self.incomplete_since = 0
 
-    def _grown(self, by: int) -> None:
-        self.asked.head += by
-        if self.asked.head > MOST_HEAD:
+    def _count_head_bytes(self, count: int) -> None:
+        self.http_request.head_bytes += count
+        if self.http_request.head_bytes > MAX_HEAD_BYTES:
             raise ValueError("head too long")
 
     # -------------------------------------------------------------------------------------------------
@@ -136,72 +155,84 @@
             else:
                 self.answer(400, b"malformed request\n", [], False)
             return
-        self._next()
+        self._start_next()
         if self.open:
-            self.settle()
+            self.update_group()
 
-    def _next(self) -> None:
+    def _start_next(self) -> None:
         while self.queue and not self.busy and self.open:
             self.busy = True
-            self._take(self.queue.popleft())
+            self._start_request(self.queue.popleft())
 
-    def _take(self, asked: Asked) -> None:
+    def _start_request(self, http_request: HttpRequest) -> None:
+        """Checks a request and passes it to the core; a write waits until its token is recorded."""
         try:
-            reply, ask, body, holds = self.front.read(self, asked)
-        except BadRequest as bad:
-            self.answer(400, f"{bad}\n".encode(), [], asked.keep)
+            reply, request_event, body, holds = self.front.parse_request(self, http_request)
+        except BadRequest as rejection:
+            self.answer(400, f"{rejection}\n".encode(), [], http_request.keep_alive)
             return
-        except Rejected as bad:
-            self.front.log("token_rejected", status=bad.status, why=bad.reason)
-            challenge = ['WWW-Authenticate: Bearer error="invalid_token"'] if bad.status == 401 else []
-            wait = ["Retry-After: 1"] if bad.status == 503 else []
-            self.answer(bad.status, f"{bad.reason}\n".encode(), challenge + wait, asked.keep)
+        except Rejected as rejection:
+            self.front.log("token_rejected", status=rejection.status, why=rejection.reason)
+            challenge = ['WWW-Authenticate: Bearer error="invalid_token"'] if rejection.status == 401 else []
+            retry_header = ["Retry-After: 1"] if rejection.status == 503 else []
+            self.answer(
+                rejection.status,
+                f"{rejection.reason}\n".encode(),
+                challenge + retry_header,
+                http_request.keep_alive,
+            )
             return
-        ask.client = self.who()
+        request_event.client = self.client_address()
         self.taken += 1
-        since = self.loop.clock.now()
+        received_at = self.loop.clock.now()
+
+        def on_recorded(durable: bool) -> None:
+            """Called when the order token is recorded (`durable`), or when recording it has failed.
 
-        def goes(durable: bool) -> None:
-            """The order's token is recorded, or it could not be: then nothing was sent."""
+            The write is sent only if the token is recorded.
+            """
             self.front.recording -= 1
-            if not self.open:  # nobody waits for it any more, and it never went
+            if not self.open:  # the client has disconnected, and the write has not been sent
                 self.front.tokens.spent.release(reply.mark or "")
                 return
-            if ask.budget_ns is not None:
-                ask.budget_ns -= self.loop.clock.now() - since
-            if durable and (ask.budget_ns is None or ask.budget_ns > 0):
-                self._hand_over(ask, body, holds, reply)
+            if request_event.budget_ns is not None:
+                request_event.budget_ns -= self.loop.clock.now() - received_at
+            if durable and (request_event.budget_ns is None or request_event.budget_ns > 0):
+                self._hand_over(request_event, body, holds, reply)
             else:
                 reply.refused(self.front.wait_ns)
 
-        if reply.mark is None or self.front.tokens.spent.when_durable(reply.mark, goes):
-            self._hand_over(ask, body, holds, reply)
+        if reply.mark is None or self.front.tokens.spent.when_durable(reply.mark, on_recorded):
+            self._hand_over(request_event, body, holds, reply)
         else:
             self.front.recording += 1
 
-    def _hand_over(self, ask: w.Request, body: bytes, holds: str | None, reply: SignedReply) -> None:
-        self.open_request = ask.request
+    def _hand_over(
+        self, request_event: w.Request, body: bytes, holds: str | None, reply: SignedReply
+    ) -> None:
+        self.open_request = request_event.request
         try:
-            self.front.core.take(ask, body, holds, reply)
+            self.front.core.take(request_event, body, holds, reply)
         except (Crowded, Duplicate):
-            self.front.core.turned_away(ask.cls)
+            self.front.core.turned_away(request_event.cls)
             reply.refused(self.front.wait_ns)
 
-    def answer(self, status: int, body: bytes, headers: list[str], keep: bool) -> None:
+    def answer(self, status: int, body: bytes, headers: list[str], keep_alive: bool) -> None:
+        """Sends the response to the current request and goes on with the next one, or closes."""
         self.open_request = None
         self.busy = False
         lines = [f"HTTP/1.1 {status} {REASONS[status]}", *headers]
         if status != 304:
             lines.append(f"Content-Length: {len(body)}")
-        if not keep:
+        if not keep_alive:
             lines.append("Connection: close")
         self.write("\r\n".join([*lines, "", ""]).encode("latin-1") + body)
-        if not keep:
+        if not keep_alive:
             self.queue.clear()
             self._close_when_sent()
         elif self.open and self.queue:
-            self.loop.after(0, self._next)
-        self.settle()
+            self.loop.after(0, self._start_next)
+        self.update_group()
 
     def _close_when_sent(self) -> None:
         if self.open and len(self.outbox):
@@ -217,23 +248,26 @@
 
 
 class SignedFront(Listener):
+    """The listener for HTTP clients."""
+
     def __init__(
         self,
         loop: Loop,
         address: Address,
-        core: Taker,
+        core: RequestCore,
         classes: dict[str, tuple[int, bool]],
         deadlines_ms: list[int],
         tokens: Tokens,
         public: str,
         wait_ns: int,
-        most: int,
-        unread: int,
+        max_clients: int,
+        max_unread_bytes: int,
         log: Callable[..., None],
     ) -> None:
+        """`deadlines_ms` are the default deadlines by class; `public` is the URL prefix that clients sign."""
         self.tokens, self._deadlines, self._public = tokens, deadlines_ms, public.rstrip("/")
-        self.recording = 0  # orders whose tokens are on their way to disk
-        super().__init__(loop, address, core, classes, wait_ns, most, unread, log)
+        self.recording = 0  # writes whose tokens are being recorded on disk
+        super().__init__(loop, address, core, classes, wait_ns, max_clients, max_unread_bytes, log)
 
     def client(self, sock: socket.socket) -> Client:
         return SignedClient(self, sock)
@@ -241,50 +275,60 @@
     def flushed(self) -> bool:
         return not self.recording and super().flushed()
 
-    def read(self, client: SignedClient, asked: Asked) -> tuple[SignedReply, w.Request, bytes, str | None]:
-        """The request, with its token checked: once, here, and never again while it is served."""
+    def parse_request(
+        self, client: SignedClient, http_request: HttpRequest
+    ) -> tuple[SignedReply, w.Request, bytes, str | None]:
+        """Parses an HTTP request and checks its token; raises BadRequest or Rejected.
+
+        The token is not checked again while the request is served.
+        """
         try:
-            target = asked.target.decode("ascii")
+            target = http_request.target.decode("ascii")
         except UnicodeDecodeError:
             raise BadRequest("target is not ASCII") from None
-        if asked.twice or not target.startswith("/") or target.startswith("//"):
+        if http_request.has_duplicate_header or not target.startswith("/") or target.startswith("//"):
             raise BadRequest("ambiguous request")
-        if len(asked.body) > MOST_WRITE:
+        if len(http_request.body) > MAX_WRITE_BYTES:
             raise BadRequest("body too long")
         try:
-            parts = urlsplit(target)
-            query = dict(parse_qsl(parts.query, max_num_fields=16, keep_blank_values=True))
+            url = urlsplit(target)
+            query = dict(parse_qsl(url.query, max_num_fields=16, keep_blank_values=True))
         except ValueError:
             raise BadRequest("query cannot be read") from None
-        places = parts.path.split("/")[1:]
-        if len(places) != 3:
+        path_parts = url.path.split("/")[1:]
+        if len(path_parts) != 3:
             raise BadRequest("the path is /CLASS/OBJECT/PART")
-        name, (number, write) = places[0], self.classes.get(places[0], (-1, False))
+        name, (number, write) = path_parts[0], self.classes.get(path_parts[0], (-1, False))
         if number < 0:
             raise BadRequest("unknown class")
-        if asked.method != ("POST" if write else "GET"):
+        if http_request.method != ("POST" if write else "GET"):
             raise BadRequest("orders are POSTed, all else is read by GET")
-        if "shard" not in query:  # without its group a purge of that group would be missed
+        if "shard" not in query:  # without the group, a purge of that group would miss the request
             raise BadRequest("shard is missing")
         fields = {
             "c": name,
             "i": secrets.token_hex(8),
-            "o": places[1],
-            "n": places[2],
+            "o": path_parts[1],
+            "n": path_parts[2],
             "shard": query["shard"],
             "m": query.get("kb", "0"),
-            "d": asked.headers.get("request-timeout-ms", str(self._deadlines[number])),
+            "d": http_request.headers.get("request-timeout-ms", str(self._deadlines[number])),
         }
-        etag = asked.headers.get("if-none-match")
+        etag = http_request.headers.get("if-none-match")
         if etag and not write:
             fields["mine"] = etag.removeprefix("W/").strip('"')
-        ask, body, holds, _ = read_request(fields, bytes(asked.body), self.classes, self.loop.lag_ns)
-        mark = self._check(asked, self._public + target, write)
-        return SignedReply(client, asked.keep, mark), ask, body, holds
-
-    def _check(self, asked: Asked, uri: str, write: bool) -> str | None:
-        """Raises Rejected unless a token opens this request; the mark of an order token that it used up."""
-        scheme, _, bearer = asked.headers.get("authorization", "").partition(" ")
+        request_event, body, holds, _ = read_request(
+            fields, bytes(http_request.body), self.classes, self.loop.lag_ns
+        )
+        mark = self._check(http_request, self._public + target, write)
+        return SignedReply(client, http_request.keep_alive, mark), request_event, body, holds
+
+    def _check(self, http_request: HttpRequest, uri: str, write: bool) -> str | None:
+        """Raises Rejected unless a token permits this request.
+
+        Returns the mark of the order token that a write has used up, or None for a read.
+        """
+        scheme, _, bearer = http_request.headers.get("authorization", "").partition(" ")
         if write:
             if scheme.lower() != "bearer":
                 raise Rejected(401, "an order needs a Bearer token")
--- a/olivecourse/net/ringbuf.py
+++ b/olivecourse/net/ringbuf.py
@@ -61,7 +61,7 @@
         if len(self._data) - self._size < INITIAL_CAPACITY // 2 and len(self._data) < self.limit:
             self._grow(min(2 * len(self._data), self.limit))
         if self._size == len(self._data):
-            raise BufferFull(f"buffer full: {self._size} bytes that could not be parsed")
+            raise BufferFull(f"{self._size} bytes that could not be parsed")
         start = (self._head + self._size) % len(self._data)
         end = self._head if start < self._head else len(self._data)
         with memoryview(self._data) as view, view[start:end] as free_space:
--- a/olivecourse/net/seam.py
+++ b/olivecourse/net/seam.py
@@ -85,13 +85,13 @@
 def unpack(row: Any) -> Any:
     """Rebuilds the object from the array that `encode_message` made; raises ValueError or KeyError."""
     kind = MESSAGE_TYPES[row[0]]
-    fields = dataclasses.fields(kind)
-    if len(fields) != len(row) - 1:
-        raise ValueError(f"{row[0]} has {len(fields)} fields")
+    dataclass_fields = dataclasses.fields(kind)
+    if len(dataclass_fields) != len(row) - 1:
+        raise ValueError(f"{row[0]} has {len(dataclass_fields)} fields")
     return kind(
         *(
             FIELD_DECODERS[str(f.type)](v) if str(f.type) in FIELD_DECODERS and v is not None else v
-            for f, v in zip(fields, row[1:], strict=True)
+            for f, v in zip(dataclass_fields, row[1:], strict=True)
         )
     )
 
--- a/olivecourse/net/stores.py
+++ b/olivecourse/net/stores.py
@@ -77,7 +77,9 @@
     return dict(pair.split("=", 1) for pair in text.split(","))
 
 
-def _has_required_fields(attempt: Attempt, status_word: str, fields: dict[str, str], size: int) -> bool:
+def _has_required_fields(
+    attempt: Attempt, status_word: str, response_fields: dict[str, str], size: int
+) -> bool:
     """Returns whether a response has the fields and the body that its status word requires.
 
     A damaged response must not be taken for a good one.
@@ -89,7 +91,8 @@
         return False
     # The origin's response to a write is not a copy, so it has neither a tag nor an age.
     return entry.cls.write or (
-        TAG.fullmatch(fields.get("version", "")) is not None and fields.get("stamp", "").isdecimal()
+        TAG.fullmatch(response_fields.get("version", "")) is not None
+        and response_fields.get("stamp", "").isdecimal()
     )
 
 
@@ -103,13 +106,15 @@
     Returns None for an unreadable report, which does not invalidate the response.
     """
     try:
-        values = {
+        reported = {
             REPORTED.get(name, name): float(value)
             for name, value in (pair.split(":") for pair in text.split(";"))
         }
     except ValueError:
         return None
-    return tuple(values.get(name) for name in fields) if all(map(math.isfinite, values.values())) else None
+    return (
+        tuple(reported.get(name) for name in fields) if all(map(math.isfinite, reported.values())) else None
+    )
 
 
 class StoreStream(Stream):
@@ -495,7 +500,7 @@
             self.ledger.end(attempt, w.Status.CONNECT_FAILED if not_sent else w.Status.RESET)
 
     def _sweep(self) -> None:
-        """Closes idle connections before the store does: a request crossing the store's close may have run."""
+        """Closes idle connections before the store does: a request that crosses its close may have run."""
         self.loop.after(250 * MS, self._sweep)  # first, so that a fault below does not end the sweeps
         now = self.loop.clock.now()
         for cache, streams in list(self._stores.items()):
--- a/olivecourse/net/stream.py
+++ b/olivecourse/net/stream.py
@@ -130,8 +130,8 @@
                 got = self.inbox.receive(self.sock)
             except (BlockingIOError, InterruptedError):
                 return
-            except BufferFull as error:
-                self.close(str(error))
+            except BufferFull as overflow:
+                self.close(str(overflow))
                 return
             except OSError as error:
                 self.close(errno.errorcode.get(error.errno or 0, "error"))
@@ -192,8 +192,8 @@
     def _queue(self, data: bytes) -> None:
         try:
             self.outbox.write(data)
-        except BufferFull as error:
-            self.close(str(error))
+        except BufferFull as overflow:
+            self.close(str(overflow))
             return
         if not self.connecting:
             self._want()
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -14,7 +14,7 @@
 @pytest.fixture(params=["thrift", "signed"])
 def stage(request, tmp_path, monkeypatch):
     monkeypatch.setattr(listener, "FIRST_NS", 300_000_000)
-    monkeypatch.setattr(listener, "PART_NS", 300_000_000)
+    monkeypatch.setattr(listener, "PARTIAL_REQUEST_TIMEOUT_NS", 300_000_000)
     made = SignedStage(tmp_path) if request.param == "signed" else Stage()
     made.kind = request.param
     yield made
@@ -89,8 +89,8 @@
     serve(stage, idle, other)
     silent = stage.client()
     stage.until(lambda: len(front.clients) == 3)
-    silent_one = next(iter(front._fresh))
-    front._fresh[silent_one] -= listener.YOUNG_NS  # it has been silent for a while
+    silent_one = next(iter(front._new_clients))
+    front._new_clients[silent_one] -= listener.MIN_EVICTION_AGE_NS  # it has been silent for a while
     newcomer, third = ask(stage, 3)
     gone(stage, silent)
     assert not idle.closed
@@ -113,7 +113,7 @@
     serve(stage, usual, request)
     (known,) = front.clients
     known.taken = 2  # it has asked twice, and is idle for longer than the other
-    known.settle()
+    known.update_group()
     once, request = ask(stage, 2)
     serve(stage, once, request)
     newcomer, request = ask(stage, 3)
@@ -126,8 +126,8 @@
     front._most = 1
     client = stage.client()
     stage.until(lambda: front.clients)
-    (known,) = front._fresh
-    front._fresh[known] -= listener.YOUNG_NS
+    (known,) = front._new_clients
+    front._new_clients[known] -= listener.MIN_EVICTION_AGE_NS
     if stage.kind == "signed":
         client.sock.sendall(f"GET {stage.link()} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
     else:
@@ -142,7 +142,7 @@
 
 def test_answers_that_nobody_reads_do_not_pile_up(stage):
     front = stage.gateway.front
-    front._unread = 500_000
+    front._max_unread_bytes = 500_000
     client, reader = stage.client(), stage.client()
     stage.until(lambda: len(front.clients) == 2)
     slow = next(c for c in front.clients if c.sock.getpeername() == client.sock.getsockname())
