--- a/olivecourse/fronts/__init__.py
+++ b/olivecourse/fronts/__init__.py
@@ -0,0 +1,1 @@
+"""The servers that clients connect to: Thrift, and HTTP with signed links and tokens."""
--- a/olivecourse/fronts/listener.py
+++ b/olivecourse/fronts/listener.py
@@ -83,7 +83,7 @@
 
 
 class Client(Stream):
-    """One client's connection; subclasses call `update_group` whenever the set of open requests has changed."""
+    """One client's connection; subclasses call `update_group` whenever its set of open requests changes."""
 
     def __init__(self, front: Listener, sock: socket.socket, most_in: int, most_out: int) -> None:
         self.listener = front
@@ -127,9 +127,8 @@
         still_open = True
         for _ in range(READS):
             if len(self.inbox) >= self.inbox.limit:
-                still_open = not has_peer_closed(
-                    self.sock
-                )  # the end of the stream may follow data that does not fit now
+                # The end of the stream may follow data that does not fit into the buffer now.
+                still_open = not has_peer_closed(self.sock)
                 break
             try:
                 received_bytes = self.inbox.receive(self.sock)
@@ -246,9 +245,8 @@
         self.port: int = self._sock.getsockname()[1]
         self._closed = self._paused = False
         self._lingering: dict[Client, None] = {}  # connections in a lingering close, the oldest first
-        self.draining = (
-            False  # clients shall move to another gateway: each connection is closed once it is idle
-        )
+        # True while clients shall move to another gateway: each connection is closed once it is idle.
+        self.draining = False
         self.names = False  # whether requests carry the identity of their client
         loop.watch(self._sock, READ, self._accept)
         loop.after(SWEEP_NS, self._sweep)
@@ -362,9 +360,10 @@
         """Closes one connection and returns whether there was one to close.
 
         Lingering connections are closed first, then those without any request, then the longest idle ones.
+        Connections that are new, or idle, for less than MIN_EVICTION_AGE_NS come last.
         """
         for client in self._lingering:
-            client.close("room for another")
+            client.close("replaced by another client")
             return True
         eviction_cutoff = self.loop.clock.now() - MIN_EVICTION_AGE_NS
         for groups, cutoff in (
@@ -377,7 +376,7 @@
             for group in groups:
                 for client in list(islice((c for c, idle_since in group.items() if idle_since <= cutoff), 8)):
                     if client.resting():  # otherwise a request of the client has just arrived
-                        client.close("room for another")
+                        client.close("replaced by another client")
                     if not client.open:
                         return True
         return False
@@ -394,18 +393,17 @@
             if client.lingers:
                 continue
             if partial_ns > (MAX_PARTIAL_REQUEST_TIMEOUT_NS if client.load() else PARTIAL_REQUEST_TIMEOUT_NS):
-                client.close("never finished asking")
+                client.close("request not completed in time")
             elif client in self._new_clients and now - client.connected_at > FIRST_NS:
                 if client.resting():
-                    client.linger("never asked")
+                    client.linger("no request in time")
             elif (
                 now - self._idle_clients.get(client, self._single_request_clients.get(client, now)) > IDLE_NS
                 and client.resting()
             ):
                 client.linger("idle")
-        while (
-            unread > self._max_unread_bytes
-        ):  # clients that do not read must not use up the memory of the others
+        # Clients that do not read must not use up the memory of the others.
+        while unread > self._max_unread_bytes:
             slowest = max(self.clients, key=lambda c: len(c.outbox))
             unread -= len(slowest.outbox)
             self.log("client_does_not_read", unread=len(slowest.outbox))
--- a/olivecourse/fronts/thrift.py
+++ b/olivecourse/fronts/thrift.py
@@ -143,12 +143,9 @@
         self.open_requests: dict[int, str] = {}  # ids of the open requests by sequence number
         self.last = 0  # the highest sequence number so far
         self.successor: HandoverPeer | None = None  # the process that has taken over the connection
-        self.predecessor: HandoverPeer | None = (
-            None  # the process that has handed the connection over to this one
-        )
-        self.predecessor_numbers: set[int] = (
-            set()
-        )  # sequence numbers whose responses come from the previous process
+        self.predecessor: HandoverPeer | None = None  # the process that has handed the connection over
+        # The sequence numbers whose responses come from the previous process.
+        self.predecessor_numbers: set[int] = set()
         self.frames_pending = False  # complete frames are left for the next turn
         super().__init__(front, sock, MAX_FRAME_BYTES + 4, MAX_UNREAD_BYTES)
 
--- a/olivecourse/fronts/tokens.py
+++ b/olivecourse/fronts/tokens.py
@@ -22,9 +22,7 @@
 PACKAGE = "URISigningPackage"
 ALGORITHMS = ("ES256", "ES384", "EdDSA", "HS256")  # the allowed ones; each key is bound to one of them
 MAX_TOKEN_LENGTH, MAX_CONTAINER_LENGTH = 4096, 1024
-MAX_ORDER_TOKEN_LIFETIME_S = (
-    900  # the longest lifetime of an order token, for which a used token must be remembered
-)
+MAX_ORDER_TOKEN_LIFETIME_S = 900  # a used order token must be remembered for at least this long
 MOST_SPENT = 65_536
 KNOWN_CRITICAL = {"cdniv", "cdniuc", "exp", "nbf", "iat", "iss", "jti", "aud", "sub"}
 
@@ -137,7 +135,7 @@
 
     def __init__(self, started: float, leeway_s: float) -> None:
         self.covered_since, self._leeway_s = started, leeway_s
-        self._spent: dict[str, float] = {}  # used tokens, with the Unix time when each is invalid anyway
+        self._spent: dict[str, float] = {}  # used tokens, with the Unix time at which each has expired
 
     def spend(self, name: str, exp: float, now_s: float) -> None:
         if name in self._spent:
--- a/olivecourse/net/discovery_client.py
+++ b/olivecourse/net/discovery_client.py
@@ -25,7 +25,8 @@
 # A retry waits between half of the backoff and all of it, so that clients of one address do not reconnect
 # simultaneously.
 RECONNECT_BACKOFF_NS, MAX_RECONNECT_BACKOFF_NS = 40 * MS, 320 * MS
-# Reads of 4 KB each, some 450 purges, which take 5 to 15 ms to process; the rest waits for the next turn.
+# Eight reads of 4 KB each hold some 450 purges, which take 5 to 15 ms to process; further data waits for the
+# next turn.
 READS_PER_TURN = 8
 EventsCallback = Callable[[list[Any]], None]
 
@@ -89,7 +90,7 @@
     def on_headers_complete(self) -> None:
         """Called by the HTTP parser after the headers of a response."""
         if not self.response_pending:
-            self.failure = "an answer to no question"
+            self.failure = "response without a request"
         elif self.parser.get_status_code() != 200:
             self.failure = "not a 200"
 
@@ -212,7 +213,7 @@
         self._backoff_ns = RECONNECT_BACKOFF_NS
         old, self.stream = self.stream, None
         if old is not None:
-            old.close("the board has moved")
+            old.close("discovery address changed")
         if self._timer is not None:
             self._timer.cancel()
         self._connect()
--- a/olivecourse/net/ringbuf.py
+++ b/olivecourse/net/ringbuf.py
@@ -73,8 +73,8 @@
     def send(self, sock: socket.socket) -> int:
         """Writes once to the socket, removes the bytes that the socket accepted and returns their count."""
         end = min(self._head + self._size, len(self._data))
-        with memoryview(self._data) as view, view[self._head : end] as free_space:
-            sent = sock.send(free_space)
+        with memoryview(self._data) as view, view[self._head : end] as pending:
+            sent = sock.send(pending)
         self.skip(sent)
         return sent
 
--- a/olivecourse/net/stores.py
+++ b/olivecourse/net/stores.py
@@ -520,7 +520,7 @@
         silent_since = self.loop.clock.now() - SILENCE_NS
         for stream in list(self._stores.get(cache, ())):
             if stream.heard < min(died_at, silent_since):
-                stream.close("its store is gone")
+                stream.close("store reported dead")
 
     def close_idle(self, cache: int) -> None:
         """Closes the connections to a store that carry no attempt."""
--- a/tests/test_signed.py
+++ b/tests/test_signed.py
@@ -1,4 +1,4 @@
-"""The signed front: forged, expired, early, altered, skewed, replayed and valid links, and order tokens."""
+"""The HTTP server: signed links that are valid, forged, expired, altered or replayed, and order tokens."""
 
 import json
 import time
@@ -16,21 +16,23 @@
 ORDER = f"/commande/{OBJECT}/0?shard=17"
 
 
-def jwk(kid, secret=b"0123456789abcdef0123456789abcdef", **more):
+def jwk(kid, secret=b"0123456789abcdef0123456789abcdef", **extra_claims):
+    """Returns a symmetric JSON Web Key."""
     key = jwt.utils.base64url_encode(secret).decode()
-    return {"kty": "oct", "kid": kid, "alg": "HS256", "k": key, **more}
+    return {"kty": "oct", "kid": kid, "alg": "HS256", "k": key, **extra_claims}
 
 
 class SignedStage(Stage):
-    """The same gateway behind the signed front, its stores from a CSV inventory."""
+    """A gateway with the HTTP server, whose stores come from a CSV inventory."""
 
-    def __init__(self, folder, **more):
+    def __init__(self, folder, **extra_claims):
         self.folder = folder
-        super().__init__(**more)
+        super().__init__(**extra_claims)
         self.tokens = self.gateway.tokens
         self.key = self.tokens.keys["k1"]
 
     def config(self, raw):
+        """Writes the operator's file and the files that it names, and loads them."""
         members = raw["known"]["notices"][0]["pool"]["members"]
         rows = [f"{m['id']},{m['host_port']},{m['locality']},{m['flavor']},8" for m in members]
         (self.folder / "stores.csv").write_text("\n".join(["name,address,zone,kind,size", *rows]) + "\n")
@@ -42,16 +44,21 @@
         )
         return load_operator(str(self.folder / "operator.yaml"), {})
 
-    def link(self, path=PATH, ttl=60, **more):
-        token = tokens.issue(self.key, PUBLIC + path, ttl, more.pop("now", time.time()), **more)
+    def link(self, path=PATH, ttl=60, **extra_claims):
+        """Returns a signed link to a path."""
+        token = tokens.issue(
+            self.key, PUBLIC + path, ttl, extra_claims.pop("now", time.time()), **extra_claims
+        )
         return tokens.signed_uri(path, token)
 
-    def order(self, **more):
-        claims = {"aud": "n0", "jti": "abcdefgh1234", **more}
+    def order(self, **extra_claims):
+        """Returns an order token; its issue time is past the leeway that follows the gateway's start."""
+        claims = {"aud": "n0", "jti": "abcdefgh1234", **extra_claims}
         ttl, now = claims.pop("ttl", 60), claims.pop("now", time.time() + 4)
         return tokens.issue(self.key, PUBLIC + ORDER, ttl, now, **claims)
 
     def ask(self, target, method="GET", body=b"", **headers):
+        """Connects a new client that sends one request; returns the client."""
         self.clients.append(Client(self.gateway.front.port))
         head = "".join(f"{k.replace('_', '-')}: {v}\r\n" for k, v in headers.items())
         self.clients[-1].sock.sendall(
@@ -61,22 +68,26 @@
         return self.clients[-1]
 
     def status(self, client):
+        """Waits for a response and returns its status code."""
         data = self.until(lambda: b"\r\n\r\n" in client.poll() and client.data)
         return int(data.split(b" ")[1])
 
-    def serve(self, word="data", body=b"hi"):
+    def serve(self, status_word="data", body=b"hi"):
+        """Waits for a request at the store and answers it."""
         request = self.until(self.cache.line).split(" ")[1]
-        self.cache.say(f"{request} {word} version=v1,stamp=1,n=HIT {len(body)}\r\n".encode() + body + b"\r\n")
+        self.cache.say(
+            f"{request} {status_word} version=v1,stamp=1,n=HIT {len(body)}\r\n".encode() + body + b"\r\n"
+        )
 
 
 @pytest.fixture
 def stage(tmp_path):
-    made = SignedStage(tmp_path)
-    yield made
-    made.close()
+    created = SignedStage(tmp_path)
+    yield created
+    created.close()
 
 
-def test_a_valid_link_is_served_and_the_copy_can_be_confirmed(stage):
+def test_a_valid_link_is_served_and_an_unchanged_copy_is_a_304(stage):
     client = stage.ask(stage.link())
     stage.serve(body=b"calendar")
     assert stage.status(client) == 200 and client.data.endswith(b"\r\n\r\ncalendar")
@@ -88,18 +99,18 @@
     assert stage.status(client) == 304
 
 
-def test_links_that_do_not_open_the_request_are_turned_away(stage):
+def test_links_that_do_not_permit_the_request_are_rejected(stage):
     now, good = time.time(), stage.link()
     package = f"{tokens.PACKAGE}="
     token = good.split(package)[1]
     head, claims, signature = token.split(".")
-    flipped = ("A" if signature[5] != "A" else "B").join((signature[:5], signature[6:]))
-    stranger = tokens.Key("union", "k1", "HS256", b"another key, another key, another")
-    other = tokens.Key("somebody", "k2", "HS256", stage.key.key)
-    bad = {
+    altered_signature = ("A" if signature[5] != "A" else "B").join((signature[:5], signature[6:]))
+    foreign_key = tokens.Key("union", "k1", "HS256", b"another key, another key, another")
+    other_issuer_key = tokens.Key("somebody", "k2", "HS256", stage.key.key)
+    rejected = {
         "no token": (PATH, 401),
-        "forged": (tokens.signed_uri(PATH, tokens.issue(stranger, PUBLIC + PATH, 60, now)), 403),
-        "altered signature": (good.replace(signature, flipped), 403),
+        "forged": (tokens.signed_uri(PATH, tokens.issue(foreign_key, PUBLIC + PATH, 60, now)), 403),
+        "altered signature": (good.replace(signature, altered_signature), 403),
         "altered claims": (good.replace(claims, jwt.utils.base64url_encode(b'{"iss":"x"}').decode()), 403),
         "altered target": (good.replace("shard=17", "shard=18"), 403),
         "unsigned": (
@@ -108,7 +119,10 @@
             ),
             403,
         ),
-        "wrong issuer": (tokens.signed_uri(PATH, tokens.issue(other, PUBLIC + PATH, 60, now)), 403),
+        "wrong issuer": (
+            tokens.signed_uri(PATH, tokens.issue(other_issuer_key, PUBLIC + PATH, 60, now)),
+            403,
+        ),
         "expired": (stage.link(now=now - 70), 403),
         "early": (stage.link(not_before=now + 30), 403),
         "for another object": (stage.link(container="regex:https://[^/]*/pages/.*"), 403),
@@ -116,13 +130,13 @@
         "two packages": (f"{good}&{package}{token}", 403),
         "no json": (f"{PATH}&{package}a.b.c", 403),
     }
-    for what, (target, status) in bad.items():
-        assert stage.status(stage.ask(target)) == status, what
+    for case, (target, status) in rejected.items():
+        assert stage.status(stage.ask(target)) == status, case
     assert stage.cache.line() is None and stage.gateway.ledger.open == 0
     assert not any(part in str(stage.logged) for part in (claims, signature))
 
 
-def test_a_clock_a_few_seconds_off_is_within_the_leeway(stage):
+def test_clock_skew_of_a_few_seconds_is_within_the_leeway(stage):
     now = time.time()
     for link in (stage.link(now=now + 2.5), stage.link(now=now - 61.5), stage.link(not_before=now + 2)):
         client = stage.ask(link)
@@ -130,7 +144,7 @@
         assert stage.status(client) == 200
 
 
-def test_a_container_in_the_regex_form_opens_what_it_holds_and_no_more(stage):
+def test_a_regex_container_permits_only_the_uris_that_it_matches(stage):
     link = stage.link(
         container=r"regex:https://calendriers\.example/fichiers/[[:xdigit:]]{16}/[0-9]+\?shard=17"
     )
@@ -141,7 +155,7 @@
     assert stage.status(stage.ask(tokens.signed_uri(f"/fichiers/{OBJECT}/4?shard=17&kb=1", token))) == 403
 
 
-def test_expiry_while_a_fill_runs_does_not_cut_that_answer(stage):
+def test_a_link_that_expires_during_a_fill_is_still_answered(stage):
     clock = [time.time()]
     stage.tokens._clock = lambda: clock[0]
     link = stage.link(ttl=10)
@@ -153,7 +167,7 @@
     assert stage.status(stage.ask(link)) == 403
 
 
-def test_a_key_that_was_rotated_out_opens_nothing_any_more(stage):
+def test_links_signed_with_a_removed_key_are_rejected(stage):
     link = stage.link()
     keys = stage.folder / "keys.json"
     keys.write_text(json.dumps({"union": {"keys": [jwk("k2"), jwk("k3")]}}))
@@ -166,12 +180,12 @@
     assert set(stage.tokens.keys) == {"k2", "k3"}
 
 
-def test_an_order_runs_once_for_its_token(stage):
+def test_an_order_token_permits_one_write_only(stage):
     stage.tokens._clock = lambda: time.time() + 5
     token = stage.order()
     client = stage.ask(ORDER, "POST", b"a dozen", Authorization=f"Bearer {token}")
     request = stage.until(lambda: (line := stage.cache.line()) and line.split(" ")[1])
-    # Shown again while it runs, and after it ran.
+    # The token is used again while the write runs, and once more after it has ended.
     assert stage.status(stage.ask(ORDER, "POST", b"again", Authorization=f"Bearer {token}")) == 401
     stage.cache.say(f"{request} data n=MISS_ORIGIN 2\r\nok\r\n".encode())
     assert stage.status(client) == 200
@@ -179,10 +193,10 @@
     assert b"again" not in stage.cache.poll()
 
 
-def test_order_tokens_that_could_run_an_order_twice_are_turned_away(stage):
-    later = time.time() + 5
-    stage.tokens._clock = lambda: later
-    for what, more, status in (
+def test_order_tokens_that_could_run_a_write_twice_are_rejected(stage):
+    clock_time = time.time() + 5
+    stage.tokens._clock = lambda: clock_time
+    for case, extra_claims, status in (
         ("another gateway", {"aud": "n1"}, 403),
         ("several", {"aud": ["n0", "n1"]}, 401),
         ("before the start", {"now": time.time() - 1}, 401),
@@ -190,14 +204,16 @@
         ("a long life", {"ttl": 86_400}, 401),
         ("a link's", {"container": "hash:x"}, 403),
     ):
-        answer = stage.status(stage.ask(ORDER, "POST", b"x", Authorization=f"Bearer {stage.order(**more)}"))
-        assert answer == status, what
+        answer = stage.status(
+            stage.ask(ORDER, "POST", b"x", Authorization=f"Bearer {stage.order(**extra_claims)}")
+        )
+        assert answer == status, case
     assert stage.status(stage.ask(ORDER, "POST", b"x")) == 401
     link = tokens.signed_uri(ORDER, tokens.issue(stage.key, PUBLIC + ORDER, 60, time.time()))
     assert stage.status(stage.ask(link, "POST", b"x")) == 401
 
 
-def test_a_refused_order_may_come_back_with_its_token(stage):
+def test_a_refused_write_may_be_repeated_with_its_token(stage):
     stage.tokens._clock = lambda: time.time() + 5
     token = stage.order()
     stage.cache.sock.close()  # nothing can run
@@ -206,7 +222,7 @@
     assert stage.status(stage.ask(ORDER, "POST", b"x", Authorization=f"Bearer {token}")) == 503
 
 
-def test_an_order_whose_fate_is_unknown_fails_and_its_token_is_spent(stage):
+def test_a_write_with_unknown_outcome_fails_and_its_token_is_used_up(stage):
     stage.tokens._clock = lambda: time.time() + 5
     token = stage.order()
     client = stage.ask(ORDER, "POST", b"x", Authorization=f"Bearer {token}")
@@ -216,7 +232,7 @@
     assert stage.status(stage.ask(ORDER, "POST", b"x", Authorization=f"Bearer {token}")) == 401
 
 
-def test_a_read_out_of_time_is_refused_and_an_order_out_of_time_is_a_504(stage):
+def test_a_late_read_is_refused_and_a_late_write_is_a_504(stage):
     client = stage.ask(stage.link(), Request_Timeout_Ms="100")
     assert stage.status(client) == 503
     stage.tokens._clock = lambda: time.time() + 5
@@ -224,7 +240,7 @@
     assert stage.status(client) == 504
 
 
-def test_a_client_that_hangs_up_forgets_its_request(stage):
+def test_a_disconnected_client_cancels_its_request(stage):
     client = stage.ask(stage.link())
     request = stage.until(stage.cache.line).split(" ")[1]
     client.sock.close()
@@ -260,7 +276,7 @@
     assert client.data.index(b"one") < client.data.index(b"two")
 
 
-def test_a_store_taken_off_the_inventory_gets_nothing_more(stage):
+def test_a_store_removed_from_the_inventory_gets_no_requests(stage):
     path = stage.folder / "stores.csv"
     path.write_text("".join(x for x in path.read_text().splitlines(True) if "s-00000001" not in x))
     stage.gateway.part(FilesPart).inventory_seen = 0
@@ -270,7 +286,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "expected"),
     [
         ("name: n0\n  listen: x", "operator.yaml:2"),
         ("- a", "not a mapping"),
@@ -281,15 +297,15 @@
         ("listen: 127.0.0.1:0\nsettings: settings.json\nsigned: {public: x}\ninventory: stores.csv", "keys"),
     ],
 )
-def test_a_bad_operators_file_is_told_in_one_line(tmp_path, text, said):
+def test_an_invalid_operators_file_is_reported_in_one_line(tmp_path, text, expected):
     (tmp_path / "settings.json").write_text(json.dumps(SETTINGS))
     (tmp_path / "operator.yaml").write_text(text)
     with pytest.raises(BadConfig) as error:
         load_operator(str(tmp_path / "operator.yaml"), {})
-    assert said in str(error.value) and "\n" not in str(error.value)
+    assert expected in str(error.value) and "\n" not in str(error.value)
 
 
-def test_a_reload_takes_new_keys_and_lets_no_order_token_be_shown_twice(stage):
+def test_a_reload_applies_new_keys_and_keeps_the_record_of_used_order_tokens(stage):
     stage.tokens._clock = lambda: time.time() + 5
     token = stage.order()
     stage.ask(ORDER, "POST", b"a dozen", authorization=f"Bearer {token}")
