--- a/olivecourse/net/stores.py
+++ b/olivecourse/net/stores.py
@@ -210,7 +210,7 @@
         self.pool.ledger.goes(attempt)
         self.writing = attempt
         self._partly = True
-        any_sent = self.offer(self.pool.encode_request(attempt))
+        any_sent = self.try_send(self.pool.encode_request(attempt))
         self.writing = None
         if not any_sent and self.open:
             del self.in_flight[request]
--- a/olivecourse/net/stream.py
+++ b/olivecourse/net/stream.py
@@ -64,7 +64,7 @@
         self.connecting, self.open = connecting, True
         self.reads = READS
         self.unsent = False  # closed because the socket accepted no byte of the last write
-        self._blocked = False  # data refused by `offer`, which is not in the outbox, waits for writability
+        self._blocked = False  # data refused by `try_send`, which is not in the outbox, waits for writability
         self._mask = WRITE if connecting else READ
         loop.watch(sock, self._mask, self._ready)
 
@@ -159,7 +159,7 @@
             data = data[sent:] if sent else data
         self._queue(data)
 
-    def offer(self, data: bytes) -> bool:
+    def try_send(self, data: bytes) -> bool:
         """Like `write`, but queues nothing and returns False if the socket accepts no byte now.
 
         `drained` is then called once the socket is writable again. Used for data that is checked immediately
@@ -214,7 +214,7 @@
             self.drained()
 
     def drained(self) -> None:
-        """Called when all written bytes are sent, or the socket is writable again after a refused `offer`."""
+        """Called when all written bytes are sent, or the socket is writable after a refused `try_send`."""
 
     def _want(self) -> None:
         mask = READ | (WRITE if len(self.outbox) or self._blocked else 0)
