--- a/olivecourse/fronts/listener.py
+++ b/olivecourse/fronts/listener.py
@@ -22,7 +22,7 @@
 # The time until the first complete request. Together with the sweep interval, it stays below the 3 s which
 # every client must be given.
 FIRST_NS = 2_300 * MS
-# The time for the rest of an incomplete request: while no other request is open, and in any case.
+# The time for receiving an incomplete request: if no other request is open on the connection, and if one is.
 PARTIAL_REQUEST_TIMEOUT_NS, MAX_PARTIAL_REQUEST_TIMEOUT_NS = 2_300 * MS, 6_000 * MS
 IDLE_NS = 5_000 * MS  # the time between two requests; well-behaved clients close after 4 s
 MIN_EVICTION_AGE_NS = 100 * MS  # a connection younger than this may still be about to send its first request
@@ -59,15 +59,15 @@
     """Another process of this gateway that has taken over a client's connection, or has handed it over."""
 
     def answer(self, number: int, frame: bytes) -> None:
-        """Passes on the response frame of a sequence number that is open in the other process."""
+        """Sends the response frame for a sequence number to the process that now holds the connection."""
         ...
 
     def forget(self, number: int) -> None:
-        """Reports that the client cancelled a sequence number that is open in the other process."""
+        """Tells the previous process that the client has cancelled a request which is still open there."""
         ...
 
     def gone(self) -> None:
-        """Reports that the client has disconnected."""
+        """Tells the previous process that the client has disconnected."""
         ...
 
 
--- a/olivecourse/fronts/signed.py
+++ b/olivecourse/fronts/signed.py
@@ -264,7 +264,7 @@
         max_unread_bytes: int,
         log: Callable[..., None],
     ) -> None:
-        """`deadlines_ms` are the default deadlines by class; `public` is the URL prefix that clients sign."""
+        """`deadlines_ms` are the default deadlines by class; `public` is the prefix of signed URIs."""
         self.tokens, self._deadlines, self._public = tokens, deadlines_ms, public.rstrip("/")
         self.recording = 0  # writes whose tokens are being recorded on disk
         super().__init__(loop, address, core, classes, wait_ns, max_clients, max_unread_bytes, log)
--- a/olivecourse/net/seam.py
+++ b/olivecourse/net/seam.py
@@ -1,6 +1,6 @@
 """The link between forwarders and planners over a Unix socket: events go to the planner, actions come back.
 
-Each batch is one line of JSON: the sender's clock, then [type, field, ...] for each event or action.
+Each batch is one line of JSON: the forwarder's clock, then [type, field, ...] for each event or action.
 """
 
 from __future__ import annotations
@@ -126,7 +126,7 @@
             self.close("batch too long")
 
     def batch_received(self, now: int, batch: list[Any]) -> None:
-        """Called with each batch and the clock of its sender."""
+        """Called with each received batch and the forwarder's clock in nanoseconds."""
         raise NotImplementedError
 
 
--- a/olivecourse/net/stream.py
+++ b/olivecourse/net/stream.py
@@ -127,7 +127,7 @@
         """Reads available bytes into `inbox`, in at most `reads` reads, and calls `received` after each."""
         for _ in range(self.reads):
             try:
-                got = self.inbox.receive(self.sock)
+                read_count = self.inbox.receive(self.sock)
             except (BlockingIOError, InterruptedError):
                 return
             except BufferFull as overflow:
@@ -136,12 +136,12 @@
             except OSError as error:
                 self.close(errno.errorcode.get(error.errno or 0, "error"))
                 return
-            if not got:
+            if not read_count:
                 self.close("closed by the other side")
                 return
             self.received()
             # A short read has emptied the socket; another one would only cost a system call and an exception.
-            if got < 0 or not self.open:
+            if read_count < 0 or not self.open:
                 return
 
     def write(self, data: bytes) -> None:
