--- a/olivecourse/choice.py
+++ b/olivecourse/choice.py
@@ -1,8 +1,10 @@
 """Every decision of the request router; olivecourse/interface.py defines its settings, events and actions.
 
-The normal path follows NetKV: popular objects get several hashed names on a consistent-hash ring. Guards
-enforce the rules for effects, drains and cold starts. Error scores, concurrency limits and fill shares adapt
-to failures and overload. Comments marked "Departure:" give the reasons where the code differs from the paper.
+The normal path follows the NetKV paper: popular objects get several hashed names on a consistent-hash ring of
+caches. Checks before each attempt enforce the rules for requests that must not run twice, for draining nodes
+and for nodes that were just started. Error scores, concurrency limits and fill shares (the share of a class's
+requests that may cause a fill) adapt to failures and overload. Comments marked "Departure:" give the reasons
+where the code differs from the paper.
 """
 
 from __future__ import annotations
@@ -22,94 +24,133 @@
 
 MS = 1_000_000
 
-# Parameters of the NetKV mechanism.
+# Parameters of the NetKV mechanism, which hashes a popular object under several names so that several caches
+# share its load.
 
-# Counting interval: long enough for some hundred requests, short compared with a rush of requests.
+# Interval over which the load of each object is counted and after which the popularity threshold T is chosen
+# anew: long enough for some hundred requests, short compared with the duration of a rush of requests.
 INTERVAL_NS = 5_000 * MS
-# Relative error of the Lossy Counter, small enough that no object that deserves a second name is pruned.
+# Share of the total load by which a count of the Lossy Counter may be too low: small enough that no object
+# popular enough for a second name on the ring is pruned.
 COUNT_ERROR = 0.002
-# Share of an interval's load that makes an object a candidate for several names, well above COUNT_ERROR.
+# An object with at least this share of an interval's total load counts as frequent and may get several names
+# on the ring; well above COUNT_ERROR.
 SUPPORT = 0.01
-HLL_BITS = 10  # gives about 3 % error on the number of distinct objects
-ALPHA = 1.0  # spread factor in the second form of MaxBalls: the constant proven in the paper
-# MaxBalls uses its second form for up to this many caches, because the first form holds for large n only.
+HLL_BITS = 10  # 2 ** 10 HyperLogLog registers: about 3 % error on the number of distinct objects
+# Factor of the square-root term in the formula of `max_balls` for many balls: the constant proven in the
+# paper.
+ALPHA = 1.0
+# With up to this many caches, `max_balls` uses its formula for many balls throughout, because the formula for
+# few balls holds for a large number of caches only.
 FEW_CACHES = 16
-# Highest accepted ratio of peak to mean load: the latency targets tolerate about this much link sharing.
+# Highest accepted ratio of the estimated load of the busiest cache to the mean load of a cache: the latency
+# targets tolerate about this much sharing of a link.
 BOUND = 2.0
-# Mean number of requests in an interval that an additional name must serve to be worth its fill.
+# Lowest value of the popularity threshold T, as a number of requests of mean load in an interval: each
+# additional name of an object costs a fill, which pays only if the name serves this many requests.
 NAME_WORTH = 4.0
-THRESHOLD_STEP = 0.85  # ratio between successive trial values of the threshold T
-POINTS_PER_CACHE = 64  # ring points of a cache of mean weight; key shares then differ by about 12 %
+THRESHOLD_STEP = 0.85  # each trial value of the popularity threshold T is this multiple of the one before
+# Points on the hash ring of a cache of mean weight (the capacity that discovery reports). With this number,
+# the shares of the objects that fall to caches of equal weight differ by about 12 %.
+POINTS_PER_CACHE = 64
 
-# Health of caches and sources. An error score runs from 0 (healthy) to 1 (failing).
+# Health of caches and fill sources (parents and origins). A node's error score is a moving average of the
+# outcomes of its attempts, from 0 (healthy) to 1 (failing). Its trust, from MIN_TRUST to 1, is the share of
+# its normal traffic that it receives; `Router._trust` derives it from the error score.
 
-# Weight in the error score of an answer, of a failed attempt and of a failed connection.
+# Weight of one outcome in the moving average that is a node's error score: of an answer, of a failed attempt
+# and of a failed connection.
 ANSWER_WEIGHT, FAILURE_WEIGHT, CONNECT_FAILURE_WEIGHT = 0.1, 0.3, 0.6
-# Above this error score a node counts as failing. Where a request may bypass the caches, a cache above it is
-# skipped and the request goes straight to a parent or origin.
+# Above this error score (0 healthy, 1 failing) a node counts as failing, until its score is down to SLACK.
+# Where the settings let requests bypass the caches, a cache above it is skipped; if no cache is left, the
+# request goes straight to a parent or origin.
 FAILED_SCORE = 0.8
-# The error score of a node that sends no answers halves in this time, so that the node gradually gets trial
-# traffic.
+# The error score of a node halves in this time while no outcome updates it, so that a node that was avoided
+# gradually gets trial traffic again.
 SCORE_HALF_LIFE_NS = 4_000 * MS
-# SLACK: excess of a node's error score over its best peer's that is attributed to chance.
+# SLACK: excess of a node's error score (0 healthy, 1 failing) over its best peer's that is attributed to
+# chance and costs no trust (share of its normal traffic that the node receives).
 # STEEP: trust lost per unit of excess beyond SLACK.
 SLACK, STEEP = 0.4, 3.0
-MIN_TRUST = 0.02  # trust of the worst node: enough trial traffic to notice its recovery
-# A source whose trust is above this counts as up; fills count as held back when a fill share is below it.
+# Lowest trust of a node, that is, the share of its normal traffic that even a failing node receives: enough
+# trial traffic to notice its recovery.
+MIN_TRUST = 0.02
+# A parent whose trust (share of its normal traffic, from 0 to 1) is above this counts as up. The log reports
+# fills as held back when the fill share of any class (share of its requests that may cause a fill) is below
+# it.
 UP_THRESHOLD = 0.5
-TICK_NS = 100 * MS  # period of the health check; short compared with any latency target
+# Period of the timer that checks for overdue fills and silent caches; short compared with any latency target.
+TICK_NS = 100 * MS
 
-# Attempts, limits and fill shares.
+# Attempts, concurrency limits and fill shares. The sending time of a request is the time that its answer
+# takes to be sent to the client, in ns.
 
-LEARNING_RATE = 0.02  # weight of one request in the learned mean sending times and mean worth density
-# Retries that each request adds to the retry budget, and the most retries the budget can hold.
+# Weight of one request in the learned averages of a class's sending time (the time to send an answer to the
+# client) and of the value of requests per ns of sending time.
+LEARNING_RATE = 0.02
+# Each new request adds RETRIES_PER_REQUEST to the number of retries that the router may still make, which is
+# capped at MAX_SAVED_RETRIES. A retry takes one off, unless the attempt before it provably never ran.
 RETRIES_PER_REQUEST, MAX_SAVED_RETRIES = 0.3, 20.0
-# A parent counts as faster when its mean fill wait is below this share of the other parent's; a smaller
-# difference may be noise, as a router sees few misses.
+# Of an object's two preferred parents, the more distant one is used if its mean fill wait (the time that a
+# fill waits for the parent) is below this share of the nearer one's. A smaller difference may be noise, as a
+# router sees few misses.
 CLEARLY_FASTER = 0.5
-# REFERENCE_ROUTERS: number of routers for which the step sizes for the shared origin were tuned.
-# MAX_ORIGIN_SAMPLE_WEIGHT: one event at the origin counts for at most this many events.
+# REFERENCE_ROUTERS: number of routers for which the steps of the fill shares for the shared origin were
+# tuned. With more routers, one fill from the origin counts for (number of routers / REFERENCE_ROUTERS) fills.
+# MAX_ORIGIN_SAMPLE_WEIGHT: the most fills that one fill from the origin counts for.
 REFERENCE_ROUTERS, MAX_ORIGIN_SAMPLE_WEIGHT = 4, 10
-# One event at this router counts for at most this many events, because the routers of a zone meet the same
-# troubles.
+# One outcome that this router observes counts for as many outcomes as routers share the node, but for at most
+# this many, because the routers of a zone meet the same troubles.
 MAX_SAMPLE_WEIGHT = 6
-# Share of the cold-start budget that is spent; weights are rough estimates and traffic is bursty.
+# Share of a cold node's estimated safe load that is used while the node warms up; not more, because the
+# weights (capacities) that discovery reports are rough estimates and traffic is bursty.
 COLD_SAFETY = 0.5
-# A late answer and a refusal multiply the concurrency limit of the cache by these factors.
+# The concurrency limit of a cache (how many attempts this router may have in flight there) is multiplied by
+# the first factor after an answer later than its latency target, by the second after a refusal.
 LATE_LIMIT_FACTOR, REFUSED_LIMIT_FACTOR = 0.93, 0.9
-# A cache takes requests that spill over from full caches only up to this share of its limit, because the
-# resulting misses load the shared link.
+# Caches after the first suitable one on the ring take a request only up to this share of their concurrency
+# limits, because the misses of requests that spill over from full caches load the shared link.
 SPILLOVER_SHARE = 0.5
-# INITIAL_LIMIT: first concurrency limit per unit of weight, as the latency targets allow a shared link.
-# MIN_LIMIT: lowest limit, enough for the cache to recover.
+# INITIAL_LIMIT: first concurrency limit of a node (attempts in flight) per unit of its weight (capacity from
+# discovery), over all routers that share the node; the latency targets allow that transfers share a link.
+# MIN_LIMIT: lowest concurrency limit, enough for the node to recover.
 INITIAL_LIMIT, MIN_LIMIT = 2.5, 2.0
-# Where discovery gives no weights, limits start from these: the capacity of a small cache, and that of a
-# parent or origin.
+# Weights (capacities) from which the first concurrency limits are computed where discovery gives none: that
+# of a small cache, and that of a parent or origin.
 ASSUMED_WEIGHTS = 6.0, 20.0
-# Limits are scaled by a request's worth per sending time, relative to the mean, raised to VALUE_EXPONENT and
-# kept between the two bounds.
+# For each request, the concurrency limits of nodes are multiplied by (r / mean r) ** VALUE_EXPONENT, kept
+# between the two bounds; r is the value of the request per ns that its answer takes to be sent to the client.
 VALUE_EXPONENT, MIN_VALUE_FACTOR, MAX_VALUE_FACTOR = 0.5, 0.65, 1.25
 # Delay between a failed call for the cache list and the next call; discovery is easily overloaded.
 RESUBSCRIBE_NS = 1_000 * MS
-# Share of a limit that a request repeated by the client may use: its answer is probably late already.
+# Share of a node's concurrency limit that a request may use if the client marks it as a repeat of an earlier
+# one: its answer is probably late already.
 REPEAT_SHARE = 0.5
-# This many plain server errors in succession indicate a bad request rather than bad caches.
+# This many server errors without a stated cause, for one request, indicate a bad request rather than bad
+# caches; the request is then given up.
 MAX_ERRORS = 3
-# A cache in the router's own zone sends its own refusals within this time; any fill source is further away.
+# A refusal within this time comes from the cache itself, which is in the router's own zone. A later one is
+# attributed to the fill source, because any fill source is further away.
 LOCAL_REFUSAL_NS = 5 * MS
-# Multiplier of the fill share after a late fill and increment after a timely one; the two balance when a
-# sixth of the fills are late.
+# A fill share is the share of a class's requests that may cause a fill. A late fill multiplies it by the
+# first number, a timely fill adds the second; the two balance when a sixth of the fills are late.
 LATE_FILL_FACTOR, TIMELY_FILL_STEP = 0.95, 0.01
-# When no fill has been late for this delay, the fill share grows by this factor at each tick.
+# When no fill of a class has been late for FILL_RECOVERY_DELAY_NS, the class's fill shares (shares of its
+# requests that may cause a fill) are multiplied by FILL_RECOVERY_FACTOR at each tick (every TICK_NS).
 FILL_RECOVERY_DELAY_NS, FILL_RECOVERY_FACTOR = 1_000 * MS, 1.04
-# A response counts as lost when the deadline passes for an attempt whose cache has answered other requests
-# since. Each lost response grants this many early repeats, and each early repeat that is answered in time
-# grants one more. While no response is lost, there are no early repeats.
+# An early repeat cancels an attempt whose response seems lost and repeats the request while the answer can
+# still be in time. A response counts as lost when the request's deadline passes although the cache has
+# answered other requests since the attempt was sent. Each lost response grants CREDIT_PER_LOST_RESPONSE early
+# repeats, and each early repeat that is answered in time grants one more; at most MAX_LOST_RESPONSE_CREDIT
+# are saved. While no response is lost, there are no early repeats.
 CREDIT_PER_LOST_RESPONSE, MAX_LOST_RESPONSE_CREDIT = 10.0, 40.0
-# LOST_AFTER_FACTOR: multiple of the expected time after which a response seems lost.
-# REPEAT_TIME_FACTOR, REPEAT_OVERHEAD_NS: a repeat takes this multiple of the sending time plus this overhead.
+# LOST_AFTER_FACTOR: a response is checked for loss only if the check comes later than this multiple of the
+# expected response time (the time to send the answer to the client plus the mean wait for the fill source).
+# REPEAT_TIME_FACTOR, REPEAT_OVERHEAD_NS: the repeat alone, without the original attempt, is expected to take
+# this multiple of the time to send the answer to the client, plus this overhead.
 LOST_AFTER_FACTOR, REPEAT_TIME_FACTOR, REPEAT_OVERHEAD_NS = 1.3, 1.25, 15 * MS
-# Bounds of a fill share. The range above 1 is a reserve: a few late fills in normal operation refuse nothing.
+# Bounds of a fill share (the share of a class's requests that may cause a fill). The range above 1 is a
+# reserve: a few late fills in normal operation refuse nothing.
 MIN_FILL_SHARE, MOST_FILLS = 0.1, 1.5
 
 
@@ -121,11 +162,12 @@
     max_ratio: float,
     min_threshold: float,
 ) -> float:
-    """Returns the largest threshold T whose estimated peak load is at most `max_ratio` times the mean.
+    """Returns the popularity threshold T: an object whose load exceeds T gets several names on the ring.
 
-    If no trial value down to `min_threshold` meets the bound, the one with the lowest estimated peak is
-    returned. `counts` holds the load of each frequent object, `total` the load of all objects and `distinct`
-    the number of objects.
+    It is the largest trial value with which the estimated load of the busiest cache is at most `max_ratio`
+    times the mean load of a cache. If none down to `min_threshold` meets this bound, it is the one with the
+    lowest estimated peak; without load or caches it is infinite. `counts` holds the load of each frequent
+    object, `total` the load of all objects and `distinct` the number of objects.
     """
     if max(counts, default=0.0) <= 0.0 or cache_count < 1:
         return math.inf
@@ -139,8 +181,9 @@
             if cold_count >= 1
             else cold_load
         )
-        # Departure: the estimate for cold objects uses only their mean load, but the largest cold object goes
-        # to a single cache as a whole, so the peak is at least that cache's load.
+        # Departure: the estimate for cold objects (those with a load of at most T) uses only their mean load,
+        # but the largest cold object goes to a single cache as a whole, so the peak is at least the load of
+        # that cache.
         largest_cold = max((count for count in counts if count <= threshold), default=0.0)
         peak = max(peak, largest_cold + (total - largest_cold) / cache_count)
         if peak <= max_ratio * total / cache_count:
@@ -151,9 +194,9 @@
 
 
 class Router:
-    """Makes all routing decisions for one gateway.
+    """Makes all routing decisions for one gateway, without I/O: it turns events into actions.
 
-    Call `start()` once, then `handle(event, now)` for each event.
+    Call `start()` once, then `handle(event, now)` for each event; the caller executes the returned actions.
     """
 
     def __init__(self, settings: w.Settings, now: int) -> None:
@@ -163,8 +206,9 @@
         self.routers_in_zone = max(
             zone_routers_here[0] if zone_routers_here and zone_routers_here[0] else settings.routers, 1
         )
-        # Number of events that one event here counts for: at a cache of the zone, and at the origin
-        # that all routers share.
+        # The outcome of one fill at this router counts for this many when a fill share is adapted:
+        # `sample_weight` for a fill from a parent's own copy, `origin_sample_weight` for one from the origin,
+        # which all routers share.
         self.sample_weight = min(self.routers_in_zone, MAX_SAMPLE_WEIGHT)
         self.origin_sample_weight = min(
             max(self.sample_weight, settings.routers // REFERENCE_ROUTERS), MAX_ORIGIN_SAMPLE_WEIGHT
@@ -172,36 +216,45 @@
         self.actions: list[w.Action] = []
         self.nodes, self.ring = dict[int, Node](), Ring()
         self.caches, self.parents, self.origins = list[Node](), list[Node](), list[Node]()
-        # Unanswered requests by request id; attempts by request id and attempt number, with their send time,
-        # request, cache and fill source; request ids by the token of their deadline timer.
+        # `held`: unanswered requests by request id. `attempts`: unfinished attempts by request id and attempt
+        # number, each with its send time, request, node and fill source. `timers`: request ids by the token
+        # of their deadline timer.
         self.held: dict[str, PendingRequest] = {}
         self.attempts: dict[tuple[str, int], tuple[int, PendingRequest, Node, Node | None]] = {}
         self.timers, self.last_token = dict[int, str](), 0
-        # Load counts of the current interval; frequent objects of the previous interval and the threshold T.
+        # `counter`, `distinct`: loads and number of objects in the current counting interval. `counts`, `t`:
+        # loads of the frequent objects in the previous interval and the popularity threshold T chosen for
+        # them.
         self.counter, self.distinct = LossyCounter(COUNT_ERROR), HyperLogLog(HLL_BITS)
         self.counts, self.t, self.next_subscribe_at = dict[str, float](), math.inf, math.inf
-        # Departure: only a share of each class's requests may cause a fill. The other requests are served
-        # only by a hit, or refused. A second share applies to fills with objects that a parent already holds,
-        # because such fills put no load on the origin.
+        # Departure: only a share of each class's requests, `fills`, may cause a fill from any source. The
+        # other requests are served only by a hit, or refused. A second share, `near`, decides which of those
+        # may still be filled with an object that a parent already holds, because such fills put no load on
+        # the origin.
         self.fills = [MOST_FILLS] * len(settings.classes)
         self.near = list(self.fills)
-        self.late_at = [now] * len(self.fills)  # time of the last late fill, by class
-        self.streak: dict[tuple[int, bool], int] = {}  # timely fills since the last late fill
+        self.late_at = [now] * len(self.fills)  # time of the last late fill, by class index
+        # Number of timely fills since the last late one, by class index and by whether the share for fills
+        # from a parent's own copy was adapted.
+        self.streak: dict[tuple[int, bool], int] = {}
         self.retune_at = now + INTERVAL_NS
         self.purges = PurgeTable()
         self.retry_budget, self.fills_restricted = MAX_SAVED_RETRIES, False
-        # Number of early repeats that lost responses have granted, and attempts to check for a lost response,
-        # by timer token.
+        # `lost`: number of early repeats that the router may still make; lost responses grant them. `looks`:
+        # attempts (request id and attempt number) to check for a lost response, by timer token.
         self.lost, self.looks = 0.0, dict[int, tuple[str, int]]()
-        # Learned mean sending time of each class, in ns. It starts at the latency target, which is high,
-        # because the cold-start budget must not be underestimated. Cold-start budgets use a second copy that
-        # is never restored from memory.
+        # Learned mean time that the answers of each class take to be sent to the client, in ns. It starts at
+        # the latency target, which is high, because the load of an attempt on a cold node must not be
+        # underestimated. `price_ns`, what an attempt costs in the credit for a cold node, is a second copy
+        # that is never restored from the state of an earlier process.
         self.size_ns = [float(c.aim_ns) for c in settings.classes]
         self.price_ns = list(self.size_ns)
-        # Hook for the memory component: restores the remembered state of a node that is new to this router.
+        # Hook for the memory component, which keeps learned state across restarts: called for each node that
+        # is new to this router, to restore what was learned about it before.
         self.recall: Callable[[Node], None] = lambda unused: None
-        self.limits: w.Limits | None = None  # limits of the storm guard, if one is set
-        # `density` is the mean worth of a request per ns of sending time.
+        self.limits: w.Limits | None = None  # limits of the guard against retry storms, if one is set
+        # `density`: mean of the requests' value (`RequestClass.worth`) per ns that the answer takes to be
+        # sent to the client.
         self.sizes, self.reports = Sizes(), LoadReports(settings.report_fields)
         self.density = sum(c.worth / (c.aim_ns or 1) for c in settings.classes) / (len(settings.classes) or 1)
         self.handlers: dict[type, Callable[[Any], object]] = {
@@ -214,7 +267,9 @@
         }
 
     def start(self) -> list[w.Action]:
-        """Returns the first actions: the periodic timer and, if discovery must be asked, a subscription."""
+        """Returns the first actions: the periodic timer and, if the settings tell the router to ask discovery
+        for the cache list, a subscription to it.
+        """
         return [w.SetTimer(TICK_NS, 0), *([w.Subscribe(True)] if self.s.ask_discovery else ())]
 
     def handle(self, event: w.Event, now: int) -> list[w.Action]:
@@ -224,7 +279,9 @@
         return self.actions
 
     def avoided(self) -> set[int]:
-        """Returns the ids of nodes that get only trial traffic or none, as they are failing or not ready."""
+        """Returns the ids of nodes that get only trial traffic, because their error score says that they are
+        failing, or none, because discovery does not list them as ready.
+        """
         return {c for c, n in self.nodes.items() if n.failing or n.member.state is not w.State.READY}
 
     # Choice of cache and source ---------------------------------------------------------------------
@@ -254,7 +311,9 @@
             MAX_VALUE_FACTOR,
         )
         pending.limit_factor = limit_factor * REPEAT_SHARE if flags & w.Flag.REPEAT else limit_factor
-        # The draw is made once per request, so that a retry does not have to pass the fill share again.
+        # The random number that decides whether the request may cause a fill is drawn once per request, so
+        # that a retry does not have to pass the fill share (the share of requests that may cause a fill)
+        # again.
         pending.fill_draw = self.random.random()
         self.last_token += 1
         self.timers[self.last_token] = ask.request
@@ -262,8 +321,8 @@
         # is overdue.
         self.actions.append(w.SetTimer(max(time_budget - self.s.tick_ns, 0), self.last_token))
         if ask.object is not None and not write and not flags & w.Flag.REPEAT:
-            # Departure: where sizes are reported, load is measured in sending time, because the number of
-            # requests does not show that a large object fills a link.
+            # Departure: where sizes are reported, an object's load is the total time to send its answers to
+            # clients, because the number of requests does not show that a large object fills a link.
             self.counter.add(key, sending_time if reported_time else 1.0)
             self.distinct.add(key)
         self.retry_budget = min(self.retry_budget + RETRIES_PER_REQUEST, MAX_SAVED_RETRIES)
@@ -273,12 +332,17 @@
         (self._send if admitted else self._give_up)(pending)
 
     def _learn_sending_time(self, class_index: int, sending_time: float) -> None:
-        """Updates the mean sending times of a class with one request's sending time in ns."""
+        """Updates a class's mean sending times (times to send an answer to the client) with one request's.
+
+        `sending_time` is in ns; both copies of the mean, `size_ns` and `price_ns`, are updated.
+        """
         for mean_times in (self.size_ns, self.price_ns):
             mean_times[class_index] += LEARNING_RATE * (sending_time - mean_times[class_index])
 
     def _retune(self) -> None:
-        """Ends a counting interval: chooses T for its frequent objects and restarts the counters."""
+        """Ends a counting interval: chooses the popularity threshold T for its frequent objects and restarts
+        the counters of object loads and of distinct objects.
+        """
         frequent_counts = self.counter.frequent(SUPPORT)
         self.counts = dict(frequent_counts)
         distinct_count, total_load = max(self.distinct.count(), len(frequent_counts)), self.counter.total
@@ -294,16 +358,18 @@
         self.retune_at = self.now + INTERVAL_NS
 
     def _names(self, key: str) -> int:
-        """Returns how many names an object has on the ring: its load divided by T, at least one.
+        """Returns under how many names an object is hashed to the ring: its load divided by the popularity
+        threshold T, rounded up, and at least one.
 
-        Departure: a count that exceeds T within the current interval takes effect at once, because popularity
-        can rise suddenly.
+        Departure: a load that exceeds T within the current counting interval takes effect at once, because
+        popularity can rise suddenly.
         """
         load = max(self.counts.get(key, 0.0), self.counter.count(key))
         return math.ceil(load / self.t) if load > self.t else 1
 
     def _pick_cache(self, pending: PendingRequest) -> Node | None:
-        """Returns the first suitable cache on the ring from the position of a random name of the object.
+        """Returns the first suitable cache on the ring from the position of a random name of the object, or
+        None if no cache may get the attempt.
 
         Departure: a cache at its limit of unanswered attempts is skipped, because a further attempt would be
         late. If all caches are at their limits, the request is refused early.
@@ -313,7 +379,8 @@
             if not self._may_send(node, pending) or self.s.direct and self._pain(node) > FAILED_SCORE:
                 continue
             limit = max(node.limit, node.bears) * (SPILLOVER_SHARE if past_first else 1.0)
-            # An idle cache with a limit of at least one always accepts an attempt.
+            # An idle cache with a concurrency limit of at least one always accepts an attempt, even if the
+            # request's factor reduces the limit below one.
             allowed, past_first = max(limit * pending.limit_factor, min(limit, 1.0)), True
             if not self._admits_attempt(node, allowed):
                 continue
@@ -325,9 +392,10 @@
                 return node
             fallbacks.append(node)
         pending.caches_full = past_first
-        # Fallback order: caches tried least often, then lowest error score, then ring order. A write is not
-        # cached and may have only one attempt, so it is never trial traffic; its error scores are rounded so
-        # that ring order decides between similar caches.
+        # Fallback order: caches that this request has tried least often, then lowest error score, then ring
+        # order. A write is not cached and may have only one attempt, so it is never used to test whether a
+        # failing cache has recovered; for a write the error scores are rounded, so that ring order decides
+        # between caches with similar scores.
         return min(
             fallbacks,
             default=None,
@@ -338,27 +406,31 @@
         )
 
     def _admits_attempt(self, node: Node, allowed: float) -> bool:
-        """Returns whether the node has room for one more attempt, at random for a fractional limit.
+        """Returns whether a node's concurrency limit `allowed` leaves room for one more attempt.
 
-        With a random decision, limits below one add up correctly over many routers.
+        A fractional limit is rounded up or down at random, so that limits below one add up correctly over
+        many routers.
         """
         return len(node.in_flight) + self.random.random() <= allowed
 
     def _pick_source(self, pending: PendingRequest, as_target: bool = False) -> Node | None:
-        """Returns the source for a fill: one of the object's first two parents, another parent or the origin.
+        """Returns the source for a fill: one of the first two parents in the object's hash order, else
+        another parent or the origin; None if none is permitted. A write goes to the origin first.
 
-        With `as_target`, the result receives the request itself, without a cache in between, so it must pass
-        the checks of an attempt.
+        With `as_target`, the node receives the request itself, without a cache in between, so it must pass
+        the checks of `_may_send`, not only those of `_may_use`.
         """
         permitted = self._may_send if as_target else self._may_use
         if pending.write:
             return next((n for n in [*self.origins, *self.parents] if permitted(n, pending)), None)
-        # Departure: the hash order respects the parents' weights, because with equal shares small parents
-        # overloaded first.
+        # Departure: the hash order gives each parent a share of the objects in proportion to its weight (the
+        # capacity that discovery reports), because with equal shares small parents were overloaded first.
         order = rendezvous_order(pending.key, [(n, n.member.weight or 1.0) for n in self.parents])
 
         def is_up(node: Node) -> bool:
-            """Returns whether a parent is usable, has not failed for this request and is trusted enough."""
+            """Returns whether the rules for drains and cold starts permit the parent, it has not failed as
+            the source of this request, and its trust (share of normal traffic, by its error score) is high.
+            """
             return (
                 node not in pending.failed_sources
                 and permitted(node, pending)
@@ -367,8 +439,9 @@
 
         preferred = [n for n in order[:2] if is_up(n)]
         if preferred:
-            # Departure: all routers use the same parent, the nearer one, unless the other is clearly faster,
-            # because each router's mean fill wait rests on few misses.
+            # Departure: of the two preferred parents the one nearer to this router's zone is used, unless the
+            # mean fill wait of the more distant one is clearly shorter. The routers of a zone so use the same
+            # parent; the mean fill wait that each of them measures rests on few misses.
             preferred.sort(key=lambda n: ring_distance(self.s.zone_hub, n.member.zone, self.s.zone))
             second_is_faster = (preferred[-1].wait or math.inf) < CLEARLY_FASTER * (preferred[0].wait or 0.0)
             return preferred[-1 if second_is_faster else 0]
@@ -379,7 +452,7 @@
     # Sending, and the checks that every attempt passes ----------------------------------------------
 
     def _send(self, pending: PendingRequest) -> None:
-        """Sends one more attempt, or gives the final answer if no attempt is possible."""
+        """Sends one more attempt of a request, or refuses or fails the request if no attempt is possible."""
         node = source = None
         if pending.sent < self.s.max_attempts and pending.deadline - self.now > self.s.tick_ns:
             if not (pending.write and self.s.direct):
@@ -389,17 +462,19 @@
             if node is not None and not (pending.near and draw >= self.near[class_index]):
                 source = self._pick_source(pending)
                 if pending.near and source not in self.parents:
-                    # This request may be filled only with a copy that a parent holds. The origin is no source
-                    # for it, because the origin must be relieved.
+                    # The class's fill share allows this request a fill only with a copy that a parent holds.
+                    # The origin is no source for it, because the share was lowered to relieve the origin.
                     source = None
-            # Departure: a request without a usable cache bypasses the caches where the settings allow it.
+            # Departure: if no cache may get the attempt, the request goes straight to a parent or origin
+            # where the settings allow it (`Settings.direct`).
             elif node is None and self.s.direct:
                 node = self._pick_source(pending, as_target=True)
                 spillover = SPILLOVER_SHARE**2 if pending.caches_full else 1.0
                 node = (
                     node if node is not None and self._admits_attempt(node, node.limit * spillover) else None
                 )
-                # The parent fills from the origin; naming the parent as its own source would fill nothing.
+                # A parent that gets the request itself fills from the origin; if it were named as its own
+                # fill source, it could fill nothing.
                 if node in self.parents:
                     source = next((used for used in self.origins if self._may_use(used, pending)), None)
         if node is None or (pending.write and source is None and node not in self.origins):
@@ -416,7 +491,7 @@
         for used in (node, source) if source is not node else (node,):
             if used is not None:
                 used.credit -= self.price_ns[pending.ask.cls]
-        # The origin holds every object, so the request needs no fill source.
+        # The origin holds every object, so an attempt sent to it needs no fill source.
         if node in self.origins:
             self.actions.append(w.Look(key[0], node.member.cache, remaining_ns))
             return
@@ -432,7 +507,9 @@
         )
 
     def _may_send(self, node: Node, pending: PendingRequest) -> bool:
-        """Returns whether effect rules, drains and cold starts allow an attempt through this node."""
+        """Returns whether an attempt may go to this node: repeating the request must be safe there, by the
+        effect of its class, and the rules for drains and cold starts must allow the node.
+        """
         if pending.maybe_executed and pending.request_class.effect is not w.Effect.IDEMPOTENT:
             if pending.request_class.effect is w.Effect.AT_MOST_ONCE:
                 return False
@@ -448,7 +525,9 @@
         return self._may_use(node, pending)
 
     def _may_use(self, node: Node, pending: PendingRequest) -> bool:
-        """Returns whether drains and cold starts allow this node as a cache or as a fill source."""
+        """Returns whether this node may be used as a cache or as a fill source: discovery lists it as ready,
+        and if it was just started it has credit for one more attempt.
+        """
         if node.member.state is not w.State.READY or self.nodes.get(node.member.cache) is not node:
             return False
         entry, parent = node.member, node.member.kind == self.s.parent_kind
@@ -460,10 +539,11 @@
         age = max(self.now - (entry.ready_at_ns or 0), 0)
         if not entry.ready_at_ns or entry.kind == self.s.origin_kind or age >= ramp:
             return True
-        # Credit pays for attempts at a cold node. It grows by this router's share of the node's safe
-        # capacity, starting from a random amount, and one attempt needs credit for the longest sending time.
-        # Credit that is unused for a window lapses, so that a rush of requests does not find every router
-        # with full credit.
+        # A cold node (one that became ready less than `ramp` ago) gets an attempt only for credit, counted in
+        # ns of sending answers to clients. Credit starts from a random amount and grows by this router's
+        # share of the load that the node can safely take. An attempt needs credit for the longest mean
+        # sending time of a class. Credit that is unused for a window (`fall_ns`) lapses, so that a rush of
+        # requests does not find every router with full credit.
         weight = (
             self.reports.min_capacity(entry, self.caches)
             if self.s.weights == "silent"
@@ -476,16 +556,20 @@
         return node.credit >= largest
 
     def _max_age(self, pending: PendingRequest) -> tuple[int, bool]:
-        """Returns the maximum age of a usable copy in ns, 0 for no bound, and whether a purge sets it."""
+        """Returns the maximum age in ns of a cached copy that may be served, 0 for no bound, and whether a
+        purge of the object or its group is in effect, so that the bound excludes copies from before the
+        purge.
+        """
         ages = [self.now - at for at in self.purges.find(pending.ask.object, pending.ask.group)]
         return (max(min(*ages, pending.request_class.fresh_ns or ages[0]), 1), True) if ages else (0, False)
 
     def _give_up(self, pending: PendingRequest) -> None:
-        """Ends the request at once: refuses it if the client may safely retry, else fails it."""
+        """Ends a request without an answer: refuses it if the client may safely retry, else fails it."""
         self.actions += [
             w.Cancel(pending.ask.request, attempt) for attempt in pending.in_flight if self.s.cancel
         ]
-        # After MAX_ERRORS errors no store can use the request, and no node is charged with the errors.
+        # After MAX_ERRORS server errors the request itself is taken to be at fault, and the errors do not
+        # count in the error score of any node.
         if len(pending.uncharged_errors) < MAX_ERRORS:
             self._attribute_failures(pending.uncharged_errors)
         harmless = (
@@ -494,8 +578,8 @@
             or pending.request_class.effect is w.Effect.DEDUPLICATED
             and pending.request_class.key_scope is w.Scope.ALL
         )
-        # The delay is the longest that clients respect: the latency target is already missed, and an early
-        # retry would only displace other requests.
+        # The client is told to wait for the longest delay that clients respect: the latency target is already
+        # missed, and an early retry would only displace other requests.
         retry_delay_ns = self.s.max_retry_after_ns if self.s.retry_after else 0
         retry_delay_ns = (
             retry_delay_ns if self.limits is None else self.limits.wait(pending.ask, retry_delay_ns)
@@ -508,7 +592,9 @@
     # Outcomes ---------------------------------------------------------------------------------------
 
     def _on_attempt_ended(self, end: w.AttemptEnded) -> None:
-        """Records how an attempt ended, then closes, retries or gives up its request."""
+        """Records how an attempt ended, then closes, retries or gives up its request if that is still
+        unanswered.
+        """
         key = (end.request, end.attempt)
         if key not in self.attempts:
             return
@@ -524,7 +610,8 @@
         if end.closed:
             del self.held[end.request]
         elif end.status is w.Status.MISS and source is None or self._parent_lacks_object(end, pending):
-            # The attempt could only be served by a hit, or by a fill with an object that a parent holds.
+            # The attempt could be served only by a hit or by a fill from a parent's own copy, and there was
+            # neither; the fill share allows this request no other fill.
             self._give_up(pending)
         elif len(pending.uncharged_errors) >= MAX_ERRORS:
             self._give_up(pending)
@@ -532,8 +619,8 @@
             source_failed = self._is_source_failure(end, pending, source)
             if source_failed:
                 pending.failed_sources.append(source)
-            # The retry may use the same cache if only its source failed, or if its response was lost, because
-            # the cache then has the copy.
+            # The retry need not avoid the same cache if only the fill source failed, or if the response was
+            # lost on the way, because the cache then has the copy.
             if (
                 source_failed
                 or end.status is w.Status.RESET
@@ -554,12 +641,13 @@
     def _record_outcome(
         self, end: w.AttemptEnded, pending: PendingRequest, node: Node, source: Node | None
     ) -> None:
-        """Updates error scores, limits, fill shares and learned times from the outcome of an attempt."""
+        """Updates error scores, concurrency limits, fill shares and learned times from how an attempt ended."""
         note, latency, busy = end.note, end.latency_ns or 0, len(node.in_flight) + 1 >= node.limit / 2
         if self._parent_lacks_object(end, pending):
             return
-        # The fill share is lowered only if the source failed. A lost response says nothing about fills, and a
-        # source that is found unreachable quickly says nothing about overload.
+        # An attempt that ended without an answer lowers the fill share (share of requests that may cause a
+        # fill) only if the fill source failed. A lost response says nothing about fills, and a source that is
+        # found unreachable within the latency target says nothing about overload.
         if self._is_source_failure(end, pending, source) and (
             note is not w.Note.SOURCE_UNREACHED or latency > pending.aim
         ):
@@ -570,19 +658,20 @@
             node.heard = self.now
         if end.status is w.Status.SERVED:
             aim, sample = pending.aim, min(1.0, latency / max(pending.aim, 1))
-            # A hit uses neither the link nor the source, and an overdue fill has already been counted as
-            # late.
+            # The fill share is adapted only by fills: a hit uses neither the shared link nor the fill source.
+            # An overdue fill has already been counted as late while it was unanswered.
             if (note.filled or not note) and not pending.overdue:
                 self._adapt_fill_share(
                     pending, latency <= aim, note is w.Note.FILLED and self.s.notes == "all"
                 )
-            # The latency of a fill does not depend on the load of the cache alone, so fills do not change its
-            # limit.
+            # The latency of a fill does not depend on the load of the cache alone, so fills do not change the
+            # cache's concurrency limit.
             if busy and not note.filled:
                 self._adapt_limit(node, LATE_LIMIT_FACTOR if latency > aim else None, bool(note))
             if not (pending.ask.size_kb or pending.write or end.same or note is w.Note.JOINED):
                 self.sizes.saw(pending.ask.object or "", latency - (end.source_wait_ns or 0))
-            # The request itself did not cause its earlier errors, as it was served now, so nodes are charged.
+            # The request was served now, so it did not itself cause the server errors of its earlier
+            # attempts: they count in the error scores of the nodes that those attempts used.
             self._attribute_failures(pending.uncharged_errors)
             if pending.repeated_early and latency < pending.aim:
                 self.lost = min(self.lost + 1.0, MAX_LOST_RESPONSE_CREDIT)
@@ -603,36 +692,44 @@
         elif end.status is w.Status.CONNECT_FAILED or source is None:
             charges = [(node, CONNECT_FAILURE_WEIGHT)]
         else:
-            # Either the cache or its source may be at fault, or a single response was lost. If a server is
-            # down, connection failures show it.
+            # Either the cache or its fill source may be at fault, or only one response was lost, so each node
+            # is charged with half the weight. If a server is down, connection failures show it.
             charges = [(node, FAILURE_WEIGHT / 2), (source, FAILURE_WEIGHT / 2)]
         if (
             end.status is w.Status.ERROR
             and not end.note
             and pending.request_class.effect is w.Effect.IDEMPOTENT
         ):
-            # The request itself may cause the error; its outcome at other caches decides.
+            # The request itself may cause the error. Whether nodes are charged with it is decided by how
+            # further attempts of the request end.
             pending.uncharged_errors.append(charges)
         else:
             self._attribute_failures([charges])
 
     def _attribute_failures(self, uncharged_errors: list[list[tuple[Node, float]]]) -> None:
-        """Charges recorded errors to the error scores of the nodes that may have caused them."""
+        """Counts errors in the error scores of the nodes that may have caused them.
+
+        `uncharged_errors` lists, for each error, the nodes to charge and the weight for each of them.
+        """
         for node, weight in [charge for charges in uncharged_errors for charge in charges]:
             self._update_error_score(node, 1.0, weight)
 
     def _parent_lacks_object(self, end: w.AttemptEnded, pending: PendingRequest) -> bool:
-        """Returns whether a fill that may use only a parent's own copy found that the parent has none."""
+        """Returns whether an attempt that could be filled only from a parent's own copy ended without one."""
         return pending.near and (end.status is w.Status.MISS or end.note is w.Note.SOURCE_LACKS)
 
     def _adapt_fill_share(self, pending: PendingRequest, timely: bool, from_parent: bool = False) -> None:
-        """Raises the fill share of the request's class after a timely fill and lowers it after a late one."""
+        """Raises the fill share of the request's class after a timely fill and lowers it after a late one.
+
+        A fill share is the share of a class's requests that may cause a fill. With `from_parent`, or if the
+        request could be filled only from a parent's own copy, the share for such fills is adapted instead.
+        """
         class_index, from_parent = pending.ask.cls, from_parent or pending.near
         shares, sample_weight = (
             (self.near, self.sample_weight) if from_parent else (self.fills, self.origin_sample_weight)
         )
-        # The steps grow while no fill is late; otherwise a router with few fills would need a long time to
-        # recover.
+        # The steps by which timely fills raise the share grow while no fill is late; otherwise a router with
+        # few fills would take a long time to return to a full share.
         streak = self.streak[class_index, from_parent] = (
             self.streak.get((class_index, from_parent), 0) + 1 if timely else 0
         )
@@ -645,9 +742,11 @@
             self.late_at[class_index] = self.now
 
     def _adapt_limit(self, node: Node, factor: float | None, representative: bool = True) -> None:
-        """Multiplies a cache's concurrency limit by `factor`, or raises the limit if `factor` is None.
+        """Multiplies a cache's concurrency limit by `factor`, or raises the limit slightly if `factor` is
+        None.
 
-        A `representative` outcome also stands for the other routers that share the node.
+        A `representative` outcome is taken to occur at the other routers that share the node, too: the factor
+        is applied once for each of them, up to MAX_SAMPLE_WEIGHT times.
         """
         sample_weight = min(node.sharing_routers, MAX_SAMPLE_WEIGHT) if representative else 1
         node.limit = (
@@ -657,31 +756,38 @@
         )
 
     def _is_source_failure(self, end: w.AttemptEnded, pending: PendingRequest, source: Node | None) -> bool:
-        """Returns whether the source of the fill failed, rather than the cache.
+        """Returns whether an attempt failed because of its fill source, rather than its cache.
 
-        That is so if the outcome says so; without a note also if a refusal comes from further away than the
-        cache, or an error comes after the latency target.
+        That is so if the note of the outcome says so. Without a note it is also assumed for a refusal that
+        took longer than one by the cache itself does, and for a server error that came after the latency
+        target.
         """
         latency = end.latency_ns or 0
         min_latency = {w.Status.FULL: LOCAL_REFUSAL_NS, w.Status.ERROR: pending.aim}.get(end.status, math.inf)
         return source is not None and (end.note.of_source or not end.note and latency > min_latency)
 
     def _pain(self, node: Node) -> float:
-        """Returns the node's current error score, which decays exponentially while no answer arrives."""
+        """Returns a node's error score now, from 0 (healthy) to 1 (failing).
+
+        It halves every SCORE_HALF_LIFE_NS while no outcome updates it.
+        """
         return float(node.pain * 0.5 ** (max(self.now - node.pain_at, 0) / SCORE_HALF_LIFE_NS))
 
     def _update_error_score(self, node: Node, sample: float, weight: float) -> None:
-        """Moves a node's error score towards `sample`, from 0 (good) to 1 (failed); logs health changes."""
+        """Moves a node's error score towards `sample`, which runs from 0 (good outcome) to 1 (failure), by
+        the share `weight` of the difference; logs when the node starts or stops counting as failing.
+        """
         score = self._pain(node)
         weight = (
             1 - (1 - weight) ** min(node.sharing_routers, MAX_SAMPLE_WEIGHT)
             if weight == ANSWER_WEIGHT
             else weight
         )
-        # Each answer halves the minimum weight, so that answers soon overrule a score restored from memory.
+        # `node.taught` is the minimum weight of an outcome after the score was restored from the state of an
+        # earlier process. It lets outcomes soon overrule that score; each outcome halves it.
         weight, node.taught = max(weight, node.taught), node.taught / 2
-        # A score restored from memory does not decay before its hold time ends, unless a good answer
-        # contradicts it.
+        # A restored score has `pain_at` in the future and does not decay before that time, unless a good
+        # outcome contradicts the score.
         node.pain_at = max(node.pain_at, self.now) if sample > SLACK else self.now
         node.pain = score + weight * (sample - score)
         if (node.pain > (SLACK if node.failing else FAILED_SCORE)) != node.failing:
@@ -689,11 +795,11 @@
             self.actions.append(w.Log(f"cache {node.member.cache} {('serves again', 'fails')[node.failing]}"))
 
     def _trust(self, node: Node, peers: list[Node]) -> float:
-        """Returns the share of its normal traffic that a node receives, from MIN_TRUST to 1.
+        """Returns a node's trust: the share of its normal traffic that it receives, from MIN_TRUST to 1.
 
-        Trust falls with the excess of the node's error score over its best peer's, relative to the remaining
-        range above that peer. Without this scaling a failed parent would keep its traffic next to a parent
-        with slow fills.
+        Trust falls with the excess of the node's error score over the lowest score among `peers`, divided by
+        the distance from that lowest score to 1. Without this division a failed parent would keep its traffic
+        next to a parent with slow fills, whose score is raised, too.
         """
         best = min((self._pain(n) for n in peers), default=0.0)
         excess = (self._pain(node) - best) / max(1.0 - best, 0.1)
@@ -736,13 +842,14 @@
                 and not pending.overdue
                 and self.now - sent_at > pending.aim
             ):
-                # A slow source is detected while attempts are still unanswered. Requests of unknown size are
-                # left out, because their latency target is unreliable.
+                # A slow fill source is detected while attempts are still unanswered. Requests for an object
+                # of unknown size are left out: their latency target depends on the size and is unreliable.
                 pending.overdue = True
                 self._update_error_score(source, 1.0, ANSWER_WEIGHT)
                 self._adapt_fill_share(pending, False)
-        # A cache that answers nothing while several attempts wait beyond the longest latency target is
-        # silent: the router cancels those attempts.
+        # A cache is silent if it has answered nothing for longer than the longest latency target of any class
+        # while at least two attempts wait that long. The router charges its error score and cancels those
+        # attempts that can be retried.
         silence_ns = max(
             [
                 0.0,
@@ -775,10 +882,11 @@
     def _schedule_lost_check(
         self, key: tuple[str, int], pending: PendingRequest, source: Node | None
     ) -> None:
-        """Sets a timer to check whether the response to a first attempt was lost.
+        """Sets a timer to check whether the response to the first attempt of a request was lost.
 
-        Departure: while responses are being lost, a read is checked at the last moment at which a repeat
-        would still be in time, but only if that is clearly later than the expected response.
+        Departure: while responses are being lost, a read of known size is checked at the last moment at which
+        a repeat could still meet the latency target, but only if that is clearly later than the time at which
+        the response is expected.
         """
         expected_ns = pending.size_ns + (0.0 if source is None else source.wait or 0.0)
         check_delay_ns = pending.aim - REPEAT_TIME_FACTOR * pending.size_ns - REPEAT_OVERHEAD_NS
@@ -796,7 +904,10 @@
             self.actions.append(w.SetTimer(int(check_delay_ns), self.last_token))
 
     def _check_lost_response(self, key: tuple[str, int]) -> None:
-        """Cancels the attempt, so that it is repeated once, if only a lost response explains the delay."""
+        """Cancels an unanswered attempt, so that its request is repeated, if its response seems lost.
+
+        Called when the timer of `_schedule_lost_check` expires; `key` is the request id and attempt number.
+        """
         attempt = self.attempts.get(key)
         if attempt is not None and key[0] in self.held and self.lost >= 1.0 and self._seems_lost(*attempt):
             self.lost, attempt[1].repeated_early = self.lost - 1.0, True
@@ -805,7 +916,8 @@
     def _seems_lost(self, sent_at: int, pending: PendingRequest, node: Node, source: Node | None) -> bool:
         """Returns whether only a lost response explains why an attempt is unanswered.
 
-        That is so if its cache has answered other requests since and has room, and its source is healthy.
+        That is so if its cache has answered other requests since the attempt was sent and is at most half
+        full by its concurrency limit, and its fill source, if any, has a low error score.
         """
         return (
             node.heard > sent_at
@@ -814,7 +926,9 @@
         )
 
     def _on_cache_list(self, cache_list: w.CacheList) -> None:
-        """Applies a list from discovery: updates the nodes and rebuilds the ring."""
+        """Applies a list of caches, parents and origins from discovery: updates the known nodes, rebuilds the
+        ring of this zone's caches and, after a failed call, schedules the next one.
+        """
         self.next_subscribe_at = (
             self.now + RESUBSCRIBE_NS if cache_list.kind is w.ListKind.FAILED else math.inf
         )
@@ -825,7 +939,8 @@
             if entry.state is w.State.GONE:
                 self.nodes.pop(entry.cache, None)
             elif known is None or known.member.ready_at_ns != entry.ready_at_ns:
-                # No setting gives an origin's capacity, so each router learns its own limit for the origin.
+                # No setting gives an origin's capacity, so each router learns its own concurrency limit for
+                # the origin as if it alone used it.
                 routers_by_kind = {self.s.origin_kind: 1, self.s.parent_kind: max(self.s.routers, 1)}
                 sharing_routers = (
                     self.routers_in_zone
@@ -865,7 +980,9 @@
         )
 
     def _on_purged(self, purge: w.Purged) -> None:
-        """Records a purge, which bounds the age of usable copies until the purge settles."""
+        """Records a purge of an object or a group: until no cache holds the purged copies any more
+        (`purge_settles_ns` after the purge was received), requests bound the age of the copies they accept.
+        """
         key = purge.group if purge.object is None else purge.object  # a group is a number, an object a string
         at, settles = self.now - (purge.age_ns or 0), self.s.purge_settles_ns
         self.purges.add(key, at, self.now + settles, self.now, 0 < settles <= self.now - at)
