--- a/olivecourse/__init__.py
+++ b/olivecourse/__init__.py
@@ -1,4 +1,7 @@
-"""Routing decisions for a request router in front of caches that fill from parents and an origin."""
+"""A gateway that routes client requests to caches, which fill from parents or an origin on a miss.
+
+The package itself exports only `Router`, which makes the routing decisions.
+"""
 
 from olivecourse.choice import Router
 
--- a/olivecourse/choice.py
+++ b/olivecourse/choice.py
@@ -69,7 +69,8 @@
 # gradually gets trial traffic again.
 SCORE_HALF_LIFE_NS = 4_000 * MS
 # SLACK: excess of a node's error score (0 healthy, 1 failing) over its best peer's that is attributed to
-# chance and costs no trust (share of its normal traffic that the node receives).
+# chance and costs no trust (share of its normal traffic that the node receives). The excess is measured as a
+# part of the distance from the best peer's score to 1.
 # STEEP: trust lost per unit of excess beyond SLACK.
 SLACK, STEEP = 0.4, 3.0
 # Lowest trust of a node, that is, the share of its normal traffic that even a failing node receives: enough
@@ -96,7 +97,7 @@
 # router sees few misses.
 CLEARLY_FASTER = 0.5
 # REFERENCE_ROUTERS: number of routers for which the steps of the fill shares for the shared origin were
-# tuned. With more routers, one fill from the origin counts for (number of routers / REFERENCE_ROUTERS) fills.
+# tuned. With more routers, one fill from the origin counts for at least (routers / REFERENCE_ROUTERS) fills.
 # MAX_ORIGIN_SAMPLE_WEIGHT: the most fills that one fill from the origin counts for.
 REFERENCE_ROUTERS, MAX_ORIGIN_SAMPLE_WEIGHT = 4, 10
 # One outcome that this router observes counts for as many outcomes as routers share the node, but for at most
@@ -113,7 +114,8 @@
 SPILLOVER_SHARE = 0.5
 # INITIAL_LIMIT: first concurrency limit of a node (attempts in flight) per unit of its weight (capacity from
 # discovery), over all routers that share the node; the latency targets allow that transfers share a link.
-# MIN_LIMIT: lowest concurrency limit, enough for the node to recover.
+# MIN_LIMIT: lowest first limit of a router for a node, and lowest sum to which the routers that share a node
+# lower their limits for it; enough for the node to recover.
 INITIAL_LIMIT, MIN_LIMIT = 2.5, 2.0
 # Weights (capacities) from which the first concurrency limits are computed where discovery gives none: that
 # of a small cache, and that of a parent or origin.
@@ -207,8 +209,8 @@
             zone_routers_here[0] if zone_routers_here and zone_routers_here[0] else settings.routers, 1
         )
         # The outcome of one fill at this router counts for this many when a fill share is adapted:
-        # `sample_weight` for a fill from a parent's own copy, `origin_sample_weight` for one from the origin,
-        # which all routers share.
+        # `sample_weight` for a fill from a parent's own copy, `origin_sample_weight` for one that the origin,
+        # which all routers share, may have served.
         self.sample_weight = min(self.routers_in_zone, MAX_SAMPLE_WEIGHT)
         self.origin_sample_weight = min(
             max(self.sample_weight, settings.routers // REFERENCE_ROUTERS), MAX_ORIGIN_SAMPLE_WEIGHT
@@ -287,7 +289,9 @@
     # Choice of cache and source ---------------------------------------------------------------------
 
     def _on_request(self, ask: w.Request) -> None:
-        """Registers a new request, sets its deadline timer, counts its object and sends the first attempt."""
+        """Registers a new request, sets its deadline timer, counts its object and sends the first attempt, or
+        refuses the request if the guard against retry storms does not admit it.
+        """
         request_class, flags = self.s.classes[ask.cls], ask.flags
         write = request_class.write or bool(flags & w.Flag.WRITE)
         self.density += LEARNING_RATE * (request_class.worth / self.size_ns[ask.cls] - self.density)
@@ -296,8 +300,8 @@
             self._learn_sending_time(ask.cls, known_time)
         sending_time = known_time or self.size_ns[ask.cls]
         time_budget = request_class.deadline_ns if ask.budget_ns is None else ask.budget_ns
-        # Departure: a cache stores each part of an object separately, so each part is an object of its own on
-        # the ring.
+        # Departure: a cache stores each part of an object separately, so each part has a key of its own on
+        # the hash ring, as if it were an object.
         key = ask.object or ask.request
         key = f"{key}/{ask.part}" if ask.part else key
         pending = self.held[ask.request] = PendingRequest(
@@ -429,7 +433,8 @@
 
         def is_up(node: Node) -> bool:
             """Returns whether the rules for drains and cold starts permit the parent, it has not failed as
-            the source of this request, and its trust (share of normal traffic, by its error score) is high.
+            the source of this request, and its trust (from 0 to 1, by its error score) exceeds
+            UP_THRESHOLD.
             """
             return (
                 node not in pending.failed_sources
@@ -439,9 +444,9 @@
 
         preferred = [n for n in order[:2] if is_up(n)]
         if preferred:
-            # Departure: of the two preferred parents the one nearer to this router's zone is used, unless the
-            # mean fill wait of the more distant one is clearly shorter. The routers of a zone so use the same
-            # parent; the mean fill wait that each of them measures rests on few misses.
+            # Departure: all routers use the same one of the two preferred parents, the one nearer to their
+            # zone, unless the mean fill wait of the more distant one is clearly shorter, because the mean
+            # fill wait that each router measures rests on few misses.
             preferred.sort(key=lambda n: ring_distance(self.s.zone_hub, n.member.zone, self.s.zone))
             second_is_faster = (preferred[-1].wait or math.inf) < CLEARLY_FASTER * (preferred[0].wait or 0.0)
             return preferred[-1 if second_is_faster else 0]
@@ -556,9 +561,8 @@
         return node.credit >= largest
 
     def _max_age(self, pending: PendingRequest) -> tuple[int, bool]:
-        """Returns the maximum age in ns of a cached copy that may be served, 0 for no bound, and whether a
-        purge of the object or its group is in effect, so that the bound excludes copies from before the
-        purge.
+        """Returns a pair: the maximum age in ns of a cached copy that may be served, 0 for no bound; and
+        whether a purge of the object or its group is in effect, so that the bound excludes older copies.
         """
         ages = [self.now - at for at in self.purges.find(pending.ask.object, pending.ask.group)]
         return (max(min(*ages, pending.request_class.fresh_ns or ages[0]), 1), True) if ages else (0, False)
@@ -641,7 +645,7 @@
     def _record_outcome(
         self, end: w.AttemptEnded, pending: PendingRequest, node: Node, source: Node | None
     ) -> None:
-        """Updates error scores, concurrency limits, fill shares and learned times from how an attempt ended."""
+        """Updates error scores, concurrency limits, fill shares and learned times after an attempt ended."""
         note, latency, busy = end.note, end.latency_ns or 0, len(node.in_flight) + 1 >= node.limit / 2
         if self._parent_lacks_object(end, pending):
             return
@@ -742,8 +746,7 @@
             self.late_at[class_index] = self.now
 
     def _adapt_limit(self, node: Node, factor: float | None, representative: bool = True) -> None:
-        """Multiplies a cache's concurrency limit by `factor`, or raises the limit slightly if `factor` is
-        None.
+        """Multiplies a cache's concurrency limit by `factor`; None raises the limit by a small step.
 
         A `representative` outcome is taken to occur at the other routers that share the node, too: the factor
         is applied once for each of them, up to MAX_SAMPLE_WEIGHT times.
@@ -759,8 +762,7 @@
         """Returns whether an attempt failed because of its fill source, rather than its cache.
 
         That is so if the note of the outcome says so. Without a note it is also assumed for a refusal that
-        took longer than one by the cache itself does, and for a server error that came after the latency
-        target.
+        came after LOCAL_REFUSAL_NS and for a server error that came after the latency target.
         """
         latency = end.latency_ns or 0
         min_latency = {w.Status.FULL: LOCAL_REFUSAL_NS, w.Status.ERROR: pending.aim}.get(end.status, math.inf)
--- a/olivecourse/interface.py
+++ b/olivecourse/interface.py
@@ -1,7 +1,7 @@
 """Settings, events and actions of `olivecourse.choice.Router`: types only.
 
-Times are whole nanoseconds on the caller's clock, sizes are in KB. A field's default applies when the value
-is absent. `None` stands for a value that the caller does not have.
+Times are whole nanoseconds on the caller's clock, sizes are in KB. A field's default applies when its value
+is absent from the input. `None` stands for a value that the caller does not have.
 """
 
 from __future__ import annotations
@@ -12,15 +12,19 @@
 
 
 class Effect(Enum):
-    """Effect of executing a request more than once."""
+    """What happens if a request is executed more than once; it decides whether the router may repeat it."""
 
     IDEMPOTENT = "idempotent"  # repeats are harmless
-    DEDUPLICATED = "deduplicated"  # caches discard repeats with the same key, within a scope and for a time
-    AT_MOST_ONCE = "at_most_once"  # the request must not be sent again once it may have run
+    # Caches discard repeats with the same idempotency key, within `RequestClass.key_scope` and for
+    # `RequestClass.key_memory_ns`.
+    DEDUPLICATED = "deduplicated"
+    AT_MOST_ONCE = "at_most_once"  # the router must not send the request again once an attempt may have run
 
 
 class Scope(Enum):
-    """Set of caches that together discard repeats of a request with the same key."""
+    """Which caches share their records of idempotency keys, and so discard a repeat of a request that another
+    of them has executed: all caches, those of one zone, or those of one cell.
+    """
 
     ALL = "all"
     ZONE = "zone"
@@ -28,7 +32,7 @@
 
 
 class State(Enum):
-    """State of a cache, parent or origin in discovery."""
+    """State of a cache, parent or origin as discovery lists it; only READY ones get requests."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -36,7 +40,11 @@
 
 
 class ListKind(Enum):
-    """Kind of a cache list: changes only, the full list, the list from before a restart, or a failed call."""
+    """Kind of a `CacheList` event.
+
+    CHANGES: only the members that changed. FULL: all members. HELD: all members, as last known before a
+    restart. FAILED: the call to discovery failed.
+    """
 
     CHANGES = "incr"
     FULL = "total"
@@ -45,7 +53,7 @@
 
 
 class Status(Enum):
-    """Outcome of an attempt or a probe."""
+    """Outcome of an attempt (a request sent to one node) or of a probe."""
 
     SERVED = "served"
     ERROR = "server_error"
@@ -59,7 +67,7 @@
 
     @property
     def never_ran(self) -> bool:
-        """Whether the outcome proves that the attempt was not executed."""
+        """Whether the outcome proves that no server executed the attempt, so that a repeat is safe."""
         return self in (Status.FULL, Status.CONNECT_FAILED, Status.NOT_SENT, Status.MISS)
 
 
@@ -80,27 +88,28 @@
 
     @property
     def filled(self) -> bool:
-        """Whether a fill served the request: its own, or one in progress that it joined."""
+        """Whether the answer came from a fill, either the request's own or one that it joined in progress."""
         return self in (Note.FILLED, Note.FILLED_BY_ORIGIN, Note.JOINED)
 
     @property
     def of_source(self) -> bool:
-        """Whether the source of the fill failed, or a server behind the source."""
+        """Whether the fill failed because of its source (parent or origin) or a server behind the source."""
         return self in (Note.SOURCE_REFUSED, Note.SOURCE_UNREACHED, Note.SOURCE_LACKS, Note.ORIGIN_FAILED)
 
 
 class Flag(IntFlag):
-    """Flags of a request: repeated by the client; a write."""
+    """Flags of a request. REPEAT: the client repeats an earlier request. WRITE: the request is a write."""
 
     REPEAT = 2
     WRITE = 4
 
 
 class How(IntFlag):
-    """Options of a read-through.
+    """Options of a `ReadThrough`, for the cache that gets it.
 
-    JOIN: join a fill in progress. HELD_ONLY: fill only if the source itself holds the object.
-    NO_PARENT_COPY: leave no copy at the parent. RENEW: serve an ageing copy and renew it in the background.
+    JOIN: join a fill of the object that is in progress. HELD_ONLY: fill only if the source itself holds the
+    object. NO_PARENT_COPY: leave no copy at the parent that a fill passes through. RENEW: serve an ageing
+    copy at once and renew it in the background.
     """
 
     JOIN = 1
@@ -114,48 +123,51 @@
     """A class of requests with its latency target, value and retry rules."""
 
     name: str = ""
-    aim_ns: int = 0  # latency target of an answer, without its sending time
-    aim_stretch: float = 0.0  # multiple of the sending time that is added to the latency target
+    # The latency target is `aim_ns` plus `aim_stretch` times the time that the answer takes to be sent to the
+    # client.
+    aim_ns: int = 0
+    aim_stretch: float = 0.0
     deadline_ns: int = 0
-    worth: float = 1.0  # value of an answer within the latency target
-    late_worth: float = 0.0  # value of a later answer
+    worth: float = 1.0  # value of an answer within the latency target, compared with other classes
+    late_worth: float = 0.0  # value of an answer that comes after the latency target
     effect: Effect = Effect.AT_MOST_ONCE
     key_scope: Scope = Scope.CELL
-    key_memory_ns: int = 0  # time for which caches remember the key of a request
+    key_memory_ns: int = 0  # time for which caches remember the idempotency key of a request
     streamed: bool = False
-    fresh_ns: int = 0  # age up to which a copy is fresh; 0 for no bound
+    fresh_ns: int = 0  # age up to which a cached copy is fresh; 0 for no bound
     stale_grace_ns: int = 0
-    stale_worth: float = 1.0  # value of an answer with a stale copy
+    stale_worth: float = 1.0  # value of an answer from a stale cached copy
     write: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """Settings of a router at its start. Per-zone tuples follow the order of `zones`."""
+    """Settings that a router gets at its start. Tuples with a value for each zone follow `zones`."""
 
     seed: int = 0
     me: int = 0
     routers: int = 1  # number of routers in all zones
     zone: int = 0
     zones: tuple[str, ...] = ()
-    zone_hub: tuple[int, ...] = ()  # position of each zone's hub in a circle of hubs
+    # Position of each zone's hub on a circle of hubs; distances between zones are counted in steps on it.
+    zone_hub: tuple[int, ...] = ()
     zone_routers: tuple[int, ...] = ()  # number of routers in each zone
     zone_link_kb_per_s: tuple[float, ...] = ()
     classes: tuple[RequestClass, ...] = ()
-    ask_discovery: bool = False  # whether the router must subscribe to the cache list
+    ask_discovery: bool = False  # whether the router must subscribe to discovery's cache list at its start
     ask_every_ns: int = 0
     tick_ns: int = 0
     parent_kind: int = -1  # `Member.kind` of parents; -1 if there are none
     origin_kind: int = -1  # `Member.kind` of origins; -1 if there are none
-    direct: bool = False  # whether requests may bypass the caches
-    joins: bool = False  # whether a request may join a fill in progress
+    direct: bool = False  # whether a request may go straight to a parent or origin, without a cache
+    joins: bool = False  # whether a request may join a fill of the same object that is in progress
     siblings: str = "silent"
     notes: str = "silent"
-    client_kb_per_s: float = 0.0  # rate at which an answer of known size is sent
-    weights: str = "silent"  # "silent" if discovery gives no weights
-    report_fields: tuple[str, ...] = ()  # names of the values in a load report, in order
+    client_kb_per_s: float = 0.0  # rate at which an answer is sent to the client; 0 if unknown
+    weights: str = "silent"  # "silent" if discovery gives no weights (capacities of the nodes)
+    report_fields: tuple[str, ...] = ()  # names of the values in a node's load report, in the report's order
     report_how: str = "silent"
-    cancel: bool = False  # whether attempts can be cancelled
+    cancel: bool = False  # whether the router may cancel an attempt that is unanswered
     probes: bool = False
     second_copies: bool = False
     retry_after: bool = False
@@ -163,9 +175,10 @@
     max_attempts: int = 1
     answer_slack_ns: int = 0
     drain_grace_ns: int = 0
-    cold_from: float = 0.0  # share of its capacity that a cache has when it becomes ready
-    cold_ns: int = 0  # time until a cold cache has its full capacity
-    # A cache fails if it gets more than `fall_multiple` times its capacity within `fall_ns`.
+    cold_from: float = 0.0  # share of its full capacity that a cache has when it becomes ready
+    cold_ns: int = 0  # time from when a cache becomes ready until it has its full capacity
+    # A cache fails if, within `fall_ns`, it gets more than `fall_multiple` times the load that it has
+    # capacity for.
     fall_multiple: float = 0.0
     fall_ns: int = 0
     parent_cold_from: float = 0.0
@@ -174,7 +187,7 @@
     origin_fall_multiple: float = 0.0
     origin_fall_ns: int = 0
     purge_grace_ns: int = 0
-    purge_settles_ns: int = 0  # time after which no cache holds a purged copy any more
+    purge_settles_ns: int = 0  # time after a purge from which no cache holds a purged copy any more
     marks_retry: bool = False
     price_fill: float = 0.0
     price_origin: float = 0.0
@@ -194,18 +207,20 @@
     state: State = State.READY
     cell: int | None = None
     kind: int | None = None
-    life: str = ""  # reported address and start time; a new instance with the same id has another value
+    # Address and start time that discovery reports; they tell a restarted server from the one that had the
+    # same id (`cache`) before it.
+    life: str = ""
 
 
-# Events and actions are not frozen: they are created in large numbers, and creating a frozen instance takes
-# three times as long.
+# The dataclasses of events and actions are not frozen: many objects of them are created, and creating an
+# object of a frozen dataclass takes three times as long.
 
 # Events ------------------------------------------------------------------------------------------
 
 
 @dataclass(slots=True)
 class CacheList:
-    """A list of caches, parents and origins from discovery."""
+    """Discovery has sent a list of caches, parents and origins, or a call to it has failed (see `kind`)."""
 
     version: int
     kind: ListKind
@@ -214,7 +229,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """A client's request."""
+    """A request has arrived from a client."""
 
     request: str
     cls: int
@@ -225,12 +240,13 @@
     group: int | None = None
     part: int | None = None
     flags: Flag = Flag(0)
-    client: int | None = None  # id of the client, the same for all its requests, if a guard needs it
+    # Id of the client, the same for all its requests, if the guard against retry storms needs it.
+    client: int | None = None
 
 
 @dataclass(slots=True)
 class StreamBegan:
-    """The first bytes of a streamed answer have arrived."""
+    """The first bytes of a streamed answer to a request have arrived from a node."""
 
     request: str
     latency_ns: int | None = None
@@ -240,7 +256,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt has ended; `closed` says whether this also answered the request."""
+    """An attempt has ended; `closed` says whether this finished its request, which then needs no answer."""
 
     request: str
     attempt: int
@@ -251,26 +267,26 @@
     note: Note = Note.NONE
     source_wait_ns: int | None = None
     report: tuple[float | None, ...] | None = None
-    same: bool = False  # answered without content, because the client's own copy is current
+    same: bool = False  # whether the answer had no content, because the client's own copy is still valid
 
 
 @dataclass(slots=True)
 class ClientLeft:
-    """The client of a request has disconnected."""
+    """The client of a request has disconnected, so the request needs no answer any more."""
 
     request: str
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer has expired; token 0 is the periodic tick."""
+    """A timer that `SetTimer` set with this token has expired; token 0 is the router's periodic tick."""
 
     token: int
 
 
 @dataclass(slots=True)
 class Probed:
-    """A probe has ended."""
+    """A health probe that the router requested with `Probe` has ended."""
 
     cache: int
     status: Status
@@ -280,7 +296,7 @@
 
 @dataclass(slots=True)
 class PeerMessage:
-    """A message from another router."""
+    """A message from another router has arrived."""
 
     sender: int
     payload: bytes = b""
@@ -288,7 +304,7 @@
 
 @dataclass(slots=True)
 class Purged:
-    """An object or a group of objects was purged, `age_ns` ago."""
+    """An object or a group of objects was purged `age_ns` ago, so older copies must not be served."""
 
     object: str | None = None
     group: int | None = None
@@ -304,7 +320,7 @@
 
 @dataclass(slots=True)
 class Look:
-    """Request a fresh copy that the cache already holds, without a fill."""
+    """Send a request to a node, which answers from a fresh copy that it holds and starts no fill."""
 
     request: str
     cache: int
@@ -313,7 +329,7 @@
 
 @dataclass(slots=True)
 class ReadThrough:
-    """Request an object through a cache, with the source and the options of a fill in case of a miss."""
+    """Send a request to a cache, which on a miss fills from `source` (the id of a parent or origin)."""
 
     request: str
     cache: int
@@ -326,7 +342,7 @@
 
 @dataclass(slots=True)
 class Cancel:
-    """Cancel an attempt."""
+    """Cancel an unanswered attempt of a request."""
 
     request: str
     attempt: int
@@ -334,7 +350,7 @@
 
 @dataclass(slots=True)
 class Refuse:
-    """Answer a request with a refusal; the client may retry after the delay."""
+    """Answer a request with a refusal, which tells the client that it may retry after `retry_after_ns`."""
 
     request: str
     retry_after_ns: int
@@ -342,14 +358,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Answer a request with a failure."""
+    """Answer a request with a failure; unlike after a refusal, a retry by the client may not be safe."""
 
     request: str
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Report `TimerFired` with this token after the delay."""
+    """Pass the event `TimerFired` with this token to the router after `delay_ns`."""
 
     delay_ns: int
     token: int
@@ -357,35 +373,35 @@
 
 @dataclass(slots=True)
 class Probe:
-    """Probe a cache."""
+    """Send a health probe to a cache; the result is the event `Probed`."""
 
     cache: int
 
 
 @dataclass(slots=True)
 class CloseIdle:
-    """Close idle connections to a cache."""
+    """Close the idle connections from this gateway to a cache."""
 
     cache: int
 
 
 @dataclass(slots=True)
 class Subscribe:
-    """Start or stop the subscription to the cache list."""
+    """Start (`on`) or stop the subscription to discovery's cache list; lists arrive as `CacheList` events."""
 
     on: bool
 
 
 @dataclass(slots=True)
 class FetchList:
-    """Fetch the cache list once."""
+    """Fetch discovery's cache list once, without a subscription."""
 
     pass
 
 
 @dataclass(slots=True)
 class TellPeer:
-    """Send a message to another router."""
+    """Send a message to the router with the number `peer`, or to all routers if it is "all"."""
 
     peer: int | str
     payload: bytes
@@ -393,7 +409,7 @@
 
 @dataclass(slots=True)
 class Log:
-    """Write a line to the log."""
+    """Write a line of text to the gateway's log."""
 
     text: str
 
@@ -415,13 +431,27 @@
 
 
 class Limits(Protocol):
-    """Limits that a storm guard sets for a Router; without a guard, nothing is limited."""
+    """What a Router asks a guard against retry storms before it accepts or repeats a request.
+
+    Without a guard, every request is accepted and retries are limited only by the Router itself.
+    """
 
     def admit(self, request: Request, cost_ns: float, remaining_ns: float, open_requests: int) -> bool:
-        """Returns whether to accept a new request while `open_requests` others wait, or else refuse it."""
+        """Returns whether to accept a new request (else it is refused) while `open_requests` others are
+        unanswered.
+
+        `cost_ns` is the time that its answer takes to be sent to the client, `remaining_ns` the time until
+        its deadline.
+        """
 
     def again(self, request: Request, cache: int, source: int | None) -> bool:
-        """Returns whether to retry the request after an attempt through this cache and source failed."""
+        """Returns whether to retry the request after an attempt at this cache, with this fill source, failed.
+
+        `cache` and `source` are node ids; `source` is None if the attempt had no fill source.
+        """
 
     def wait(self, request: Request, longest_ns: int) -> int:
-        """Returns the retry delay in ns for the client of a refused request, at most `longest_ns`."""
+        """Returns how long the client of a refused request is told to wait before it retries, in ns.
+
+        The result is at most `longest_ns`.
+        """
--- a/olivecourse/reports.py
+++ b/olivecourse/reports.py
@@ -1,7 +1,7 @@
-"""Estimates the capacity of stores from their load reports. State of a router, without I/O.
+"""Estimates the capacity of stores (caches, parents and origins) from their load reports, without I/O.
 
 Reports arrive late and noisy, and a store repeats a report until it takes the next measurement. Where the
-settings name no report fields, there are no estimates.
+settings do not name the report fields "active" and "cpu", there are no estimates.
 """
 
 from __future__ import annotations
@@ -11,17 +11,19 @@
 from olivecourse.interface import Member
 from olivecourse.state import Node
 
-REPORT_WEIGHT = 0.05  # weight of one report: each measurement arrives some twenty times
-# Reports with fewer active transfers or a lower busy share are ignored: the ratio of two small, noisy figures
-# says nothing.
+# Weight of one load report in the moving average of a store's capacity: low, because each measurement arrives
+# in some twenty reports.
+REPORT_WEIGHT = 0.05
+# Load reports with fewer than MIN_ACTIVE active transfers or a busy share (from 0 to 1) below MIN_BUSY are
+# ignored: the ratio of two small, noisy figures says nothing.
 MIN_ACTIVE, MIN_BUSY = 2.0, 0.2
-# Share of the estimated capacity that a store can safely handle; the reported active transfers include those
-# that wait for a fill.
+# Share of its estimated capacity that a store can safely handle. It is below 1 because the reported active
+# transfers, from which the capacity is estimated, include those that only wait for a fill.
 SAFE_SHARE = 0.5
 
 
 class LoadReports:
-    """Reads load reports, whose fields come in the order that the settings give."""
+    """Reads the load reports of stores; `fields` names the values of a report in their order."""
 
     __slots__ = ("_active_index", "_busy_index")
 
@@ -30,7 +32,11 @@
         self._active_index, self._busy_index = positions.get("active", -1), positions.get("cpu", -1)
 
     def observe(self, node: Node, report: Sequence[float | None] | None) -> None:
-        """Updates a node's capacity estimate: n active transfers at busy share u give a capacity of n / u."""
+        """Updates `node.bears`, the number of transfers for this router that the node can safely handle.
+
+        n active transfers at a busy share u give a capacity of n / u; the safe share of it is divided among
+        the routers that use the node.
+        """
         if (
             not report
             or min(self._active_index, self._busy_index) < 0
@@ -44,9 +50,11 @@
         node.bears += (REPORT_WEIGHT if node.bears else 1.0) * (capacity - node.bears)
 
     def min_capacity(self, member: Member, peers: Iterable[Node]) -> float:
-        """Returns the transfers that a store of unknown weight can safely handle once it is warm.
+        """Returns how many concurrent transfers, for all routers together, a store of unknown capacity can
+        safely handle once it is warm.
 
-        The result is the smallest reported capacity among peers of the same kind, or one without reports.
+        The result is the smallest estimate among the `peers` of the same kind that have sent load reports,
+        but at least one; it is one if no such peer has.
         """
         capacities = [
             peer.bears * peer.sharing_routers
--- a/olivecourse/ring.py
+++ b/olivecourse/ring.py
@@ -1,6 +1,6 @@
 """A consistent-hash ring, rendezvous hashing and distances between zones.
 
-The caller chooses the number of ring points and the weight of each node.
+The caller chooses how many points a node has on the ring and what weight it has in rendezvous hashing.
 """
 
 from __future__ import annotations
@@ -14,7 +14,12 @@
 
 
 class Ring:
-    """A consistent-hash ring over 64-bit hashes: when a node leaves, only its own keys move."""
+    """A consistent-hash ring of nodes over 64-bit hashes: when a node leaves, only names that it was the
+    first node for get another first node.
+
+    `points` gives each node with its number of points on the ring, to which its share of names is
+    proportional.
+    """
 
     __slots__ = ("_positions", "_nodes", "_node_count")
 
@@ -32,7 +37,7 @@
         self._node_count = len({cache for _, cache, _ in points_on_ring})
 
     def walk(self, name: str) -> Iterator[Node]:
-        """Yields every node once, in ring order from the position of the name."""
+        """Yields every node once, in the order of their points on the ring from the hash of `name` on."""
         index = bisect_left(self._positions, hash64(name))
         visited: list[int] = []
         while len(visited) < self._node_count:
@@ -44,9 +49,10 @@
 
 
 def rendezvous_order(name: str, weighted: Iterable[tuple[Node, float]]) -> list[Node]:
-    """Returns the nodes in the name's rendezvous order.
+    """Returns the nodes in the order that weighted rendezvous hashing gives for `name`, the best node first.
 
-    Each node is first for a share of all names that is proportional to its weight.
+    Each node is first for a share of all names that is proportional to its weight; nodes whose weight is not
+    above 0 are left out.
     """
     scored = [
         (-math.log(unit_hash(f"{name}@{node.member.cache}")) / weight, node.member.cache, node)
@@ -57,9 +63,10 @@
 
 
 def ring_distance(hub_positions: tuple[int, ...], zone_a: int | None, zone_b: int) -> int:
-    """Returns the number of steps between two zones, whose hubs stand in a circle at `hub_positions`.
+    """Returns the number of steps between the hubs of two zones on a circle of hubs, the shorter way round.
 
-    The result is 0 if the position of a zone is unknown.
+    `hub_positions` gives the position of each zone's hub, by zone number. The result is 0 if the position of
+    a zone is unknown.
     """
     if zone_a is None or max(zone_a, zone_b) >= len(hub_positions):
         return 0
--- a/olivecourse/sizes.py
+++ b/olivecourse/sizes.py
@@ -1,17 +1,20 @@
-"""Estimates unreported object sizes from the durations of answers. State of a router, without I/O."""
+"""Estimates, for objects of unreported size, how long an answer takes to be sent. No I/O."""
 
 from __future__ import annotations
 
-RISE_WEIGHT = 0.05  # weight of an answer slower than the estimate, which usually shared its link with others
-MOST = 4096  # objects; they take about 1 MB
+# Share of the difference by which an answer slower than the estimate raises it; such an answer usually shared
+# its link with others.
+RISE_WEIGHT = 0.05
+MOST = 4096  # the most objects for which an estimate is kept; they take about 1 MB
 
 
 class Sizes:
-    """Estimates the sending time of a part of an object; all parts of an object are taken to be of one size.
+    """Estimates, by object id, how long an answer takes to be sent over an otherwise idle link.
 
-    An answer takes at least its own sending time, and longer if it shares a link with others. The shortest
-    observed time is therefore the best estimate. The estimate rises slowly, so that it follows when a larger
-    object replaces the first one.
+    An answer may carry one part of an object; all parts of an object are taken to be of one size. An answer
+    takes longer than its own sending time if it shares a link with others, so the shortest observed time is
+    the best estimate. The estimate rises slowly, so that it follows when a larger object replaces the first
+    one.
     """
 
     __slots__ = ("_max_entries", "_known")
@@ -24,7 +27,10 @@
         return len(self._known)
 
     def saw(self, key: str, took_ns: float) -> None:
-        """Records the time of an answer, without the time it waited for the source of a fill."""
+        """Updates the estimate for object `key` with the duration of an answer, without its wait for a fill.
+
+        An empty `key` or a duration that is not above 0 is ignored.
+        """
         if not key or took_ns <= 0:
             return
         previous_ns = self._known.pop(key, took_ns)
@@ -32,8 +38,8 @@
             took_ns if took_ns < previous_ns else previous_ns + RISE_WEIGHT * (took_ns - previous_ns)
         )
         if len(self._known) > self._max_entries:
-            del self._known[next(iter(self._known))]  # least recently observed
+            del self._known[next(iter(self._known))]  # the object whose last answer is the oldest
 
     def estimate(self, key: str) -> float | None:
-        """Returns the estimated sending time in ns, or None if no answer was observed for the object."""
+        """Returns how long an answer for object `key` takes to be sent, in ns; None without an estimate."""
         return self._known.get(key)
--- a/olivecourse/sketch.py
+++ b/olivecourse/sketch.py
@@ -1,6 +1,7 @@
-"""Stream summaries: a Lossy Counter, a HyperLogLog and the balls-and-bins estimate that uses their results.
+"""Summaries of a stream of requested objects in little memory: a Lossy Counter of the load of each object, a
+HyperLogLog of the number of objects, and the balls-and-bins estimate of peak load that uses both results.
 
-The caller chooses every parameter.
+The caller chooses every parameter of them.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 
 
 def hash64(text: str) -> int:
-    """Returns a 64-bit hash that is the same in every process."""
+    """Returns a 64-bit hash of the text that, unlike Python's `hash`, is the same in every process."""
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
@@ -20,9 +21,10 @@
 
 
 class LossyCounter:
-    """Manku and Motwani's Lossy Counter: a count is at most `error` x total below the true count.
+    """Manku and Motwani's Lossy Counter: counts amounts by key and forgets rare keys.
 
-    An arrival may add any positive amount to its key; the total is the sum of all amounts.
+    A count is at most `error` x `total` below the true one. An arrival (a call of `add`) may add any positive
+    amount to its key; `total` is the sum of all amounts.
     """
 
     __slots__ = ("error", "total", "_bucket_width", "arrivals", "_entries")
@@ -38,7 +40,9 @@
         return len(self._entries)
 
     def add(self, key: str, amount: float = 1.0) -> None:
-        """Adds an amount to the count of a key, and prunes rare keys once per bucket of arrivals."""
+        """Adds an amount to the count of a key. Once per 1 / `error` calls, keys whose true count cannot
+        exceed `error` x `total` are removed.
+        """
         entry = self._entries.setdefault(key, [0.0, self.error * self.total])
         entry[0] += amount
         self.total += amount
@@ -50,19 +54,25 @@
             }
 
     def count(self, key: str) -> float:
-        """Returns the counted amount of a key, 0 for a pruned or unknown key."""
+        """Returns the counted amount of a key, 0 for a key that was never added or was removed as rare."""
         entry = self._entries.get(key)
         return entry[0] if entry else 0.0
 
     def frequent(self, support: float) -> list[tuple[str, float]]:
-        """Returns all keys whose true count is at least support x total, with their counts, largest first."""
+        """Returns every key whose true count is at least `support` x `total`, with its count, largest first.
+
+        Keys up to `error` x `total` below that may be among them.
+        """
         floor = (support - self.error) * self.total
         found = [(item, entry[0]) for item, entry in self._entries.items() if entry[0] >= floor]
         return sorted(found, key=lambda pair: (-pair[1], pair[0]))
 
 
 class HyperLogLog:
-    """Estimates the number of distinct keys; the relative standard error is about 1.04 / sqrt(2 ** bits)."""
+    """HyperLogLog estimate of the number of distinct keys, in 2 ** `bits` bytes of registers.
+
+    The relative standard error is about 1.04 / sqrt(2 ** `bits`).
+    """
 
     __slots__ = ("bits", "_registers")
 
@@ -71,14 +81,17 @@
         self._registers = bytearray(1 << bits)
 
     def add(self, key: str) -> None:
-        """Records an occurrence of a key."""
+        """Records an occurrence of a key; repeated occurrences do not change the estimate."""
         hashed = hash64(key)
         tail_bits = 64 - self.bits
         register, tail = hashed >> tail_bits, hashed & ((1 << tail_bits) - 1)
         self._registers[register] = max(self._registers[register], tail_bits - tail.bit_length() + 1)
 
     def count(self) -> float:
-        """Returns the estimated number of distinct keys; small numbers are found by linear counting."""
+        """Returns the estimated number of distinct keys that were added.
+
+        While some registers are empty and the estimate is at most 2.5 per register, linear counting is used.
+        """
         m = len(self._registers)
         alpha = {16: 0.673, 32: 0.697, 64: 0.709}.get(m, 0.7213 / (1 + 1.079 / m))
         estimate = alpha * m * m / sum(2.0**-r for r in self._registers)
@@ -87,9 +100,12 @@
 
 
 def max_balls(balls: float, bins: int, alpha: float, few_bins: int) -> float:
-    """Returns the number of balls that no bin exceeds, with high probability, if balls fall at random.
+    """Returns how many balls the fullest bin holds at most, with high probability, if `balls` balls fall into
+    `bins` bins at random.
 
-    For up to `few_bins` bins the formula for many balls is used throughout, capped at the number of balls.
+    There is one formula for few balls (fewer than bins / ln bins) and one for many. With up to `few_bins`
+    bins the latter, whose square-root term has the factor `alpha`, is used for any number of balls. The
+    result never exceeds the number of balls.
     """
     if balls <= 0 or bins <= 1:
         return max(balls, 0.0)
--- a/olivecourse/state.py
+++ b/olivecourse/state.py
@@ -1,4 +1,6 @@
-"""Records of what a router knows about cache nodes and about its pending requests; no decisions.
+"""Records of what a router knows about caches, parents and origins and about its pending requests.
+
+They hold data only; the decisions are made in `olivecourse.choice`.
 
 All times are in nanoseconds on the caller's clock.
 """
@@ -17,21 +19,28 @@
     member: Member
     sharing_routers: int = 1  # number of routers that send requests to the node
     pain: float = 0.0  # error score at `pain_at`, from 0 (healthy) to 1 (failing)
-    pain_at: int = 0  # time from which the error score decays
-    wait: float | None = None  # mean time that a fill waits for this source; None before the first fill
-    heard: int = 0  # time of the last answer
-    limit: float = 0.0  # concurrency limit: attempts of this router that may be in flight
-    # Attempts of this router that the node can safely handle, by its load reports; 0 without reports.
+    pain_at: int = 0  # time from which the error score `pain` decays
+    wait: float | None = (
+        None  # mean time that a fill waits for this node as its source; None before the first
+    )
+    heard: int = 0  # time of the node's last answer, error, refusal or connection reset
+    limit: float = 0.0  # concurrency limit: how many attempts of this router may be in flight to the node
+    # How many attempts of this router the node can safely handle at the same time, by the load reports of the
+    # node; 0 without reports.
     bears: float = 0.0
-    failing: bool = False  # whether the error score has passed the failure threshold and not recovered since
-    credit: float = 0.0  # sending time that this router may still request from a cold node
+    # Whether the error score has exceeded `choice.FAILED_SCORE` and not fallen to `choice.SLACK` since.
+    failing: bool = False
+    # While the node is cold (recently started): total time of sending answers to clients, in ns, that this
+    # router may still cause there. Each attempt takes off the mean sending time of its request class.
+    credit: float = 0.0
     credit_at: int = 0  # time of the last update of `credit`
     est: float | None = None
-    # Minimum weight of the next answer in the error score, while the score was restored from memory.
+    # Minimum weight of the next outcome in the error score. It is above 0 after the score was restored from
+    # the state of an earlier process, and each outcome halves it.
     taught: float = 0.0
     in_flight: dict[tuple[str, int], int] = field(
         default_factory=dict
-    )  # send times by request id and attempt
+    )  # send times of unfinished attempts, by request id and attempt number
 
 
 @dataclass(slots=True, eq=False)
@@ -41,26 +50,36 @@
     ask: Request
     request_class: RequestClass
     deadline: int
-    size_ns: float  # sending time
+    size_ns: float  # time that the answer takes to be sent to the client, known or the mean of the class
     write: bool
     key: str  # key on the ring: the object and its part, or the request id
-    limit_factor: float = 1.0  # factor of the nodes' concurrency limits for this request
-    size_known: bool = False  # whether the size was reported, or learned from earlier answers for the object
-    caches_full: bool = False  # whether no cache was available and at least one lacked only room
-    overdue: bool = False  # whether a fill has already been counted as late
+    limit_factor: float = 1.0  # by which the concurrency limits of nodes are multiplied for this request
+    # Whether `size_ns` comes from the size reported with the request or from earlier answers for the object,
+    # rather than from the mean of the request class.
+    size_known: bool = False
+    # Set by the choice of a cache and read only if it picked none: whether at least one cache passed every
+    # check but that of its concurrency limit.
+    caches_full: bool = False
+    overdue: bool = False  # whether a fill for this request was counted as late while it was unanswered
     repeated_early: bool = False  # whether an attempt was repeated early because its response seemed lost
-    fill_draw: float = 0.0  # random number compared with the share of requests that may cause a fill
+    fill_draw: float = (
+        0.0  # random number from 0 to 1; a fill is allowed if it is below the class's fill share
+    )
     near: bool = False  # whether the last attempt may be filled only with an object that a parent holds
-    sent: int = 0  # number of attempts
-    in_flight: dict[int, tuple[Node, Node | None]] = field(default_factory=dict)  # node and source by attempt
+    sent: int = 0  # number of attempts sent so far
+    # Node and fill source (None without one) of each unfinished attempt, by attempt number.
+    in_flight: dict[int, tuple[Node, Node | None]] = field(default_factory=dict)
     # Send time and node of each attempt that may have been executed, in the order of sending.
     maybe_executed: list[tuple[int, Node]] = field(default_factory=list)
     tried_caches: list[int] = field(default_factory=list)
-    # Plain server errors not yet attributed: the nodes to charge and their weights, for each error.
+    # Server errors without a stated cause that do not count in any error score yet. For each error: the nodes
+    # that may have caused it, with the weight of the error in the score of each.
     uncharged_errors: list[list[tuple[Node, float]]] = field(default_factory=list)
     failed_sources: list[Node | None] = field(default_factory=list)
 
     @property
     def aim(self) -> float:
-        """Latency target: the time within which the answer is due, given the sending time known so far."""
+        """Latency target in ns: the time within which the answer is due, including a multiple of the time
+        that the answer takes to be sent to the client, as far as it is known.
+        """
         return self.request_class.aim_ns + self.request_class.aim_stretch * self.size_ns
--- a/olivecourse/wirehost.py
+++ b/olivecourse/wirehost.py
@@ -1,6 +1,7 @@
-"""Wire adapter: passes events from standard input to Routers and writes their actions to standard output.
+"""Runs Routers for another process: reads events from standard input, writes actions to standard output.
 
-Input comes in batches of lines, each batch closed by FLUSH. The adapter makes no routing decisions.
+Input comes in batches of lines; the line FLUSH ends a batch, and only then are the replies to it written.
+Each Router has a name, which the lines for it carry. This module makes no routing decisions.
 """
 
 from __future__ import annotations
@@ -38,7 +39,8 @@
     return text
 
 
-# Fields of each event after the instance, in the order of the wire, which is also that of the event type.
+# For each event line, by its first word: the event type, and the name and conversion of each value that
+# follows the name of the Router. The values stand in the order of the event type's fields.
 EVENTS: dict[str, tuple[type, tuple[tuple[str, Convert], ...]]] = {
     "INGRESS": (
         w.Request,
@@ -103,7 +105,10 @@
 
 
 def _read_fields(texts: list[str], layout: tuple[tuple[str, Convert], ...]) -> list[Any]:
-    """Converts the texts of a line by its layout; absent values become None, surplus texts are ignored."""
+    """Converts the words of a line to values, one for each (name, conversion) pair in `layout`.
+
+    A word that is missing, empty or "-" gives None; words beyond the layout are ignored.
+    """
     values: list[Any] = []
     for index, (name, convert) in enumerate(layout):
         text = texts[index] if index < len(texts) else "-"
@@ -115,7 +120,10 @@
 
 
 def _build(event_type: type, values: list[Any]) -> Any:
-    """Builds an event or member; a missing value takes the field's default, or is an error without one."""
+    """Builds an event or a `Member` from the values of its fields, in order; None stands for a missing value.
+
+    A missing value takes the default of its field; Malformed is raised if the field must have a value.
+    """
     event_fields = fields(event_type)
     for field, value in zip(event_fields, values, strict=True):
         if value is None and field.type in ("str", "int", "Status", "ListKind"):
@@ -126,7 +134,7 @@
 
 
 class Host:
-    """Holds one Router per running instance, and the member lists that events refer to by number."""
+    """Holds the running Routers by name, and the lists of caches to which ENDPOINTS lines refer by number."""
 
     def __init__(self) -> None:
         self.now = 0
@@ -136,10 +144,14 @@
         self.members_due = 0
 
     def handle_line(self, text: str) -> list[str]:
-        """Processes one line of a batch and returns the reply lines."""
+        """Processes one input line and returns the reply lines: actions of a Router, or the report of its
+        fault.
+
+        Raises Malformed if the line cannot be read.
+        """
         command, *parts = text.split(" ")
         if self.members_due and command == "CACHE":
-            # The wire carries no address, so `Member.life` stays empty.
+            # CACHE lines carry no address, so `Member.life` (address and start time) stays empty.
             self.current_list.append(_build(w.Member, [*_read_fields(parts, CACHE), ""]))
             self.members_due -= 1
         elif self.members_due:
@@ -172,7 +184,11 @@
         return []
 
     def _start(self, arguments: list[str]) -> list[str]:
-        """Starts an instance: its name, its random seed and its settings as path=value pairs."""
+        """Creates and starts a Router and returns the reply lines for its first actions.
+
+        `arguments` are the words of an INIT line: the name of the Router, its random seed, and its settings
+        as NAME=VALUE words, where NAME is the dotted name of a setting.
+        """
         if len(arguments) < 2:
             raise Malformed("rng_seed: missing")
         seed = _read_fields(arguments[1:2], (("rng_seed", int),))[0] or 0
@@ -180,27 +196,36 @@
         try:
             self.routers[arguments[0]] = router = Router(settings, self.now)
             return [self._write(arguments[0], action) for action in router.start()]
-        except Exception as error:  # a fault in one instance must not stop the others
+        except Exception as error:  # an exception in one Router must not stop the others
             return self._drop_instance(arguments[0], error)
 
     def _handle(self, instance: str, event: w.Event) -> list[str]:
-        """Passes an event to an instance's Router and returns the reply lines; ignores unknown instances."""
+        """Passes an event to the Router with the name `instance` and returns the reply lines for its actions.
+
+        If there is no such Router, the event is ignored.
+        """
         router = self.routers.get(instance)
         if router is None:
             return []
         try:
             return [self._write(instance, action) for action in router.handle(event, self.now)]
-        except Exception as error:  # a fault in one instance must not stop the others
+        except Exception as error:  # an exception in one Router must not stop the others
             return self._drop_instance(instance, error)
 
     def _drop_instance(self, instance: str, error: Exception) -> list[str]:
-        """Removes an instance after a fault and returns the reply line that reports the fault."""
+        """Removes the Router with the name `instance` after an exception in it.
+
+        Returns one reply line, DIE, with the name, the type of the exception and its message.
+        """
         self.routers.pop(instance, None)
         return [f"DIE {instance} {type(error).__name__}: {' '.join(str(error).split())}"]
 
     @staticmethod
     def _write(instance: str, action: w.Action) -> str:
-        """Returns the reply line of an action."""
+        """Returns the reply line for an action of the Router with the name `instance`.
+
+        It holds the action's word, the name and the action's field values; bytes are in base64.
+        """
         words = [ACTIONS[type(action)], instance]
         for name in ACTION_FIELDS[type(action)]:
             value = getattr(action, name)
@@ -213,7 +238,10 @@
 
 
 def serve(input_lines: TextIO, output: TextIO) -> int:
-    """Processes batches until the input ends, and returns the exit code."""
+    """Processes batches of input lines and writes the replies to each batch, closed by the line YIELD.
+
+    Returns the exit code of the program: 0 at the end of the input, 2 after a line that cannot be read.
+    """
     host = Host()
     reply: list[str] = []
     for number, line in enumerate(input_lines, 1):
