--- a/olivecourse/choice.py
+++ b/olivecourse/choice.py
@@ -77,8 +77,8 @@
 # trial traffic to notice its recovery.
 MIN_TRUST = 0.02
 # A parent whose trust (share of its normal traffic, from 0 to 1) is above this counts as up. The log reports
-# fills as held back when the fill share of any class (share of its requests that may cause a fill) is below
-# it.
+# fills as held back when the fill share of any class (share of its requests that may cause a fill) falls
+# below it, until the fill share of every class is at least 1 again.
 UP_THRESHOLD = 0.5
 # Period of the timer that checks for overdue fills and silent caches; short compared with any latency target.
 TICK_NS = 100 * MS
@@ -168,8 +168,9 @@
 
     It is the largest trial value with which the estimated load of the busiest cache is at most `max_ratio`
     times the mean load of a cache. If none down to `min_threshold` meets this bound, it is the one with the
-    lowest estimated peak; without load or caches it is infinite. `counts` holds the load of each frequent
-    object, `total` the load of all objects and `distinct` the number of objects.
+    lowest estimated peak; without load or caches it is infinite, so that each object has one name. `counts`
+    holds the load of each frequent object, `total` the load of all objects and `distinct` the number of
+    objects.
     """
     if max(counts, default=0.0) <= 0.0 or cache_count < 1:
         return math.inf
@@ -275,7 +276,7 @@
         return [w.SetTimer(TICK_NS, 0), *([w.Subscribe(True)] if self.s.ask_discovery else ())]
 
     def handle(self, event: w.Event, now: int) -> list[w.Action]:
-        """Processes one event at time `now` (in ns) and returns the resulting actions."""
+        """Processes one event at time `now` (in ns) and returns the actions that the caller must execute."""
         self.now, self.actions = now, []
         self.handlers.get(type(event), lambda unused: None)(event)
         return self.actions
@@ -321,8 +322,8 @@
         pending.fill_draw = self.random.random()
         self.last_token += 1
         self.timers[self.last_token] = ask.request
-        # The timer fires just before the deadline, so that the router's own answer arrives before the request
-        # is overdue.
+        # The timer fires just before the deadline of the request, so that the refusal or failure with which
+        # the router then answers reaches the client in time.
         self.actions.append(w.SetTimer(max(time_budget - self.s.tick_ns, 0), self.last_token))
         if ask.object is not None and not write and not flags & w.Flag.REPEAT:
             # Departure: where sizes are reported, an object's load is the total time to send its answers to
--- a/olivecourse/interface.py
+++ b/olivecourse/interface.py
@@ -177,8 +177,8 @@
     drain_grace_ns: int = 0
     cold_from: float = 0.0  # share of its full capacity that a cache has when it becomes ready
     cold_ns: int = 0  # time from when a cache becomes ready until it has its full capacity
-    # A cache fails if, within `fall_ns`, it gets more than `fall_multiple` times the load that it has
-    # capacity for.
+    # A cache fails if the load that it gets within a time of `fall_ns` is more than `fall_multiple` times
+    # what it has capacity for.
     fall_multiple: float = 0.0
     fall_ns: int = 0
     parent_cold_from: float = 0.0
@@ -256,7 +256,9 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt has ended; `closed` says whether this finished its request, which then needs no answer."""
+    """An attempt has ended. `closed` says whether its request is thereby finished, so that the router neither
+    answers nor retries it.
+    """
 
     request: str
     attempt: int
--- a/olivecourse/state.py
+++ b/olivecourse/state.py
@@ -20,9 +20,8 @@
     sharing_routers: int = 1  # number of routers that send requests to the node
     pain: float = 0.0  # error score at `pain_at`, from 0 (healthy) to 1 (failing)
     pain_at: int = 0  # time from which the error score `pain` decays
-    wait: float | None = (
-        None  # mean time that a fill waits for this node as its source; None before the first
-    )
+    # Mean time that a fill waits for this node as its source; None before the first such fill.
+    wait: float | None = None
     heard: int = 0  # time of the node's last answer, error, refusal or connection reset
     limit: float = 0.0  # concurrency limit: how many attempts of this router may be in flight to the node
     # How many attempts of this router the node can safely handle at the same time, by the load reports of the
@@ -53,7 +52,7 @@
     size_ns: float  # time that the answer takes to be sent to the client, known or the mean of the class
     write: bool
     key: str  # key on the ring: the object and its part, or the request id
-    limit_factor: float = 1.0  # by which the concurrency limits of nodes are multiplied for this request
+    limit_factor: float = 1.0  # factor by which nodes' concurrency limits are multiplied for this request
     # Whether `size_ns` comes from the size reported with the request or from earlier answers for the object,
     # rather than from the mean of the request class.
     size_known: bool = False
@@ -62,9 +61,9 @@
     caches_full: bool = False
     overdue: bool = False  # whether a fill for this request was counted as late while it was unanswered
     repeated_early: bool = False  # whether an attempt was repeated early because its response seemed lost
-    fill_draw: float = (
-        0.0  # random number from 0 to 1; a fill is allowed if it is below the class's fill share
-    )
+    # Random number from 0 to 1. A fill from any source is allowed if this, divided by `limit_factor` and at
+    # most 1, is below the fill share of the class (the share of its requests that may cause a fill).
+    fill_draw: float = 0.0
     near: bool = False  # whether the last attempt may be filled only with an object that a parent holds
     sent: int = 0  # number of attempts sent so far
     # Node and fill source (None without one) of each unfinished attempt, by attempt number.
--- a/olivecourse/wirehost.py
+++ b/olivecourse/wirehost.py
@@ -184,7 +184,7 @@
         return []
 
     def _start(self, arguments: list[str]) -> list[str]:
-        """Creates and starts a Router and returns the reply lines for its first actions.
+        """Creates and starts a Router and returns the reply lines (lines of output) for its first actions.
 
         `arguments` are the words of an INIT line: the name of the Router, its random seed, and its settings
         as NAME=VALUE words, where NAME is the dotted name of a setting.
