--- a/olivecourse/config/__init__.py
+++ b/olivecourse/config/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration of a gateway: its files, settings, inventory and discovery events."""
+"""Configuration of a gateway: its configuration file, settings, inventory of stores, and discovery events."""
--- a/olivecourse/config/discovery_events.py
+++ b/olivecourse/config/discovery_events.py
@@ -1,4 +1,6 @@
-"""Translates discovery events and inventory members into events of the routing module."""
+"""Translates discovery events, and an inventory in the same form, into events of the routing module, and
+keeps the directory of servers.
+"""
 
 from __future__ import annotations
 
@@ -15,21 +17,24 @@
 
 STATES = {"Ready": w.State.READY, "Terminating": w.State.DRAINING, "Gone": w.State.GONE}
 HEX_NUMBERED_ID = re.compile(r"[A-Za-z]*-?([0-9a-f]{8})")
-MAX_RECENTLY_LISTED = 16_384  # Maximum number of server ids remembered, which take at most about 2 MB.
+# Maximum number of server ids kept in `ServerDirectory.recently_listed`; they take at most about 2 MB.
+MAX_RECENTLY_LISTED = 16_384
 OBJECT_ID = re.compile(r"[0-9a-f]{16}")
 
 
 class InvalidEvent(ValueError):
-    """An event that cannot be used, or only in part."""
+    """Raised for a discovery event that cannot be used at all, or only in part because some members are
+    invalid.
+    """
 
 
-# Exceptions caused by invalid values in an event.
+# Exceptions that invalid values in a discovery event cause while it is translated; they become InvalidEvent.
 CONVERSION_ERRORS = (KeyError, TypeError, ValueError, AttributeError, ArithmeticError)
 
 
 def node_number(name: str) -> int:
-    """Returns the number that identifies a store in the routing module. It is the same at every gateway,
-    because all gateways hash the name in the same way.
+    """Returns the 32-bit number that identifies a server in the routing module: the hex digits of a server id
+    like box-0000002a, else a hash of the id. It is therefore the same at every gateway.
     """
     if match := HEX_NUMBERED_ID.fullmatch(name):
         return int(match[1], 16)
@@ -37,7 +42,9 @@
 
 
 class ServerDirectory:
-    """The servers listed by discovery, with their names, addresses and states."""
+    """The servers listed by discovery or the inventory, with their names, addresses and states. Tables are
+    keyed by `node_number`.
+    """
 
     def __init__(
         self,
@@ -47,11 +54,15 @@
         from_unix_ms: Callable[[int], int],
         now: Callable[[], int],
     ) -> None:
-        """`settings` define which kinds of servers stand at hubs, and which zones have gateways."""
+        """`zones` and `kinds` list the names by index; `settings` define which kinds of servers are at hubs,
+        and how many gateways each zone has. `from_unix_ms` converts a Unix time in milliseconds to the clock
+        that `now` returns, in nanoseconds.
+        """
         self._kinds, self._from_unix_ms, self._now = kinds, from_unix_ms, now
         self._hub_kinds = {settings.parent_kind, settings.origin_kind} - {-1}
-        # A hub and an office may have the same name. Of two zones with one name, the zone without gateways is
-        # the hub.
+        # A hub and an office (a zone with gateways) may have the same name. These two tables map a zone's
+        # name to its index: of two zones with one name, the first table prefers the one with gateways, the
+        # second the one without.
         gateway_counts = settings.zone_routers + (0,) * len(zones)
         order = range(len(zones) - 1, -1, -1)
         self._office_zones = {
@@ -64,36 +75,44 @@
         self.addresses: dict[int, Address] = {}
         self.states: dict[int, w.State] = {}
         self.members: dict[int, w.Member] = {}
-        # Stores whose process ended, with the latest time at which it ended.
+        # Servers that were removed or restarted since the control plane last emptied this table, with the
+        # latest time at which their old process can have ended.
         self.terminated_at: dict[int, int] = {}
-        # For each store, its start time as reported and on the local clock.
+        # For each server, the start time of its process: in Unix milliseconds as discovery reported it, and
+        # in nanoseconds on the local clock.
         self.started: dict[int, tuple[int, int]] = {}
-        # Ids of servers that operators drain by hand, whatever state discovery reports.
+        # Ids of servers that operators took out of service by hand; they count as draining even if discovery
+        # reports them as ready.
         self.manually_drained: set[str] = set()
-        # Ids of servers that hold a lease from the fleet to be out of service.
+        # Ids of servers that are out of service during a rollout, by a lease that the gateways agreed on;
+        # they count as draining as well.
         self.leased_out: set[str] = set()
-        # Ids that a server list has contained, the most recent last.
+        # The ids of up to MAX_RECENTLY_LISTED servers that any event has listed, also of removed ones, with
+        # the most recently listed last.
         self.recently_listed: OrderedDict[str, None] = OrderedDict()
 
     def ready(self, cache: int) -> bool:
-        """Returns whether a server is ready and neither drained by hand nor leased out."""
+        """Returns whether discovery reports a server as ready and it is in neither `manually_drained` nor
+        `leased_out`.
+        """
         return self.states.get(cache) is w.State.READY and not self._withdrawn(cache)
 
     def _withdrawn(self, cache: int) -> bool:
-        """Returns whether a server is drained by hand or leased out."""
+        """Returns whether a server is in `manually_drained` or `leased_out`."""
         name = self.names.get(cache)
         return name in self.manually_drained or name in self.leased_out
 
     def effective_member(self, member: w.Member) -> w.Member:
-        """Returns the member as the routing module sees it: a withdrawn server is draining, whatever state
-        discovery reports.
+        """Returns the member as the routing module is told of it: a ready server that is in
+        `manually_drained` or `leased_out` is reported as draining.
         """
         withdrawn = member.state is w.State.READY and self._withdrawn(member.cache)
         return replace(member, state=w.State.DRAINING) if withdrawn else member
 
     def effective_change(self, name: str) -> w.CacheList | None:
-        """Returns the event that reports a server as drained or restored by hand, or None if it is not
-        listed.
+        """Returns the event that reports the present state of a server to the routing module, after it was
+        taken out of service or restored by hand or for a rollout. `name` is its id. Returns None for a server
+        that is not listed.
         """
         member = self.members.get(node_number(name))
         if member is None or self.names.get(member.cache) != name:
@@ -101,15 +120,17 @@
         return w.CacheList(0, w.ListKind.CHANGES, (self.effective_member(member),))
 
     def events(self, event: Any, first: bool = False) -> Iterator[w.Event]:
-        """Yields the routing module's events for one numbered discovery event. Raises InvalidEvent."""
+        """Applies one discovery event to the directory and yields it as events of the routing module: a list
+        of servers, a purge, or both. `first` is true for the events known at startup. Raises InvalidEvent.
+        """
         if not isinstance(event, dict):
             raise InvalidEvent("the event is not an object")
         try:
             if "pool" in event:
                 members, errors = self._members(event["pool"].get("members", ()))
                 yield self._pool(event["pool"], members, first)
-                # The valid members of the event are used nevertheless: a drain must not be lost because of an
-                # error in another member.
+                # The valid members of the event have been used nevertheless: a drain must not be lost because
+                # of an error in the entry of another server.
                 if errors:
                     raise InvalidEvent("; ".join(errors[:3]))
             if "flush" in event:
@@ -120,8 +141,8 @@
             raise InvalidEvent(f"{type(error).__name__}: {error}") from None
 
     def _members(self, entries: Any) -> tuple[list[w.Member], list[str]]:
-        """Returns the usable members, and an error text for each other one. An unusable member is replaced by
-        its last known state, if there is one.
+        """Returns the entries of a server list as members, and an error text for each invalid entry. In place
+        of an invalid entry, the server's last valid member is returned if there is one.
         """
         members, errors = list[w.Member](), list[str]()
         for entry in entries:
@@ -136,7 +157,9 @@
         return members, errors
 
     def _pool(self, pool: Any, members: list[w.Member], first: bool) -> w.CacheList:
-        """Applies a list of members to the directory and returns the event for the routing module."""
+        """Applies a list of servers, the complete one or only changes, to the directory and returns it as an
+        event of the routing module.
+        """
         complete = bool(pool.get("complete"))
         if complete:  # Servers missing from a complete list have been removed.
             for cache in set(self.states) - {member.cache for member in members}:
@@ -151,19 +174,23 @@
                 self.terminated_at[member.cache] = member.ready_at_ns
             self.states[member.cache] = member.state
             self.members[member.cache] = member
-        # A list of changes is reported as such even among the events known at startup: as a complete list it
-        # would remove all other servers.
+        # A list of changes is reported as CHANGES even at startup, because the routing module would remove
+        # all servers missing from a complete list.
         kind = w.ListKind.CHANGES if not complete else w.ListKind.HELD if first else w.ListKind.FULL
         return w.CacheList(int(pool.get("revision", 0)), kind, tuple(map(self.effective_member, members)))
 
     def _forget(self, cache: int) -> None:
-        """Removes a server that is gone. Its successor has another id, perhaps with the same address."""
+        """Removes a server that discovery no longer lists and notes its end in `terminated_at`. A server that
+        replaces it has another id, but may have the same address.
+        """
         self.terminated_at[cache] = self._now()
         for table in (self.names, self.addresses, self.states, self.members, self.started):
             table.pop(cache, None)
 
     def _member(self, entry: Any) -> w.Member:
-        """Translates one member and records its name, address and start time."""
+        """Translates the entry of one server and records its name, address and start time. Raises one of
+        CONVERSION_ERRORS for an invalid entry.
+        """
         name, state = str(entry["id"]), STATES[entry["phase"]]
         cache = node_number(name)
         address = parse_address(entry["host_port"]) if entry.get("host_port") else None
@@ -171,7 +198,7 @@
         cell = None if entry.get("cell") is None else int(entry["cell"])
         if not math.isfinite(weight):
             raise InvalidEvent(f"{name}: size is not a finite number")
-        # Every value of the member has been checked at this point.
+        # The values of the entry have been checked; only from here on does the method change the directory.
         if self.names.setdefault(cache, name) != name:
             raise InvalidEvent(f"{name} and {self.names[cache]} share a number")
         self.recently_listed.pop(name, None)
@@ -180,8 +207,8 @@
             self.recently_listed.popitem(last=False)
         if address is not None:
             self.addresses[cache] = address
-        # A start time that is reported again keeps its local time, since otherwise a step of the system clock
-        # would look like a restart.
+        # A start time that is reported again unchanged keeps its time on the local clock. Converted anew
+        # after a step of the system clock it would differ, which would look like a restart of the server.
         known_up_since_ms, started_at = self.started.get(cache, (0, 0))
         if up_since_ms != known_up_since_ms:
             started_at = max(self._from_unix_ms(up_since_ms), 1) if up_since_ms else 0
@@ -200,7 +227,7 @@
         )
 
     def _flush(self, flush: Any) -> w.Purged:
-        """Translates a purge."""
+        """Translates the purge of one object (an asset) or of a group of objects (a collection)."""
         age_ns = max(self._now() - self._from_unix_ms(int(flush["ms"])), 0)
         if "asset" in flush:
             if not OBJECT_ID.fullmatch(str(flush["asset"])):
--- a/olivecourse/config/gateway_config.py
+++ b/olivecourse/config/gateway_config.py
@@ -1,5 +1,5 @@
-"""The configuration of a gateway, read from EDGE_CONFIG's JSON or an operator's YAML file. Every error is one
-line.
+"""The configuration of a gateway, read from the JSON file that EDGE_CONFIG names or from an operator's YAML
+file. Every error message is one line.
 """
 
 from __future__ import annotations
@@ -19,7 +19,8 @@
 from olivecourse.config.settings import Malformed, check_settings, nested_pairs, read_settings, unread
 from olivecourse.config.vocabulary import DOORS
 
-# Optional sections of an operator's file, with the function that reads each from the file's path.
+# Optional sections of an operator's YAML file. Each is read by the function given as module:name, which takes
+# the path of the file.
 SECTIONS = {
     "memory": "olivecourse.memory.section:read_memory",
     "rollout": "olivecourse.rollout.section:read_rollout",
@@ -33,8 +34,9 @@
 
 @dataclass(frozen=True)
 class SignedListenerConfig:
-    """The signed HTTP listener: the public URL of this gateway, the path of the key file, and the accepted
-    clock difference.
+    """Configuration of the client listener that accepts signed links and order tokens over HTTP: `public` is
+    the public URL of this gateway, `keys` the path of the file with the signing keys, and `leeway_s` the
+    accepted difference between the clocks of signer and gateway, in seconds.
     """
 
     public: str
@@ -59,10 +61,11 @@
     sockets: int = 1024
     memory_mb: int = 192
     board: Address | None = None
-    # Discovery addresses used when `board` fails; from an operator's file only.
+    # Further discovery addresses, used when `board`, the first one, fails; from an operator's file only.
     boards: tuple[Address, ...] = ()
-    doors: tuple[Address, ...] = ()  # Addresses of the operators' endpoints.
-    # Directory shared by two processes of one gateway; used only with an operators' endpoint.
+    doors: tuple[Address, ...] = ()  # Listening addresses of the operators' HTTP endpoints.
+    # Directory in which an old and a new process of this gateway meet during an upgrade; used only with an
+    # operators' endpoint.
     tmpdir: str | None = None
     peer_listen: Address | None = None
     peers: list[Address] = field(default_factory=list)
@@ -70,13 +73,15 @@
     signed: SignedListenerConfig | None = None
     inventory: str | None = None
     planner: str | None = None  # Path of the Unix socket of a planner in a separate process.
-    unread: tuple[str, ...] = ()  # Paths of settings that this program does not use.
-    # Optional sections of an operator's file, by name; see SECTIONS.
+    unread: tuple[str, ...] = ()  # Paths of settings in the file that this program does not use; logged.
+    # The optional sections that the operator's file contains, as read by the functions in SECTIONS, by name.
     sections: Mapping[str, Any] = field(default_factory=dict)
 
 
 def _address(raw: Mapping[str, Any], name: str) -> Address | None:
-    """Returns the address stored under `name`, or None if it is absent. Raises BadConfig if it is invalid."""
+    """Returns the HOST:PORT address that the configuration `raw` contains under `name`, or None if it is
+    absent or empty. Raises BadConfig if it is invalid.
+    """
     text = raw.get(name)
     if text in (None, ""):
         return None
@@ -87,13 +92,18 @@
 
 
 def _doors(raw: Mapping[str, Any], env: Mapping[str, str]) -> tuple[Address, ...]:
-    """Returns the addresses of the operators' endpoints, under any of their names, without duplicates."""
+    """Returns the listening addresses of the operators' HTTP endpoints, without duplicates. DOORS lists the
+    names under which the configuration `raw` or an environment variable, which takes precedence, may give
+    one.
+    """
     found = [_address({name: env.get(variable) or raw.get(name)}, name) for name, variable in DOORS]
     return tuple(dict.fromkeys(address for address in found if address is not None))
 
 
 def read_config(raw: Any, env: Mapping[str, str]) -> Config:
-    """Checks a parsed JSON object and returns it as a Config. Raises BadConfig."""
+    """Checks a parsed configuration file and returns it as a Config. Environment variables take precedence
+    for the name, the client listener's address and the operators' endpoints. Raises BadConfig.
+    """
     if not isinstance(raw, dict):
         raise BadConfig("the configuration is not a JSON object")
     nested = raw.get("settings")
@@ -139,7 +149,9 @@
 
 
 def load_config(env: Mapping[str, str], path: str | None = None) -> Config:
-    """Reads the JSON file at `path`, or the one named by EDGE_CONFIG. Raises BadConfig."""
+    """Reads the JSON configuration file at `path`, or without a path the one that EDGE_CONFIG names. Raises
+    BadConfig.
+    """
     path = path or env.get("EDGE_CONFIG")
     if not path:
         raise BadConfig("no configuration: set EDGE_CONFIG or give --config")
@@ -156,7 +168,9 @@
 
 
 def _sections(path: str, raw: dict[str, Any]) -> dict[str, Any]:
-    """Returns the sections in the file. Each is read by its own package, which is imported only if needed."""
+    """Returns the optional sections that the operator's file contains, by name. `path` is the path of the
+    file and `raw` its content. The package that reads a section is imported only if the file contains it.
+    """
     from olivecourse.config.sections import BadSection
 
     found = {}
@@ -171,8 +185,9 @@
 
 
 def load_operator(path: str, env: Mapping[str, str]) -> Config:
-    """Reads an operator's YAML file, which names an inventory, the settings and optionally the signed
-    listener. Raises BadConfig.
+    """Reads an operator's YAML file. It names a file with the inventory of stores and contains the settings
+    or names a file with them; the signed listener and the sections in SECTIONS are optional. Raises
+    BadConfig.
     """
     try:
         raw = yaml.safe_load(Path(path).read_text("utf-8"))
@@ -216,7 +231,8 @@
             sections=_sections(path, raw),
         )
     except (BadConfig, BadInventory) as error:
-        text = str(error)  # The message may already start with the file and a line.
+        # The message of an error in a section may already start with the path of this file.
+        text = str(error)
         raise BadConfig(text if text.startswith(f"{path}:") else f"{path}: {text}") from None
     except (OSError, ValueError, TypeError) as error:
         raise BadConfig(f"{path}: cannot read a value: {error}") from None
--- a/olivecourse/config/inventory.py
+++ b/olivecourse/config/inventory.py
@@ -1,7 +1,8 @@
-"""Reads the store inventory of a configuration management tool: a CSV or YAML file, checked line by line.
+"""Reads the inventory of stores, a CSV or YAML file that a configuration management tool may write. Errors
+name the line.
 
-Columns or keys are name, address, zone and kind, and optionally size (default 1), cell (default none) and
-state (default ready).
+The columns (CSV) or keys (YAML) of a store are name, address, zone and kind, and optionally size (default 1),
+cell (default none) and state (default ready).
 """
 
 from __future__ import annotations
@@ -21,11 +22,15 @@
 
 
 class BadInventory(Exception):
-    """An entry that cannot be used; the text contains the file and the line."""
+    """Raised for an inventory that cannot be used; the message contains the path of the file and, for an
+    invalid entry, its line.
+    """
 
 
 def read_inventory(path: str, zones: list[str], kinds: list[str]) -> dict[str, Any]:
-    """Returns the inventory as a discovery event with a complete list of stores. Raises BadInventory."""
+    """Reads the inventory file and returns it in the form of a discovery event with a complete list of
+    stores. `zones` and `kinds` are the names that its entries may use. Raises BadInventory.
+    """
     try:
         text = Path(path).read_text("utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -47,7 +52,9 @@
 
 
 def _csv_rows(path: str, text: str) -> Iterator[tuple[int, dict[str, Any]]]:
-    """Yields the line number and the values of each CSV row."""
+    """Yields the line number and the values by column of each row of a CSV inventory. `path` is used in
+    errors.
+    """
     reader = csv.DictReader(io.StringIO(text), strict=True)
     try:
         columns = reader.fieldnames or []
@@ -64,7 +71,7 @@
 
 
 def _yaml_rows(path: str, text: str) -> Iterator[tuple[int, dict[str, Any]]]:
-    """Yields the line number and the mapping of each store in a YAML list."""
+    """Yields the line number and the mapping of each store of a YAML inventory. `path` is used in errors."""
     try:
         root = yaml.compose(text, Loader=yaml.SafeLoader)
         value = yaml.safe_load(text)
@@ -83,7 +90,9 @@
 
 
 def _member(where: str, row: dict[str, Any], zones: list[str], kinds: list[str]) -> dict[str, Any]:
-    """Checks one entry and returns it as a member of a discovery event. `where` is the file and the line."""
+    """Checks one entry of the inventory and returns it as a member of a discovery event's server list.
+    `where` is PATH:LINE, for the error message.
+    """
     unknown = set(map(str, row)) - {*REQUIRED_COLUMNS, *OPTIONAL_COLUMNS}
     if unknown:
         raise BadInventory(f"{where}: unknown: {', '.join(sorted(unknown))}")
--- a/olivecourse/config/merging.py
+++ b/olivecourse/config/merging.py
@@ -1,8 +1,8 @@
 """Decides which settings of a reloaded configuration take effect while requests run. No I/O.
 
-A class keeps its index for the life of the process, because open requests, counters and learned values refer
-to classes by index. A known class keeps its index with its new settings, a new class gets the next index, and
-a class that is no longer listed keeps its index without receiving requests.
+A request class keeps its index for the life of the process, because open requests, counters and learned
+values refer to classes by index. A known class keeps its index with its new settings, a new class gets the
+next index, and a class that is no longer listed keeps its index without receiving requests.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 
 from olivecourse.interface import Settings
 
-# Maximum number of class names in the life of a process, because each name keeps its counters and averages
-# until the process ends.
+# Maximum number of request class names in the life of a process. Each name keeps its counters and averages
+# until the process ends, also after a reload has removed it from the configuration.
 MOST_CLASSES = 256
-# Settings that define what a gateway is and where it stands. Data structures are sized and arranged by them
-# at the start.
+# Settings that a reload does not apply: they define what a gateway is and where it is located, and data
+# structures are sized and arranged by them at the start.
 NEEDS_RESTART = (
     "me",
     "routers",
@@ -27,20 +27,22 @@
     "parent_kind",
     "origin_kind",
 )
-NOT_COMPARED = ("seed", "classes")  # The seed differs at every start, and the classes are merged separately.
+# Settings that are not compared to find what a reload changed: the seed may differ without meaning a change,
+# and the classes are merged one by one.
+NOT_COMPARED = ("seed", "classes")
 
 
 class SettingsNotApplicable(ValueError):
-    """Settings that cannot be applied; nothing has changed."""
+    """Raised for reloaded settings that cannot be applied; the settings in use stay as they are."""
 
 
 @dataclass(frozen=True)
 class MergeResult:
     """The result of merging a reloaded configuration.
 
-    `settings` are the settings to use from now on, and `current_indexes` maps the classes in use to their
-    indexes. `applied` names the changed settings that take effect now, and `needs_restart` those that take
-    effect at a restart.
+    `settings` are the settings to use from now on. `current_indexes` maps the name of each request class that
+    the reloaded configuration lists to its index. `applied` names the changed settings that take effect now,
+    and `needs_restart` those that take effect only at a restart.
     """
 
     settings: Settings
@@ -50,9 +52,10 @@
 
 
 def merge(old: Settings, new: Settings) -> MergeResult:
-    """Merges reloaded settings into the current ones.
+    """Merges the reloaded settings `new` into the current ones, `old`, and changes neither.
 
-    Raises SettingsNotApplicable if there would be more than MOST_CLASSES class names since the start.
+    Raises SettingsNotApplicable if there would be more than MOST_CLASSES names of request classes since the
+    start.
     """
     indexes = {listed_class.name: index for index, listed_class in enumerate(old.classes)}
     classes = list(old.classes)
--- a/olivecourse/config/sections.py
+++ b/olivecourse/config/sections.py
@@ -1,8 +1,8 @@
-"""Reads sections of an operator's file and checks them against a msgspec type. Every error contains file and
-line.
+"""Reads sections of an operator's YAML file and checks them against a msgspec type. Every error message
+contains the path of the file, and that of an invalid value also its line.
 
-The type of a section defines its names, value types, bounds and defaults. A new section needs only such a
-type.
+The type of a section defines the names of its values, their types, bounds and defaults. A new section needs
+only such a type.
 """
 
 from __future__ import annotations
@@ -21,11 +21,15 @@
 
 
 class BadSection(Exception):
-    """A section that cannot be used; the text contains the file, the line and the path of the value."""
+    """Raised for a section that cannot be used. The message contains the path of the file and, for an invalid
+    value, its line and its path within the section.
+    """
 
 
 def _find(node: yaml.Node, name: str) -> tuple[yaml.Node, yaml.Node] | None:
-    """Returns the key node and the value node of a mapping's entry, or None."""
+    """Returns the key node and the value node of the entry `name` of a YAML mapping, or None if `node` is not
+    a mapping or lacks the entry.
+    """
     if isinstance(node, yaml.MappingNode):
         for key, value in node.value:
             if key.value == name:
@@ -34,8 +38,9 @@
 
 
 def _line(node: yaml.Node, path: str, text: str) -> int:
-    """Returns the line number of the value that an error refers to, or of the nearest enclosing value, from
-    the path that msgspec reports.
+    """Returns the line number of the value that a msgspec error refers to, or of the nearest enclosing value
+    that is found. `node` is the section, `path` the path of the value and `text` the message, both as msgspec
+    reports them.
     """
     line = node.start_mark.line
     for name, index in PATH_STEP.findall(path):
@@ -52,9 +57,10 @@
 
 
 def read_section(path: str, name: str, kind: type[T]) -> T | None:
-    """Returns the section `name` of the YAML file at `path` as a `kind`, or None if it is absent.
+    """Returns the section `name` of the YAML file at `path`, converted to the msgspec type `kind`, or None if
+    the file does not contain it.
 
-    Raises BadSection with one line of text.
+    Raises BadSection, whose message is one line.
     """
     try:
         text = Path(path).read_text("utf-8")
--- a/olivecourse/control_plane.py
+++ b/olivecourse/control_plane.py
@@ -1,6 +1,7 @@
-"""The control plane of a gateway: discovery, the server directory and purges, without the request path.
+"""The control plane of a gateway: it polls discovery and keeps the directory of servers and the purges. It
+handles no client requests.
 
-Each gateway has one. The benchmark gateway that serves no requests has one as well.
+Each gateway has one, also the benchmark gateway, which serves no requests.
 """
 
 from __future__ import annotations
@@ -20,14 +21,16 @@
 
 
 def _graces_ns(settings: w.Settings) -> tuple[int, ...]:
-    """Returns the times in nanoseconds within which the settings require purges and drains to be obeyed; 0
-    means not set.
+    """Returns two grace periods in nanoseconds: the times within which the settings require a gateway to obey
+    a purge, and a drain. 0 means that the settings define none.
     """
     return settings.purge_grace_ns, settings.drain_grace_ns
 
 
 class ControlPlane:
-    """Receives discovery events, records their content and forwards it to the planner."""
+    """Polls for discovery events, records the servers and purges that they announce, and forwards these to
+    the planner as events.
+    """
 
     def __init__(
         self,
@@ -39,7 +42,8 @@
         log: Callable[..., None],
     ) -> None:
         """`emit` receives events for the planner. `server_terminated` receives the number of a server whose
-        process has ended and the latest time at which it ended, in nanoseconds on the loop's clock.
+        process has ended and the latest time at which it can have ended, in nanoseconds on the event loop's
+        clock.
         """
         self.loop, self.log = loop, log
         self._config, self._tracker, self._emit = config, tracker, emit
@@ -49,15 +53,19 @@
             config.zones, config.kinds, config.settings, clock.from_unix_ms, clock.now
         )
         self.discovery: DiscoveryClient | None = None
-        # The name is part of the seed, so that gateways with the same seed do not reconnect to a restarted
-        # discovery server at the same moment.
+        # The gateway's name is part of the seed, so that gateways with the same seed do not reconnect to a
+        # restarted discovery server at the same moment.
         self._random = Random(f"{config.settings.seed} {config.name}").random
         self._pacer = PollPacer(_graces_ns(config.settings))
-        # The revision of the last event received, kept while there is no discovery client.
+        # The revision number of the last discovery event received, as of the start or of the last time
+        # polling stopped. The next discovery client polls from there.
         self._revision = config.rev
-        # Purges for a planner in a separate process; unused without one.
+        # Purges still in effect, sent to a planner process whenever one connects. Stays empty if the planner
+        # runs in this process.
         self.purges = PurgeTable(min_retained=0)
-        self._logged_merged = 0  # The number of the tracker's merged purges that has already been logged.
+        # The value of the tracker's `purged.merged` (purges merged into one bound for all objects) that was
+        # logged last.
+        self._logged_merged = 0
 
     def start(self) -> None:
         """Starts polling if the configuration names a discovery address."""
@@ -65,7 +73,7 @@
             self._poll(self._config.board)
 
     def _poll(self, address: tuple[str, int]) -> None:
-        """Creates the discovery client, which polls from the last event received."""
+        """Creates the discovery client, which polls `address` for events after the last one received."""
         self.discovery = DiscoveryClient(
             self.loop,
             address,
@@ -79,7 +87,9 @@
         )
 
     def reload(self, old: Config, new_config: Config) -> None:
-        """Applies a new configuration. A new discovery address is polled from the last event received."""
+        """Applies a new configuration. A new discovery address is polled for events after the last one
+        received; without an address, polling stops.
+        """
         self._config = new_config
         self._pacer.apply_settings(_graces_ns(new_config.settings))
         if new_config.board is None:
@@ -90,14 +100,18 @@
             self.discovery.move(new_config.board, new_config.boards)
 
     def stop(self) -> None:
-        """Stops polling. The revision of the last event is kept for a later address."""
+        """Stops polling discovery. The revision of the last event received is kept, so that a later discovery
+        client continues there.
+        """
         if self.discovery is not None:
             self.discovery.stop()
             self._revision = self.discovery.rev
             self.discovery = None
 
     def on_events(self, events: list[Any], first: bool = False) -> None:
-        """Processes discovery events in order. `first` marks the events known at startup."""
+        """Records discovery events in order and forwards them to the planner. An invalid event is logged.
+        `first` is true for the events that the configuration contains, which are processed at startup.
+        """
         for raw in events:
             try:
                 for event in self.directory.events(raw, first):
@@ -113,8 +127,8 @@
         self._log_merged_purges()
 
     def _log_merged_purges(self) -> None:
-        """Logs that some purges were merged into one bound, so that objects that were not purged are filled
-        again.
+        """Logs when the tracker's full purge table has merged further purges into one bound for all objects,
+        so that copies of objects that were not purged are filled again.
         """
         merged = self._tracker.purged.merged
         if merged > self._logged_merged:
@@ -122,7 +136,9 @@
             self.log("purges_folded", since_start=merged)
 
     def _record_purge(self, purge: w.Purged) -> None:
-        """Records a purge for a planner that connects later."""
+        """Records a purge for a planner process that connects later; does nothing if the planner runs in this
+        process.
+        """
         object_or_group = purge.group if purge.object is None else purge.object
         now, settling_ns = self.loop.clock.now(), self._config.settings.purge_settles_ns
         if object_or_group is not None and self._config.planner is not None:
@@ -130,7 +146,9 @@
             self.purges.add(object_or_group, now - age, now + settling_ns, now, 0 < settling_ns <= age)
 
     def sync_planner(self) -> None:
-        """Sends a planner without state the list of servers and the purges still in effect."""
+        """Sends the list of servers and the purges still in effect to a planner process that has just
+        connected and knows neither.
+        """
         now = self.loop.clock.now()
         members = map(self.directory.effective_member, self.directory.members.values())
         self._emit(w.CacheList(0, w.ListKind.HELD, tuple(members)))
--- a/olivecourse/core/__init__.py
+++ b/olivecourse/core/__init__.py
@@ -1,1 +1,1 @@
-"""The core of a gateway: request tracking, the planner, and the limits for descriptors. No I/O."""
+"""The core of a gateway: request tracking, the planner, and the file descriptor limits. No I/O."""
--- a/olivecourse/core/descriptors.py
+++ b/olivecourse/core/descriptors.py
@@ -4,26 +4,33 @@
 
 from dataclasses import dataclass
 
-PER_STORE = 24  # Maximum number of connections to one store, if the descriptor limit allows them.
-# Descriptors of the process itself: event loop, log, listener, discovery, peers, planner, and files being
-# read.
+# Maximum number of connections to one store, in a process that is not short of file descriptors (see
+# SCARCE_DESCRIPTORS).
+PER_STORE = 24
+# Number of file descriptors reserved for the process itself: event loop, log, client listener, discovery
+# connection, peer socket, planner connection, and files being read.
 PROCESS_DESCRIPTORS = 24
-# Descriptors of one operators' endpoint: its callers, its listener, and one newly accepted connection.
+# Number of file descriptors reserved for each operators' HTTP endpoint: its callers' connections, its
+# listener, and one newly accepted connection.
 DOOR = 18
-# Subtracted from the half of the descriptors that is given to store connections.
+# Store connections get half of the process's file descriptors minus this number, minus DOOR for each
+# operators' endpoint.
 STORE_CONNECTIONS_MARGIN = 32
-MIN_STORE_CONNECTIONS = 16  # Minimum number of store connections, even with very few descriptors.
-# A process with an operators' endpoint may be one of two processes of the same gateway. Below 192 descriptors
-# it therefore limits itself to 8 store connections.
+# Lower bound of the limit for all store connections together, unless SCARCE_STORE_CONNECTIONS applies.
+MIN_STORE_CONNECTIONS = 16
+# A process with an operators' endpoint may be one of two processes of the same gateway that share its file
+# descriptors during an upgrade. Below 192 descriptors it therefore opens at most 8 connections to one store,
+# and 8 is also the lower bound of its limit for all store connections together.
 SCARCE_DESCRIPTORS, SCARCE_STORE_CONNECTIONS = 192, 8
 
 
 @dataclass(frozen=True)
 class Split:
-    """Descriptor limits of one process.
+    """How many file descriptors one process may use for which connections.
 
-    `stores` is the limit for all store connections together, `per_store` the number of further store
-    connections that may be opened in an emergency, and `clients` the limit for client connections.
+    `stores` is the limit for all store connections together, and `clients` the limit for client connections.
+    `per_store` is the limit for connections to one store. It is also the number of connections that may be
+    opened beyond `stores`, to stores to which the process has no usable connection.
     """
 
     stores: int
@@ -31,16 +38,18 @@
     clients: int
 
     def total(self, endpoints: int) -> int:
-        """Returns the maximum number of descriptors open at once, with `endpoints` operators' endpoints."""
+        """Returns the maximum number of file descriptors open at once in a process with `endpoints`
+        operators' endpoints: connections within these limits and the reserved descriptors.
+        """
         return self.stores + self.per_store + self.clients + PROCESS_DESCRIPTORS + DOOR * endpoints
 
 
 def split(sockets: int, endpoints: int) -> Split:
-    """Divides `sockets` descriptors for a process with `endpoints` operators' endpoints.
+    """Divides `sockets` file descriptors for a process with `endpoints` operators' HTTP endpoints.
 
-    Normal clients use at most a third of the descriptors. Descriptors left over by stores and by the
-    process's own files are also given to clients, so that fewer idle connections must be closed to accept a
-    new one.
+    In normal operation, clients use at most a third of the descriptors. They get that third, or all that
+    stores and the process itself leave over if these are more, so that fewer idle client connections must be
+    closed to accept a new one.
 
     With one operators' endpoint and at least 96 descriptors, clients and stores together cannot use up the
     descriptors reserved for operators. Each further endpoint raises that minimum by 18.
--- a/olivecourse/core/ledger.py
+++ b/olivecourse/core/ledger.py
@@ -15,14 +15,18 @@
 from olivecourse.purge_table import PurgeTable
 
 MS = 1_000_000
-# How long a closed request is remembered, so that late actions on it are recognized.
+# How long the tracker remembers a request after its final answer, so that planner actions that arrive late
+# are recognized as concerning a closed request. The tracker also keeps each purge for this long.
 CLOSED_RETENTION_NS = 2_000 * MS
 EFFECTS_STRICTEST_FIRST = (w.Effect.AT_MOST_ONCE, w.Effect.DEDUPLICATED, w.Effect.IDEMPOTENT)
-KEY_MEMORY_MARGIN_NS = 2 * MS  # The margin covers the send itself and one tick of the timer wheel.
-# Up to this many purges are kept past their expiry, because attempts that wait for a long time are also
-# checked against them before they are sent.
+# A request is not repeated in the last 2 ms of the time for which stores remember its idempotency key. This
+# covers the send itself and one tick of the timer wheel.
+KEY_MEMORY_MARGIN_NS = 2 * MS
+# The tracker keeps up to this many purges even past their expiry, because an attempt that has waited for a
+# connection for a long time is also checked against them before it is sent.
 MIN_RETAINED_PURGES = 4096
-# Added to a request's deadline: later than the Router's own last check, but before the client stops waiting.
+# The tracker itself answers a request that is still open this long after its deadline: later than the
+# Router's own last check, but before the client stops waiting.
 DEADLINE_GRACE_NS = 4 * MS
 
 
@@ -38,7 +42,7 @@
     """The clock and the timers that the tracker uses."""
 
     def now(self) -> int:
-        """Returns the current time in nanoseconds."""
+        """Returns the current time in nanoseconds, on a clock that never runs backwards."""
         ...
 
     def after(self, delay_ns: int, call: Callable[[], object]) -> Cancellable:
@@ -50,7 +54,9 @@
     """Receives the one final answer of a request. A client listener creates one for each request."""
 
     def served(self, body: bytes, tag: str | None, same: bool) -> None:
-        """Sends the body to the client. `same` means that the copy held by the client is still current."""
+        """Sends the body to the client, with the version tag of the served copy (in HTTP its ETag) if there
+        is one. `same` means that the copy held by the client is still current.
+        """
         ...
 
     def refused(self, wait_ns: int) -> None:
@@ -58,12 +64,12 @@
         ...
 
     def failed(self, late: bool) -> None:
-        """Reports a failure to the client. `late` means that the deadline was reached."""
+        """Reports a failure to the client. `late` means that the request's deadline was reached."""
         ...
 
     def look(self) -> None:
-        """Reads data that the client has sent in the meantime. If the client has disconnected, this calls
-        `Ledger.leave`.
+        """Reads what the client has sent since its request, before an attempt that had to wait is sent. If
+        the client has disconnected, this calls `Ledger.leave`.
         """
         ...
 
@@ -72,7 +78,7 @@
     """Sends attempts to stores."""
 
     def send(self, attempt: Attempt) -> None:
-        """Sends an attempt to its store, or queues it until a connection is available."""
+        """Sends an attempt to its store, or queues it until a connection to that store is available."""
         ...
 
     def abort(self, attempt: Attempt) -> None:
@@ -81,18 +87,18 @@
 
 
 class Duplicate(Exception):
-    """Raised for a request id that is already known."""
+    """Raised for a request id that the tracker already knows, from an open or a recently closed request."""
 
 
 class Crowded(Exception):
-    """Raised when the limit of open requests is reached, or when the gateway is about to stop and has no time
-    left to answer.
+    """Raised for a new request when the limit of open requests is reached, or when the gateway is about to
+    stop and has no time left to answer the request.
     """
 
 
 @dataclass(eq=False)
 class RequestEntry:
-    """A request and its state, kept until a short time after its final answer."""
+    """A request and its state, kept until CLOSED_RETENTION_NS after its final answer."""
 
     ask: w.Request
     cls: w.RequestClass
@@ -105,10 +111,11 @@
     key: str | None = None
     count: int = 0
     out: dict[int, Attempt] = field(default_factory=dict)
-    # The transport's connections on which this request's id was sent.
+    # The store connections on which this request's id was sent; the transport sends it only once on each.
     asked_on: list[Any] = field(default_factory=list)
     may_have_run: bool = False
-    # The time at which the first attempt that may have run was decided on; 0 if there is none.
+    # The time at which the planner decided on the first attempt that a store may have executed; 0 if there is
+    # none.
     first_sent_at: int = 0
     closed: bool = False
     deadline_timer: Cancellable | None = None
@@ -116,7 +123,7 @@
 
 @dataclass(eq=False)
 class Attempt:
-    """One attempt to have a request answered by a store."""
+    """One attempt to have a request answered by a store; a retry is a further attempt."""
 
     entry: RequestEntry
     number: int
@@ -130,7 +137,9 @@
 
     @property
     def source(self) -> int | None:
-        """The number of the server from which a miss is filled, or None."""
+        """The number of the parent or origin from which the store fills a missing copy, or None if the
+        planner named none.
+        """
         decision = self.action
         return (
             decision.source
@@ -150,8 +159,8 @@
         log: Callable[..., None],
         most: int,
     ) -> None:
-        """Creates a tracker that passes its events to `emit` and accepts at most `most` open requests at a
-        time.
+        """Creates a tracker that passes its events for the planner to `emit` and accepts at most `most` open
+        requests at a time.
         """
         self._settings, self._timers, self._emit, self._log, self._max_open_requests = (
             settings,
@@ -164,33 +173,38 @@
         self.open = 0
         self.carrier: Transport | None = None
         self.closing = False  # Set shortly before the process stops; no request is accepted from then on.
-        # Purges with the time at which this gateway received them; checked before a queued attempt is sent.
+        # Purged objects and groups with the time at which this gateway received the purge. An attempt that
+        # was decided on before that time is not sent any more.
         self.purged = PurgeTable(MIN_RETAINED_PURGES)
-        # The numbers of requests accepted, and of requests whose client disconnected before the answer.
+        # The number of requests accepted since the start, and of those whose client disconnected before the
+        # answer.
         self.taken = self.left = 0
-        self.late = 0  # The number of requests served after the target time of their class.
-        # For each class, the numbers of requests served, refused and failed.
+        self.late = 0  # The number of requests served since the start, but after their target time.
+        # For each class index, the numbers of requests served, refused and failed since the start.
         self.outcomes = [[0, 0, 0] for _ in settings.classes]
 
     def settle(self, settings: w.Settings) -> None:
-        """Applies new settings, in which each class keeps its index.
+        """Applies new settings, in which each request class keeps its index.
 
-        Open requests keep their deadline and their class. An operation that is forbidden by the old settings
-        or by the new ones is not performed.
+        Open requests keep their deadline and the class settings that they arrived with. For repeating them,
+        the stricter of the old and the new effect of their class applies, and the shorter time for which
+        stores remember their idempotency key.
         """
         self._settings = settings
         self.outcomes += [[0, 0, 0] for _ in settings.classes[len(self.outcomes) :]]
 
     def _effect(self, entry: RequestEntry) -> w.Effect:
-        """Returns the stricter of two effects: the one that the request's class had on arrival, and its
-        current one.
+        """Returns the effect that decides whether the request may be repeated: the stricter of the one that
+        its class had when the request arrived and the one that its class has now.
         """
         effects = (entry.cls.effect, self._settings.classes[entry.ask.cls].effect)
         return next(candidate for candidate in EFFECTS_STRICTEST_FIRST if candidate in effects)
 
     @property
     def tally(self) -> dict[str, int]:
-        """Totals over all classes since the start, with the number of requests whose client disconnected."""
+        """The numbers of requests since the start, over all classes: "served", "refused", "failed", and
+        "left" for requests whose client disconnected before the answer.
+        """
         served, refused, failed = (sum(counts[i] for counts in self.outcomes) for i in range(3))
         return {"served": served, "refused": refused, "failed": failed, "left": self.left}
 
@@ -201,7 +215,8 @@
     ) -> None:
         """Accepts a request, which from here on must get exactly one final answer.
 
-        `holds` is the tag of the copy that the client holds, and `key` is the client's idempotency key.
+        `holds` is the version tag of the copy that the client holds (in HTTP its ETag), and `key` is the
+        client's idempotency key; both are None if the client sent none.
         Raises Duplicate for a request id that is already known, and Crowded if no more requests can be
         accepted.
         """
@@ -226,8 +241,8 @@
             now + request_class.aim_ns + int(transfer_allowance_ns),
             key,
         )
-        # Guards against a Router or planner that loses track of a request: the request is still answered in
-        # time.
+        # Guards against a Router or planner that loses track of a request: this timer answers it shortly
+        # after its deadline.
         entry.deadline_timer = self._timers.after(
             time_budget_ns + DEADLINE_GRACE_NS, lambda: self._on_deadline_missed(entry)
         )
@@ -237,7 +252,9 @@
         self._emit(ask)
 
     def turned_away(self, cls: int) -> None:
-        """Counts a request that a client listener refused by itself as accepted and refused."""
+        """Counts a request of the class with index `cls` that a client listener refused without calling
+        `take`. It counts as accepted and as refused.
+        """
         self.taken += 1
         self.outcomes[cls][1] += 1
 
@@ -255,9 +272,12 @@
     # Called with the Router's actions ---------------------------------------------------------------
 
     def attempt(self, action: w.Look | w.ReadThrough) -> None:
-        """Starts an attempt. If the guarantees or limits forbid it, reports at once that it was not sent."""
+        """Starts an attempt that the planner decided on. If the request is closed, or its guarantees or the
+        settings' limits forbid the attempt, reports at once that it was not sent.
+        """
         entry = self.entries.get(action.request)
-        # The request is closed and forgotten. Its attempt number is unknown, so no outcome can be reported.
+        # The request was closed so long ago that its entry is gone. Without the entry the attempt has no
+        # number, so no outcome can be reported.
         if entry is None:
             self._log("attempt_unknown", request=action.request)
             return
@@ -286,14 +306,16 @@
         self.carrier.send(new_attempt)
 
     def cancel(self, action: w.Cancel) -> None:
-        """Cancels one attempt, if it is still open."""
+        """Cancels one attempt of a request, if it has no outcome yet."""
         entry = self.entries.get(action.request)
         new_attempt = entry.out.get(action.attempt) if entry else None
         if new_attempt is not None:
             self._abort(new_attempt, w.Status.CANCELLED)
 
     def refuse(self, action: w.Refuse) -> None:
-        """Answers a request with a refusal, or with a failure where a repeat could do harm."""
+        """Answers a request with a refusal, which asks the client to retry later, or with a failure if a
+        repeat by the client could do harm.
+        """
         entry = self.entries.get(action.request)
         if entry is None or entry.closed:
             return
@@ -321,10 +343,10 @@
     # Called by the transport ------------------------------------------------------------------------
 
     def may_go(self, attempt: Attempt) -> bool:
-        """Returns whether a queued attempt may still be sent.
+        """Returns whether an attempt that waited for a connection may still be sent.
 
-        Guards against sending for a client that has disconnected, after the deadline, or to read copies that
-        a purge received in the meantime has made invalid.
+        It may not if its request is closed, its deadline has passed, the object or its group has been purged
+        since the attempt was decided on, or stores may have forgotten the request's idempotency key.
         """
         ask = attempt.entry.ask
         valid_from = max(self.purged.find(ask.object, ask.group), default=-1)
@@ -347,12 +369,13 @@
         self._reset_first_sent(attempt.entry)
 
     def _reset_first_sent(self, entry: RequestEntry) -> None:
-        """Clears the time of the first attempt if no attempt of the request may have run."""
+        """Resets `first_sent_at` to 0 if no attempt of the request may have run at a store."""
         if not entry.may_have_run and not any(a.went for a in entry.out.values()):
             entry.first_sent_at = 0
 
     def _within_key_memory(self, attempt: Attempt) -> bool:
-        """Returns whether stores still remember the request's idempotency key, so that they discard a repeat.
+        """Returns whether stores still discard a repeat of the request, because they remember its idempotency
+        key. Always true for a request that has not been sent, or whose effect is not DEDUPLICATED.
 
         Guards against a repeat that was decided on in time and then waited for a connection until the stores
         had forgotten the key.
@@ -373,7 +396,7 @@
         if object_or_group is not None:
             now = self._timers.now()
             settling_ns = self._settings.purge_settles_ns
-            # True if every store has already dropped its older copies.
+            # True if the purge is so old that every store has already dropped the copies made before it.
             settled = 0 < settling_ns <= (event.age_ns or 0)
             self.purged.add(object_or_group, now, now + CLOSED_RETENTION_NS, now, settled)
 
@@ -388,7 +411,9 @@
         same: bool = False,
         report: tuple[float | None, ...] | None = None,
     ) -> None:
-        """Records the outcome of an attempt. Further outcomes of the same attempt are ignored."""
+        """Records the outcome of an attempt, reports it to the planner and, if the attempt was served,
+        answers the client. Further outcomes of the same attempt are ignored.
+        """
         if attempt.ended:
             return
         attempt.ended = True
@@ -423,9 +448,10 @@
     # Internal ---------------------------------------------------------------------------------------
 
     def _abort(self, attempt: Attempt, status: w.Status) -> None:
-        """Aborts an attempt and records its outcome.
+        """Aborts an attempt and records `status` as its outcome.
 
-        If no byte was sent, the outcome is CONNECT_FAILED after a timeout and NOT_SENT otherwise.
+        If no byte was sent, the outcome is CONNECT_FAILED instead of TIMEOUT, and NOT_SENT instead of any
+        other status.
         """
         if attempt.ended:
             return
@@ -437,11 +463,13 @@
         self.end(attempt, status if attempt.went else unsent_status)
 
     def _on_timeout(self, attempt: Attempt) -> None:
-        """Ends an attempt that got no answer in time."""
+        """Aborts an attempt that got no answer before its own timeout or the request's deadline."""
         self._abort(attempt, w.Status.TIMEOUT)
 
     def _on_deadline_missed(self, entry: RequestEntry) -> None:
-        """Refuses or fails a request that was still open shortly after its deadline."""
+        """Refuses or fails a request that is still open DEADLINE_GRACE_NS after its deadline, and tells the
+        planner that it is closed.
+        """
         if entry.closed:
             return
         self._log("answered_by_guard", request=entry.ask.request)
@@ -449,7 +477,9 @@
         self._emit(w.ClientLeft(entry.ask.request))
 
     def _answer_unserved(self, entry: RequestEntry, wait_ns: int | None) -> None:
-        """Answers with a refusal if `wait_ns` is given and a repeat is safe, else with a failure."""
+        """Answers a request with a refusal if `wait_ns`, the time after which the client may retry, is given
+        and a repeat by the client can do no harm; else with a failure.
+        """
         # A request that may have run and must not run twice is never refused, because the client would send
         # it again.
         possibly_run = entry.may_have_run or any(a.went for a in entry.out.values())
@@ -469,7 +499,9 @@
         self._close(entry)
 
     def _close(self, entry: RequestEntry) -> None:
-        """Ends all work for a request; it is forgotten after CLOSED_RETENTION_NS."""
+        """Marks a request as closed and cancels its attempts. Its entry is removed after
+        CLOSED_RETENTION_NS.
+        """
         entry.closed = True
         entry.body = b""
         self.open -= 1
--- a/olivecourse/core/planner.py
+++ b/olivecourse/core/planner.py
@@ -12,10 +12,12 @@
 
 
 class TrafficLimiter(w.Limits, Protocol):
-    """Limits that also observe all events and actions of the Router."""
+    """Limits on the traffic that the Router may cause, applied during a retry storm. The limiter also
+    observes all of the Router's events and actions.
+    """
 
     def settle(self, settings: w.Settings) -> None:
-        """Applies new settings, in which each class keeps its index."""
+        """Applies new settings, in which each request class keeps its index."""
         ...
 
     def came(self, event: w.Event, now: int) -> None:
@@ -23,14 +25,14 @@
         ...
 
     def went(self, actions: list[w.Action], now: int) -> list[w.Action]:
-        """Observes the Router's actions and returns the actions to execute, which may include further log
-        actions.
+        """Observes the Router's actions and returns the actions to execute: these, and possibly actions that
+        write a log line.
         """
         ...
 
 
 class Planner:
-    """A Router with its clock, which never runs backwards."""
+    """A Router, the latest time passed to it, which never runs backwards, and the limiter if there is one."""
 
     def __init__(self, settings: w.Settings, now: int, log: Callable[..., None]) -> None:
         self._now, self._log = now, log
@@ -42,12 +44,13 @@
         self._limiter = self.router.limits = limiter
 
     def start(self) -> list[w.Action]:
-        """Returns the Router's actions at the start."""
+        """Returns the actions that the Router wants executed at the start, before its first event."""
         return self.router.start()
 
     def settle(self, settings: w.Settings) -> None:
-        """Makes the Router use new settings. Existing classes keep their index; new classes follow them and
-        start without any learned values, as all classes do at startup.
+        """Makes the Router use new settings. Existing request classes keep their index and what the Router
+        has learned about them. New classes get the next indexes and start without any learned values, as all
+        classes do at startup.
         """
         router, known_classes = self.router, len(self.router.s.classes)
         fresh_router = Router(settings, self._now)
@@ -64,7 +67,9 @@
             self._limiter.settle(settings)
 
     def decide(self, events: Iterable[w.Event], now: int) -> list[w.Action]:
-        """Handles a batch of events and returns the resulting actions."""
+        """Passes a batch of events to the Router and returns the resulting actions. `now` is in nanoseconds;
+        an earlier time than in the last call is replaced by that one.
+        """
         self._now = max(self._now, now)
         actions: list[w.Action] = []
         for event in events:
--- a/olivecourse/discovery/__init__.py
+++ b/olivecourse/discovery/__init__.py
@@ -1,3 +1,3 @@
-"""Decisions of the long-poll discovery client: parsing, polling intervals and failover between upstreams. No
-I/O.
+"""What the long-poll discovery client needs without I/O: the parser for poll responses, the interval between
+polls, and failover between discovery servers and relays.
 """
--- a/olivecourse/discovery/event_stream.py
+++ b/olivecourse/discovery/event_stream.py
@@ -1,7 +1,9 @@
-"""Parses a poll response event by event, in bounded memory, from bytes as they arrive. No I/O.
+"""Parses the JSON response to a discovery poll event by event, in bounded memory, from bytes as they arrive.
+No I/O.
 
-A response is `{"rev":LAST,"notices":[event, ...]}` in UTF-8. Its members may come in any order, with white
-space anywhere, and unknown members are skipped.
+A response is `{"rev":LAST,"notices":[event, ...]}` in UTF-8, where LAST is the revision number of the last
+event. The members of the object may come in any order, with white space anywhere, and unknown members are
+skipped.
 """
 
 from __future__ import annotations
@@ -11,54 +13,63 @@
 from json.decoder import WHITESPACE  # type: ignore[attr-defined]
 from typing import Any, Final
 
-# Maximum length of one event, enough for a list of about 7,000 servers. It is also the maximum number of
-# characters without an event.
+# Maximum length of one event in characters, enough for a list of about 7,000 servers. It is also the maximum
+# number of characters of a response in succession that contain no complete event; beyond it the response is
+# rejected.
 MAX_VALUE_CHARS: Final = 2**20
-# An incomplete value up to this length is parsed again with every chunk.
+# While an incomplete JSON value is at most this long, it is parsed again with every chunk received; a longer
+# one only when it has grown by a quarter.
 RETRY_EACH_CHUNK_CHARS: Final = 65_536
-DELIMITERS: Final = ",]} \t\r\n"  # Characters that may follow a number.
-# A parse error this close to the end of the received text may only mean that the rest has not arrived yet.
+# Characters that may follow a JSON number; a number at the end of the received text may still continue.
+DELIMITERS: Final = ",]} \t\r\n"
+# A JSON error less than this many characters before the end of the received text is not reported yet, because
+# it may only mean that the rest of the value has not arrived.
 INCOMPLETE_MARGIN_CHARS: Final = 16
-# A response up to this size is handled as a whole: its events are sorted, and none is used unless all can be
-# parsed.
+# The events of a response up to this size are used only when it is complete: sorted by number, and none of
+# them if the response cannot be parsed.
 WHOLE_RESPONSE_BYTES: Final = 65_536
 
-# Parser states: what is expected next.
-START: Final = 0
-FIRST_KEY: Final = 1  # a first key or the end of the object
-KEY: Final = 2
-COLON: Final = 3
-MEMBER: Final = 4  # the value of the last key
-AFTER_MEMBER: Final = 5
-FIRST_EVENT: Final = 6  # a first event or the end of the list
-EVENT: Final = 7
-AFTER_EVENT: Final = 8
-END: Final = 9
+# Parser states, each named after what the parser expects next in the response.
+START: Final = 0  # The brace that opens the response's JSON object.
+FIRST_KEY: Final = 1  # The first key of the object, or the brace that closes the object if it is empty.
+KEY: Final = 2  # A further key of the object, after a comma.
+COLON: Final = 3  # The colon between a key and its value.
+MEMBER: Final = 4  # The value that belongs to the key just read; the bracket that opens the list of events.
+AFTER_MEMBER: Final = 5  # The comma before the next key, or the brace that closes the object.
+FIRST_EVENT: Final = 6  # The first event, or the bracket that closes the list of events if it is empty.
+EVENT: Final = 7  # A further event, after a comma.
+AFTER_EVENT: Final = 8  # The comma before the next event, or the bracket that closes the list of events.
+END: Final = 9  # Nothing but white space: the object has been closed.
 
 
 class EventStreamError(ValueError):
-    """A response that cannot be parsed any further."""
+    """A poll response that is not valid JSON of the expected form, is incomplete, or exceeds
+    MAX_VALUE_CHARS.
+    """
 
 
 class EventStreamParser:
-    """An incremental parser. `feed` takes bytes and returns events; `error` is set when the rest cannot be
-    parsed.
+    """An incremental parser for one poll response. `feed` takes the bytes received and returns the events
+    completed by them. Once the response turns out to be invalid, `error` is set and later bytes are ignored.
     """
 
     def __init__(self) -> None:
         self.error: EventStreamError | None = None
         self._decoder = codecs.getincrementaldecoder("utf-8-sig")()
         self._raw_decode = json.JSONDecoder().raw_decode
-        self._text = ""  # Text received but not parsed yet.
+        self._text = ""  # Decoded text of the response that was received but not parsed yet.
         self._state: int = START
         self._key = ""
         self._revision: Any = None
         self._has_event_list = False  # Whether the response contained a list of events.
-        self._next_try = 0  # The text length at which an incomplete value is parsed again.
+        # The length of the unparsed text, in characters, from which an incomplete long value is parsed again.
+        self._next_try = 0
         self._chars_without_event = 0
 
     def feed(self, data: bytes) -> list[Any]:
-        """Returns the events completed by this chunk, in their order."""
+        """Parses a chunk of the response and returns the events completed by it, in the order of the
+        response.
+        """
         events: list[Any] = []
         if self.error is None:
             try:
@@ -75,7 +86,7 @@
         return events
 
     def _read_before(self, decode_error: UnicodeDecodeError, events: list[Any]) -> None:
-        """Parses the part of a chunk that precedes invalid UTF-8."""
+        """Appends to `events` those in the part of a chunk that precedes invalid UTF-8, and sets `error`."""
         self.error = EventStreamError(f"UnicodeDecodeError: {decode_error}")
         try:
             self._text += decode_error.object[: decode_error.start].decode()
@@ -84,8 +95,8 @@
             self.error = EventStreamError(f"{type(error).__name__}: {error}")
 
     def finish(self) -> int:
-        """Returns the response's own revision. Raises EventStreamError if the response is incomplete or
-        invalid.
+        """Called at the end of the response. Returns the revision number that the response has as a whole
+        (its member "rev"). Raises EventStreamError if the response is incomplete or invalid.
         """
         if self.error is not None:
             raise self.error
@@ -99,7 +110,7 @@
             raise EventStreamError(f"no revision: {str(self._revision)[:40]}") from None
 
     def _read(self, events: list[Any]) -> None:
-        """Parses as much of the text as possible and appends the completed events."""
+        """Parses as much of the received text as possible and appends the completed events to `events`."""
         text, position, previous_count = self._text, 0, len(events)
         while position < len(text):
             character = text[position]
@@ -129,8 +140,8 @@
             raise EventStreamError(f"{MAX_VALUE_CHARS} characters without an event")
 
     def _punctuation(self, character: str) -> None:
-        """Advances the state over one punctuation character. Raises EventStreamError if it is not allowed
-        here.
+        """Changes the parser's state according to one punctuation character. Raises EventStreamError if the
+        character is not allowed in the current state.
         """
         state = self._state
         if state == AFTER_EVENT and character == ",":
@@ -149,8 +160,8 @@
             raise EventStreamError(f"{character!r} is out of place")
 
     def _key_or_member(self, text: str, position: int, character: str) -> int:
-        """Parses a key, or a member other than the list of events. Returns the position after it, or -1 if it
-        is incomplete.
+        """Parses a key of the response's object, the value of a key, or the bracket that opens the list of
+        events. Returns the position after it, or -1 if it has not been received as a whole.
         """
         if self._state == MEMBER and self._key == "notices":
             if character != "[":
@@ -171,11 +182,12 @@
         return end
 
     def _value(self, text: str, position: int) -> tuple[Any, int]:
-        """Parses the value at the position. Returns the value and its end, or -1 as the end if the value is
-        incomplete.
+        """Parses the JSON value that starts at `position`. Returns the value and the position after it, or
+        None and -1 if it has not been received as a whole.
         """
         length = len(text) - position
-        # A response ends in a brace, so that a text ending in one is always parsed at once.
+        # A text that ends in a closing brace is always parsed at once, because it may be the end of the
+        # response.
         if RETRY_EACH_CHUNK_CHARS < length < self._next_try and not text.rstrip().endswith("}"):
             return None, -1
         try:
@@ -198,22 +210,25 @@
 class ResponseReader:
     """Decides which events of one poll response are used, and when.
 
-    The events of a short response are used together and sorted, or not at all. Each event of a longer
-    response is used as it arrives; events whose number is not above the last one used are skipped.
+    The events of a response of up to WHOLE_RESPONSE_BYTES are used together and sorted by number, or not at
+    all if the response is invalid. The events of a longer response are used as they arrive. Events whose
+    number is not above the last one used are skipped.
     """
 
     def __init__(self, rev: int) -> None:
-        """`rev` is the revision of the last event received."""
+        """`rev` is the revision number of the last event used from earlier responses."""
         self.rev = rev
         self.error: EventStreamError | None = None
-        self.revision = 0  # The response's own revision, once the response is complete.
-        self.empty = True  # Whether the response contains no event.
+        self.revision = 0  # The revision number that the response has as a whole; 0 until it is complete.
+        self.empty = True  # Whether no event of the response has been received.
         self._parser = EventStreamParser()
         self._bytes = 0
         self._held_events: list[Any] = []
 
     def feed(self, data: bytes) -> list[Any]:
-        """Returns the events to use now, in ascending order."""
+        """Parses a chunk of the response and returns the events to use now, in ascending order of their
+        numbers.
+        """
         if self.error is not None:
             return []
         self._bytes += len(data)
@@ -229,8 +244,8 @@
         return self._newer(events)
 
     def finish(self) -> list[Any]:
-        """Returns the remaining events after the end of the response. Sets `error` if the response could not
-        be parsed.
+        """Called at the end of the response. Returns the events that `feed` has held back, or sets `error`
+        and returns none if the response could not be parsed.
         """
         if self.error is None:
             try:
@@ -244,8 +259,8 @@
         return [] if self.error is not None else new_events
 
     def _newer(self, events: list[Any]) -> list[Any]:
-        """Returns the events above the last one used, up to the first event without a number, which sets
-        `error`.
+        """Returns the events whose number is above that of the last one used, sorted by number, and advances
+        `rev`. Stops at the first event without a number and sets `error`.
         """
         last, numbered, sorted_so_far = self.rev, [], True
         previous = last
