--- a/olivecourse/core/ledger.py
+++ b/olivecourse/core/ledger.py
@@ -364,7 +364,7 @@
         attempt.entry.first_sent_at = attempt.entry.first_sent_at or attempt.sent_at
 
     def never_went(self, attempt: Attempt) -> None:
-        """Records that the socket accepted no byte of the attempt after all."""
+        """Undoes `goes`: the socket accepted no byte of the attempt, so a store cannot have executed it."""
         attempt.went = False
         self._reset_first_sent(attempt.entry)
 
--- a/olivecourse/discovery/event_stream.py
+++ b/olivecourse/discovery/event_stream.py
@@ -1,9 +1,9 @@
 """Parses the JSON response to a discovery poll event by event, in bounded memory, from bytes as they arrive.
 No I/O.
 
-A response is `{"rev":LAST,"notices":[event, ...]}` in UTF-8, where LAST is the revision number of the last
-event. The members of the object may come in any order, with white space anywhere, and unknown members are
-skipped.
+A response is `{"rev":LAST,"notices":[event, ...]}` in UTF-8, where LAST is the revision number of the
+response as a whole. The members of the object may come in any order, with white space anywhere, and unknown
+members are skipped.
 """
 
 from __future__ import annotations
--- a/olivecourse/purge_table.py
+++ b/olivecourse/purge_table.py
@@ -6,7 +6,7 @@
 
 from collections import OrderedDict
 
-Key = str | int | None  # An object id or a group number.
+Key = str | int | None  # What was purged: an object, by its id, or a group of objects, by its number.
 # A purge is settled once every store has dropped the copies made before it. A purge that was already settled
 # when this gateway received it needs no check, and is kept only as a precaution, as long as the table has at
 # most this many entries.
