--- a/olivecourse/ops/__init__.py
+++ b/olivecourse/ops/__init__.py
@@ -1,4 +1,4 @@
-"""What operators ask of a running gateway: the door, its figures, stores out by hand, upgrades.
+"""The operators' side of a running gateway: admin server, metrics, manual drains and hot restarts.
 
-`calls`, `bans` and `figures` decide and count without I/O; `door` and `presence` hold sockets and files.
+`calls`, `bans`, `standing` and `figures` do no I/O; `door`, `presence` and `handover` own sockets and files.
 """
--- a/olivecourse/ops/calls.py
+++ b/olivecourse/ops/calls.py
@@ -1,4 +1,4 @@
-"""What a call at the operators' door means: its path, method and body make one reply. No I/O."""
+"""Routing of the operators' HTTP calls: maps a path, method and body to one reply. No I/O."""
 
 from __future__ import annotations
 
@@ -10,40 +10,48 @@
 
 from olivecourse.config.vocabulary import CALLS, Call
 
-MOST_BODY = 4096  # bytes; an id is far shorter
-MOST_ID = 256  # characters
+MAX_BODY_BYTES = 4096  # bytes; a body holds one id, which is far shorter
+MAX_ID_LENGTH = 256  # characters
 TEXT, JSON = "text/plain; version=0.0.4; charset=utf-8", "application/json"
 
 
-class Desk(Protocol):
-    """The gateway as the door sees it."""
+class OperatorHandlers(Protocol):
+    """The operations of the gateway that the operators' calls need."""
 
     def why_not_ready(self) -> str:
-        """An empty text if requests are served here, else the reason why not."""
+        """Returns an empty text if this gateway serves requests, else the reason why it does not."""
         ...
 
-    def figures(self) -> bytes: ...
+    def metrics(self) -> bytes:
+        """Returns the metrics in the Prometheus text format."""
+        ...
 
-    def listed(self, store: str) -> bool:
-        """Whether a list has ever named this id."""
+    def was_listed(self, store: str) -> bool:
+        """Whether any server list so far has contained this id."""
         ...
 
-    def set_out(self, store: str, out: bool) -> None:
-        """While `out`, from the return on, nothing new goes to that store, nor names it as a source."""
+    def set_store_drained(self, store: str, out: bool) -> None:
+        """Drains the store, or ends its drain.
+
+        Once the call has returned, a drained store gets no new attempts and is not named as a fill source.
+        """
         ...
 
     def set_draining(self, draining: bool) -> None:
-        """While it drains, this gateway says that it takes no work, and answers all that comes."""
+        """Drains this gateway, or ends its drain.
+
+        A draining gateway reports that it takes no work, but still answers every request that arrives.
+        """
         ...
 
-    def other(self, method: str, path: str, body: bytes) -> Reply | None:
-        """The reply of a part of the gateway that knows this call."""
+    def extension_reply(self, method: str, path: str, body: bytes) -> Reply | None:
+        """Returns the reply of an optional part of the gateway that handles this call, else None."""
         ...
 
 
 @dataclass(frozen=True)
 class Reply:
-    """Status code, body, its media type, and the methods for `Allow` where the call's was another."""
+    """An HTTP reply: status code, body, media type, and the `Allow` header's methods on a 405."""
 
     status: int
     body: bytes
@@ -52,73 +60,73 @@
 
 
 class BadCall(Exception):
-    """A call that gets a no; holds its reply."""
+    """A refused call; `reply` is the error reply."""
 
     def __init__(self, status: int, why: str, allow: str = "") -> None:
         super().__init__(why)
-        self.reply = Reply(status, _say(ok=False, why=why), allow=allow)
+        self.reply = Reply(status, _encode_body(ok=False, why=why), allow=allow)
 
 
-def _say(**values: object) -> bytes:
+def _encode_body(**values: object) -> bytes:
     return json.dumps(values).encode() + b"\n"
 
 
-def _store(named: str, body: bytes) -> str:
-    """The id that the path names, or else a body of the form {"id": text}."""
-    if named:
-        if len(named) > MOST_ID:
-            raise BadCall(400, f"an id has {MOST_ID} characters at most")
-        return named
+def _store_id(id_in_path: str, body: bytes) -> str:
+    """Returns the store id from the path, or else from a body of the form {"id": text}."""
+    if id_in_path:
+        if len(id_in_path) > MAX_ID_LENGTH:
+            raise BadCall(400, f"an id has {MAX_ID_LENGTH} characters at most")
+        return id_in_path
     try:
-        said = json.loads(body)
+        decoded = json.loads(body)
     except (ValueError, RecursionError):
         raise BadCall(400, "the body is not JSON") from None
-    if not isinstance(said, dict) or set(said) != {"id"}:
+    if not isinstance(decoded, dict) or set(decoded) != {"id"}:
         raise BadCall(400, 'the body is {"id": "ID"}')
-    name = said["id"]
-    if not isinstance(name, str) or not 0 < len(name) <= MOST_ID:
-        raise BadCall(400, f"id is a text of 1 to {MOST_ID} characters")
+    name = decoded["id"]
+    if not isinstance(name, str) or not 0 < len(name) <= MAX_ID_LENGTH:
+        raise BadCall(400, f"id is a text of 1 to {MAX_ID_LENGTH} characters")
     return name
 
 
-def _readiness(desk: Desk, named: str, body: bytes) -> Reply:
-    why = desk.why_not_ready()
-    return Reply(503, _say(ready=False, why=why)) if why else Reply(200, _say(ready=True))
+def _readiness(handlers: OperatorHandlers, id_in_path: str, body: bytes) -> Reply:
+    why = handlers.why_not_ready()
+    return Reply(503, _encode_body(ready=False, why=why)) if why else Reply(200, _encode_body(ready=True))
 
 
-def _stats(desk: Desk, named: str, body: bytes) -> Reply:
-    return Reply(200, desk.figures(), TEXT)
+def _metrics(handlers: OperatorHandlers, id_in_path: str, body: bytes) -> Reply:
+    return Reply(200, handlers.metrics(), TEXT)
 
 
-def _ban(desk: Desk, named: str, body: bytes, out: bool) -> Reply:
-    name = _store(named, body)
-    if not desk.listed(name):
+def _set_drained(handlers: OperatorHandlers, id_in_path: str, body: bytes, out: bool) -> Reply:
+    name = _store_id(id_in_path, body)
+    if not handlers.was_listed(name):
         raise BadCall(404, "no list has named this store")
-    desk.set_out(name, out)
-    return Reply(200, _say(ok=True, id=name, out=out))
+    handlers.set_store_drained(name, out)
+    return Reply(200, _encode_body(ok=True, id=name, out=out))
 
 
-def _down(desk: Desk, named: str, body: bytes) -> Reply:
-    return _ban(desk, named, body, True)
+def _down(handlers: OperatorHandlers, id_in_path: str, body: bytes) -> Reply:
+    return _set_drained(handlers, id_in_path, body, True)
 
 
-def _up(desk: Desk, named: str, body: bytes) -> Reply:
-    return _ban(desk, named, body, False)
+def _up(handlers: OperatorHandlers, id_in_path: str, body: bytes) -> Reply:
+    return _set_drained(handlers, id_in_path, body, False)
 
 
-def _drain(desk: Desk, named: str, body: bytes) -> Reply:
-    desk.set_draining(True)
-    return Reply(200, _say(ok=True, draining=True))
+def _drain(handlers: OperatorHandlers, id_in_path: str, body: bytes) -> Reply:
+    handlers.set_draining(True)
+    return Reply(200, _encode_body(ok=True, draining=True))
 
 
-def _undrain(desk: Desk, named: str, body: bytes) -> Reply:
-    desk.set_draining(False)
-    return Reply(200, _say(ok=True, draining=False))
+def _undrain(handlers: OperatorHandlers, id_in_path: str, body: bytes) -> Reply:
+    handlers.set_draining(False)
+    return Reply(200, _encode_body(ok=True, draining=False))
 
 
-MADE: dict[Call, Callable[[Desk, str, bytes], Reply]] = {
+HANDLERS: dict[Call, Callable[[OperatorHandlers, str, bytes], Reply]] = {
     Call.READY: _readiness,
-    Call.FIGURES: _stats,
+    Call.FIGURES: _metrics,
     Call.DOWN: _down,
     Call.UP: _up,
     Call.DRAIN: _drain,
@@ -126,27 +134,30 @@
 }
 
 
-def answer(desk: Desk, method: str, path: str, body: bytes) -> Reply:
-    """The reply to one whole call; every call gets one, a no with its reason in JSON.
+def answer(handlers: OperatorHandlers, method: str, path: str, body: bytes) -> Reply:
+    """Returns the reply to one complete call; a refusal states its reason in JSON.
 
-    400 a body that is not as the page says, 404 an unknown path or a store that no list has named,
-    405 another method (with `Allow`), 413 a body over MOST_BODY bytes, 503 not ready.
+    Refusals: 400 for a malformed body, 404 for an unknown path or a store that no server list has named,
+    405 for a wrong method (with `Allow`), 413 for a body over MAX_BODY_BYTES, 503 if not ready.
     """
     try:
-        if len(body) <= MOST_BODY and (reply := desk.other(method, path, body)) is not None:
+        if (
+            len(body) <= MAX_BODY_BYTES
+            and (reply := handlers.extension_reply(method, path, body)) is not None
+        ):
             return reply
-        found, named = CALLS.get(path), ""
-        if found is None:
+        entry, id_in_path = CALLS.get(path), ""
+        if entry is None:
             head, _, tail = path.rpartition("/")
-            found, named = CALLS.get(head + "/"), unquote(tail)
-        if found is None or path.endswith("/"):
+            entry, id_in_path = CALLS.get(head + "/"), unquote(tail)
+        if entry is None or path.endswith("/"):
             raise BadCall(404, "no such call")
-        call, methods = found
+        call, methods = entry
         if method not in methods:
             allowed = ", ".join(methods)
             raise BadCall(405, f"{path} takes {allowed}", allowed)
-        if len(body) > MOST_BODY:
-            raise BadCall(413, f"a body has {MOST_BODY} bytes at most")
-        return MADE[call](desk, named, body)
-    except BadCall as bad:
-        return bad.reply
+        if len(body) > MAX_BODY_BYTES:
+            raise BadCall(413, f"a body has {MAX_BODY_BYTES} bytes at most")
+        return HANDLERS[call](handlers, id_in_path, body)
+    except BadCall as refusal:
+        return refusal.reply
--- a/olivecourse/ops/commands.py
+++ b/olivecourse/ops/commands.py
@@ -1,4 +1,4 @@
-"""`olivecourse ops`: the operators' calls, for people and scripts that have no curl at hand."""
+"""`olivecourse ops`: the operators' HTTP calls as commands, for people and scripts without curl."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 
 from olivecourse.config.address import parse_address
 
-PATIENCE_S = 5.0  # the door owes its answer within one second
+TIMEOUT_S = 5.0  # the admin server must answer within one second
 
 ADDRESS = click.option(
     "--address",
     envvar="EDGE_MGMT",
     required=True,
     metavar="HOST:PORT",
-    help="The gateway's operators' door; without it $EDGE_MGMT.",
+    help="Admin address of the gateway; default: $EDGE_MGMT.",
 )
 
 
-def _call(address: str, method: str, path: str, said: dict[str, str] | None = None) -> tuple[int, str]:
-    """Status and body; ends the program with 3 where nobody answers."""
+def _call(address: str, method: str, path: str, fields: dict[str, str] | None = None) -> tuple[int, str]:
+    """Makes one call and returns status and body; exits with 3 if the gateway does not answer."""
     try:
         host, port = parse_address(address)
     except ValueError as error:
         raise click.BadParameter(str(error), param_hint="--address") from None
-    connection = http.client.HTTPConnection(host, port, timeout=PATIENCE_S)
+    connection = http.client.HTTPConnection(host, port, timeout=TIMEOUT_S)
     try:
-        body = None if said is None else json.dumps(said)
+        body = None if fields is None else json.dumps(fields)
         connection.request(method, path, body, {"Content-Type": "application/json"} if body else {})
         reply = connection.getresponse()
         return reply.status, reply.read().decode("utf-8", "replace")
@@ -40,7 +40,7 @@
         connection.close()
 
 
-def _why(text: str) -> str:
+def _reason(text: str) -> str:
     try:
         return str(json.loads(text)["why"])
     except (ValueError, KeyError, TypeError):
@@ -49,33 +49,33 @@
 
 @click.group()
 def ops() -> None:
-    """Ask a running gateway, or take stores out and back by hand.
+    """Query a running gateway, or drain and restore stores by hand.
 
-    Exit codes: 0 yes, 1 no (the reason is printed), 2 wrong words, 3 nobody answers.
+    Exit codes: 0 success, 1 refused or not ready (the reason is printed), 2 usage error, 3 no answer.
     """
 
 
 @ops.command()
 @ADDRESS
 def ready(address: str) -> None:
-    """Whether the gateway serves."""
+    """Report whether the gateway is ready to serve."""
     status, text = _call(address, "GET", "/ops/readiness")
-    click.echo("ready" if status == 200 else f"not ready: {_why(text)}")
+    click.echo("ready" if status == 200 else f"not ready: {_reason(text)}")
     sys.exit(0 if status == 200 else 1)
 
 
 @ops.command()
 @ADDRESS
 def stats(address: str) -> None:
-    """Print the figures, in the Prometheus text form."""
+    """Print the metrics in the Prometheus text format."""
     status, text = _call(address, "GET", "/ops/stats")
     click.echo(text, nl=False, err=status != 200)
     sys.exit(0 if status == 200 else 1)
 
 
-def _store(address: str, store: str, word: str, done: str) -> None:
-    status, text = _call(address, "PUT", f"/ops/stores/{word}", {"id": store})
-    click.echo(f"{store} {done}" if status == 200 else f"{store}: no: {_why(text)}", err=status != 200)
+def _set_store_state(address: str, store: str, action: str, done: str) -> None:
+    status, text = _call(address, "PUT", f"/ops/stores/{action}", {"id": store})
+    click.echo(f"{store} {done}" if status == 200 else f"{store}: no: {_reason(text)}", err=status != 200)
     sys.exit(0 if status == 200 else 1)
 
 
@@ -83,13 +83,13 @@
 @click.argument("store")
 @ADDRESS
 def down(address: str, store: str) -> None:
-    """Take STORE out: from now on nothing new goes to it, whatever the list says."""
-    _store(address, store, "down", "is out")
+    """Drain STORE: it gets no new requests, whatever the server list says."""
+    _set_store_state(address, store, "down", "is out")
 
 
 @ops.command()
 @click.argument("store")
 @ADDRESS
 def up(address: str, store: str) -> None:
-    """Use STORE again."""
-    _store(address, store, "up", "is used again")
+    """End the drain of STORE."""
+    _set_store_state(address, store, "up", "is used again")
--- a/olivecourse/ops/desk.py
+++ b/olivecourse/ops/desk.py
@@ -1,4 +1,4 @@
-"""What the door asks, answered by the parts of one gateway."""
+"""Handlers of the operators' calls, backed by the components of one gateway."""
 
 from __future__ import annotations
 
@@ -6,40 +6,48 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from olivecourse import interface as w
+from olivecourse import interface
 from olivecourse.config.discovery_events import ServerDirectory
 from olivecourse.core.ledger import Ledger
 from olivecourse.net.stores import Pool
-from olivecourse.ops.bans import GATEWAY, Bans, Word
+from olivecourse.ops.bans import GATEWAY_ID, DrainRecord, ManualDrains
 from olivecourse.ops.calls import Reply
-from olivecourse.ops.figures import Figures
+from olivecourse.ops.figures import GatewayMetrics
 
 
-class Owner(Protocol):
-    """The gateway, as far as the desk needs it."""
+class Gateway(Protocol):
+    """The members of the gateway that the handlers use."""
 
     conf_loaded: int
     conf_invalid: int
 
     def drain(self, draining: bool) -> None:
-        """Clients are to go elsewhere, or may come again."""
+        """Tells clients to use another gateway, or that they may return."""
         ...
 
-    def why_not_ready(self) -> str: ...
+    def why_not_ready(self) -> str:
+        """Returns an empty text if the gateway serves requests, else the reason why it does not."""
+        ...
 
     def avoided(self) -> set[int]:
-        """Stores that the module avoids by its own choice or as the list tells."""
+        """Returns the stores that the decision module avoids, by its own choice or as the list says."""
         ...
 
-    def longest_turn_s(self) -> float: ...
+    def longest_turn_s(self) -> float:
+        """Returns the longest turn of the event loop, in seconds."""
+        ...
 
-    def emit(self, event: w.Event) -> None: ...
+    def emit(self, event: interface.Event) -> None:
+        """Passes an event to the decision module."""
+        ...
 
 
 class GatewayDesk:
+    """Implements the operators' calls and supplies the values of the metrics."""
+
     def __init__(
         self,
-        owner: Owner,
+        gateway: Gateway,
         classes: list[str],
         ledger: Ledger,
         pool: Pool,
@@ -47,82 +55,94 @@
         log: Callable[..., None],
     ) -> None:
         self.classes = classes
-        self._owner, self._ledger, self._pool, self._directory = owner, ledger, pool, directory
+        self._gateway, self._ledger, self._pool, self._directory = gateway, ledger, pool, directory
         self._log = log
-        self.bans = Bans(time.time_ns)
-        self.spoken: Callable[[], None] = lambda: None  # after a call that changed a ban
-        self.others: list[Callable[[str, str, bytes], Reply | None]] = []  # calls that parts have at the door
-        directory.manually_drained = self.bans.out
-        self._figures = Figures(self)
+        self.manual_drains = ManualDrains(time.time_ns)
+        self.spoken: Callable[[], None] = lambda: None  # called after a call that changed a drain
+        self.others: list[Callable[[str, str, bytes], Reply | None]] = []  # call handlers of optional parts
+        directory.manually_drained = self.manual_drains.drained
+        self._metrics = GatewayMetrics(self)
 
-    # Calls -------------------------------------------------------------------------------------------
+    # Operators' calls ---------------------------------------------------------------------------------
 
     def why_not_ready(self) -> str:
-        return self._owner.why_not_ready()
+        """Returns an empty text if the gateway serves requests, else the reason why it does not."""
+        return self._gateway.why_not_ready()
 
-    def figures(self) -> bytes:
-        return self._figures.text()
+    def metrics(self) -> bytes:
+        """Returns the metrics in the Prometheus text format."""
+        return self._metrics.text()
 
-    def listed(self, store: str) -> bool:
-        said_before = store in self.bans.words  # to the process before this one
+    def was_listed(self, store: str) -> bool:
+        """Whether a server list has named this id, or a drain record exists for it."""
+        has_record = store in self.manual_drains.records  # possibly by an earlier process
         return (
-            store in self._directory.recently_listed or said_before or store in self._directory.names.values()
+            store in self._directory.recently_listed or has_record or store in self._directory.names.values()
         )
 
-    def set_out(self, store: str, out: bool) -> None:
-        if self.bans.say(store, out):
-            self._changed({store})
+    def set_store_drained(self, store: str, out: bool) -> None:
+        """Drains the store, or ends its drain, and notifies the other process of a hot restart."""
+        if self.manual_drains.set_drained(store, out):
+            self._apply_changes({store})
             self.spoken()
 
     def set_draining(self, draining: bool) -> None:
-        self.set_out(GATEWAY, draining)
+        """Drains this gateway, or ends its drain."""
+        self.set_store_drained(GATEWAY_ID, draining)
 
-    def other(self, method: str, path: str, body: bytes) -> Reply | None:
+    def extension_reply(self, method: str, path: str, body: bytes) -> Reply | None:
+        """Returns the reply of the first optional part that handles this call, else None."""
         return next((reply for call in self.others if (reply := call(method, path, body)) is not None), None)
 
     @property
     def draining(self) -> bool:
-        """Whether operators have told this gateway to take no work."""
-        return GATEWAY in self.bans.out
+        """Whether operators have drained this gateway."""
+        return GATEWAY_ID in self.manual_drains.drained
 
-    def said(self) -> list[tuple[str, Word]]:
-        """The last word on each id."""
-        return list(self.bans.words.items())
+    def drain_records(self) -> list[tuple[str, DrainRecord]]:
+        """Returns the newest drain record of each id."""
+        return list(self.manual_drains.records.items())
 
-    def hear(self, words: Iterable[tuple[str, Word]]) -> None:
-        """Words that another process of this gateway has said, or said before it ended."""
-        self._changed(self.bans.hear(words))
+    def merge_drains(self, records: Iterable[tuple[str, DrainRecord]]) -> None:
+        """Merges drain records of another process of this gateway, running or ended."""
+        self._apply_changes(self.manual_drains.merge(records))
 
-    def _changed(self, stores: set[str]) -> None:
+    def _apply_changes(self, stores: set[str]) -> None:
         for store in sorted(stores):
-            out = store in self.bans.out
-            if store == GATEWAY:
+            out = store in self.manual_drains.drained
+            if store == GATEWAY_ID:
                 self._log("drain_begins" if out else "drain_ends", open=self._ledger.open)
-                self._owner.drain(out)
+                self._gateway.drain(out)
                 continue
             self._log("store_out_by_hand" if out else "store_back_by_hand", store=store)
             event = self._directory.effective_change(store)
             if event is not None:
-                self._owner.emit(event)
+                self._gateway.emit(event)
 
-    # Figures -----------------------------------------------------------------------------------------
+    # Values of the metrics ----------------------------------------------------------------------------
 
-    def ended(self) -> list[list[int]]:
+    def outcomes(self) -> list[list[int]]:
+        """Returns, for each class, the counts of requests served, refused and failed."""
         return self._ledger.outcomes
 
-    def sends(self) -> int:
+    def attempts_sent(self) -> int:
+        """Returns the number of attempts written completely."""
         return self._pool.sends
 
-    def current(self) -> int:
+    def open_requests(self) -> int:
+        """Returns the number of open requests."""
         return self._ledger.open
 
-    def cluster(self) -> tuple[int, int]:
+    def store_counts(self) -> tuple[int, int]:
+        """Returns the number of listed stores, and how many of them get no requests now."""
         listed = self._directory.members
-        avoided = {c for c in listed if not self._directory.ready(c)} | self._owner.avoided()
+        avoided = {store for store in listed if not self._directory.ready(store)} | self._gateway.avoided()
         return len(listed), len(avoided & listed.keys())
 
     def longest_turn_s(self) -> float:
-        return self._owner.longest_turn_s()
+        """Returns the longest turn of the event loop, in seconds."""
+        return self._gateway.longest_turn_s()
 
-    def reloads(self) -> tuple[int, int]:
-        return self._owner.conf_loaded, self._owner.conf_invalid
+    def reload_counts(self) -> tuple[int, int]:
+        """Returns the number of configurations loaded, and of those refused as invalid."""
+        return self._gateway.conf_loaded, self._gateway.conf_invalid
--- a/olivecourse/ops/door.py
+++ b/olivecourse/ops/door.py
@@ -1,4 +1,4 @@
-"""The operators' door: HTTP/1.1, one call a connection, on the gateway's loop."""
+"""The admin server for operators: HTTP/1.1 with one call per connection, on the gateway's event loop."""
 
 from __future__ import annotations
 
@@ -11,29 +11,30 @@
 from olivecourse.config.address import Address
 from olivecourse.net.loop import READ, Loop
 from olivecourse.net.stream import Stream, listen
-from olivecourse.ops.calls import MOST_BODY, BadCall, Desk, Reply, answer
+from olivecourse.ops.calls import MAX_BODY_BYTES, BadCall, OperatorHandlers, Reply, answer
 
 MS = 1_000_000
-MOST_CALLERS = 16  # connections at once; a newcomer closes the oldest
-WHOLE_NS = 2_000 * MS  # to a whole call
-LEAVE_NS = 500 * MS  # for the caller to read its answer and close
-SWEEP_NS = 100 * MS
-MOST_URL = 1024
-MOST_SHOWN = 80  # of a path or body, in the log
-MOST_IN, MOST_OUT = 16_384, 262_144
+MAX_CONNECTIONS = 16  # concurrent connections; above it, a new connection closes the oldest
+CALL_TIMEOUT_NS = 2_000 * MS  # for a complete call to arrive
+CLOSE_TIMEOUT_NS = 500 * MS  # for the client to read its reply and close
+SWEEP_INTERVAL_NS = 100 * MS
+MAX_URL_BYTES = 1024
+MAX_LOGGED = 80  # characters of a path, or bytes of a body, in the log
+INPUT_LIMIT_BYTES, OUTPUT_LIMIT_BYTES = 16_384, 262_144
 
 
-class Caller(Stream):
-    """One call; what follows it on the connection is not read as another."""
+class OperatorConnection(Stream):
+    """One operator's connection: reads one call and replies; later bytes on the connection are ignored."""
 
-    def __init__(self, door: Door, sock: socket.socket) -> None:
-        self.door, self.until = door, door.loop.clock.now() + WHOLE_NS
+    def __init__(self, server: Door, sock: socket.socket) -> None:
+        self.server, self.deadline_ns = server, server.loop.clock.now() + CALL_TIMEOUT_NS
         self.parser = httptools.HttpRequestParser(self)
         self.url, self.body = b"", bytearray()
         self.answered = False
-        super().__init__(door.loop, sock, MOST_IN, MOST_OUT)
+        super().__init__(server.loop, sock, INPUT_LIMIT_BYTES, OUTPUT_LIMIT_BYTES)
 
     def received(self) -> None:
+        """Feeds the received bytes to the HTTP parser."""
         data = self.inbox.take(len(self.inbox))
         if self.answered:
             return
@@ -43,31 +44,34 @@
             self._reply(BadCall(400, "no upgrades here").reply)
         except httptools.HttpParserError as error:
             if not self.answered:
-                self.door.log("ops_bad_call", why=type(error).__name__)
+                self.server.log("ops_bad_call", why=type(error).__name__)
                 self._reply(BadCall(400, "not HTTP/1.1").reply)
 
     def on_url(self, url: bytes) -> None:
+        """Parser callback: a part of the request target has arrived."""
         self.url += url
-        if len(self.url) > MOST_URL:
+        if len(self.url) > MAX_URL_BYTES:
             self._reply(BadCall(414, "path too long").reply)
 
     def on_body(self, data: bytes) -> None:
+        """Parser callback: a part of the body has arrived."""
         if not self.answered:
             self.body += data
-        if len(self.body) > MOST_BODY:
-            self._reply(BadCall(413, f"a body has {MOST_BODY} bytes at most").reply)
+        if len(self.body) > MAX_BODY_BYTES:
+            self._reply(BadCall(413, f"a body has {MAX_BODY_BYTES} bytes at most").reply)
 
     def on_message_complete(self) -> None:
+        """Parser callback: the call is complete, so it is answered."""
         path = self.url.partition(b"?")[0].decode("ascii", "replace")
         if not self.answered:
             method = self.parser.get_method().decode()
-            reply = self.door.answer(method, path, bytes(self.body))
-            if 400 <= reply.status < 500:  # a caller who speaks otherwise than this program
-                self.door.log(
+            reply = self.server.answer(method, path, bytes(self.body))
+            if 400 <= reply.status < 500:  # the client does not follow the documented calls
+                self.server.log(
                     "ops_call_refused",
-                    call=f"{method} {path[:MOST_SHOWN]}",
+                    call=f"{method} {path[:MAX_LOGGED]}",
                     status=reply.status,
-                    body=repr(bytes(self.body[:MOST_SHOWN])),
+                    body=repr(bytes(self.body[:MAX_LOGGED])),
                 )
             self._reply(reply)
 
@@ -75,7 +79,7 @@
         if self.answered:
             return
         self.answered = True
-        self.until = self.loop.clock.now() + LEAVE_NS
+        self.deadline_ns = self.loop.clock.now() + CLOSE_TIMEOUT_NS
         allow = f"Allow: {reply.allow}\r\n" if reply.allow else ""
         self.write(
             f"HTTP/1.1 {reply.status} {HTTPStatus(reply.status).phrase}\r\n"
@@ -85,38 +89,45 @@
         )
 
     def drained(self) -> None:
-        """The answer is out. The caller closes: with bytes of its own unread, a close would take it back."""
+        """Shuts down the sending side once the reply has been written, and leaves the close to the client.
+
+        A close here while bytes from the client are unread would reset the connection and lose the reply.
+        """
         if self.answered and self.open:
             try:
                 self.sock.shutdown(socket.SHUT_WR)
-            except OSError:  # it has closed already
+            except OSError:  # the client has already closed the connection
                 pass
 
     def closed(self, why: str) -> None:
-        self.door.left(self)
+        """Called once when the connection has ended."""
+        self.server.connection_ended(self)
 
 
 class Door:
-    """Listens at `address` for operators' calls, each answered in the turn of the loop that reads it."""
+    """Listens at `address` for operators' calls; each is answered in the loop turn that completes it."""
 
-    def __init__(self, loop: Loop, address: Address, desk: Desk, log: Callable[..., None]) -> None:
-        self.loop, self.log, self._desk = loop, log, desk
-        self.callers: dict[Caller, None] = {}  # the oldest first
+    def __init__(
+        self, loop: Loop, address: Address, handlers: OperatorHandlers, log: Callable[..., None]
+    ) -> None:
+        self.loop, self.log, self._handlers = loop, log, handlers
+        self.connections: dict[OperatorConnection, None] = {}  # an ordered set, oldest first
         self._sock = listen(address)
         self.port: int = self._sock.getsockname()[1]
         self._closed = False
         loop.watch(self._sock, READ, self._accept)
-        loop.after(SWEEP_NS, self._sweep)
+        loop.after(SWEEP_INTERVAL_NS, self._sweep)
 
     def answer(self, method: str, path: str, body: bytes) -> Reply:
+        """Returns the reply to a complete call, or a 500 if a handler raises."""
         try:
-            return answer(self._desk, method, path, body)
-        except Exception as error:  # a fault in a figure must not take the gateway down
+            return answer(self._handlers, method, path, body)
+        except Exception as error:  # an error in a handler must not stop the gateway
             self.log("ops_fault", path=path, error=repr(error))
             return BadCall(500, "a fault, see the log").reply
 
     def _accept(self, mask: int) -> None:
-        for _ in range(MOST_CALLERS):
+        for _ in range(MAX_CONNECTIONS):
             try:
                 sock, _ = self._sock.accept()
             except (BlockingIOError, InterruptedError):
@@ -125,26 +136,28 @@
                 self.log("accept_failed", why=str(error))
                 return
             sock.setblocking(False)
-            if len(self.callers) >= MOST_CALLERS:
-                next(iter(self.callers)).close("room for another")
-            caller = Caller(self, sock)
-            self.callers[caller] = None
-            caller.read()  # a call comes with its connection: it must not wait behind the next ones
+            if len(self.connections) >= MAX_CONNECTIONS:
+                next(iter(self.connections)).close("room for another")
+            connection = OperatorConnection(self, sock)
+            self.connections[connection] = None
+            connection.read()  # the call usually arrives with the connection, so it need not wait for others
 
-    def left(self, caller: Caller) -> None:
-        self.callers.pop(caller, None)
+    def connection_ended(self, connection: OperatorConnection) -> None:
+        """Removes a connection that has ended."""
+        self.connections.pop(connection, None)
 
     def _sweep(self) -> None:
         if self._closed:
             return
         now = self.loop.clock.now()
-        for caller in [c for c in self.callers if now > c.until]:
-            caller.close("too slow")
-        self.loop.after(SWEEP_NS, self._sweep)
+        for connection in [connection for connection in self.connections if now > connection.deadline_ns]:
+            connection.close("too slow")
+        self.loop.after(SWEEP_INTERVAL_NS, self._sweep)
 
     def close(self) -> None:
+        """Stops listening and closes every connection."""
         self._closed = True
         self.loop.forget(self._sock)
         self._sock.close()
-        for caller in list(self.callers):
-            caller.close("end")
+        for connection in list(self.connections):
+            connection.close("end")
--- a/olivecourse/ops/handover.py
+++ b/olivecourse/ops/handover.py
@@ -1,4 +1,4 @@
-"""The Unix socket over which one process of a gateway hands its clients to the next."""
+"""The Unix socket over which a gateway's process transfers its client connections to its successor."""
 
 from __future__ import annotations
 
@@ -15,80 +15,90 @@
 
 from olivecourse.net.loop import READ, WRITE, Loop
 from olivecourse.net.stream import listen_unix
-from olivecourse.ops.handwire import MOST, VERSION, BadMessage, Decoder, Kind, Message
+from olivecourse.ops.handwire import MAX_MESSAGE_BYTES, VERSION, BadMessage, Decoder, Kind, Message
 
-MOST_LINKS = 4
-MOST_QUEUED = MOST + 8 * 2**20  # bytes that the other side has not taken; it is cut off beyond
-READS = 16
-CHUNK = 262_144
-FDS = 16  # descriptors in one read, at the most
-ASK_S = 0.5  # a newcomer waits so long for the answer; a turn of a loaded loop takes a tenth of it
-MOST_WAITING = 64  # descriptors that came and whose messages have not
+MAX_LINKS = 4
+MAX_QUEUED_BYTES = MAX_MESSAGE_BYTES + 8 * 2**20  # bytes; a link with more unread is closed
+MAX_READS_PER_TURN = 16
+READ_BYTES = 262_144
+MAX_FDS_PER_READ = 16  # most descriptors received in one read
+ANSWER_TIMEOUT_S = 0.5  # a starting process waits this long; one turn of a loaded loop takes a tenth of it
+MAX_PENDING_FDS = 64  # descriptors received before the messages that they belong to
 
 
-class Side(Protocol):
-    """The gateway, as a link sees it."""
+class LinkHandler(Protocol):
+    """Receives the messages and the end of a link."""
 
-    def heard(self, link: Link, message: Message, sock: socket.socket | None) -> None: ...
+    def message_received(self, link: Link, message: Message, sock: socket.socket | None) -> None:
+        """Handles one message, and the socket that came with it, if any."""
+        ...
 
-    def parted(self, link: Link) -> None:
-        """The other process has ended or spoken nonsense."""
+    def link_closed(self, link: Link) -> None:
+        """Called once when the link has closed: the peer has ended or has sent an invalid message."""
         ...
 
 
 class Link:
-    """One connection between two processes; messages in order, some with a descriptor."""
+    """A connection between two processes that carries messages in order, some with a file descriptor."""
 
-    def __init__(self, loop: Loop, sock: socket.socket, side: Side, log: Callable[..., None]) -> None:
+    def __init__(
+        self, loop: Loop, sock: socket.socket, handler: LinkHandler, log: Callable[..., None]
+    ) -> None:
         self.loop, self.sock, self.log = loop, sock, log
-        self._side = side
+        self._handler = handler
         self.open = True
         self._decoder = Decoder()
-        self._came: deque[int] = deque()  # descriptors whose messages are still to come
-        self._queue: deque[tuple[memoryview, int]] = deque()  # bytes, and a descriptor of ours or -1
-        self._queued = 0
+        self._pending_fds: deque[int] = (
+            deque()
+        )  # received descriptors whose messages have not been decoded yet
+        self._send_queue: deque[tuple[memoryview, int]] = deque()  # bytes, and a descriptor or -1
+        self._queued_bytes = 0
         self._mask = READ
         sock.setblocking(False)
         loop.watch(sock, READ, self._ready)
 
     def send(self, message: Message, fd: int = -1) -> None:
-        """Queues a message, and a descriptor that is the link's from here on: closed once it has left."""
+        """Queues a message; takes ownership of `fd`, which is closed once it has been sent."""
         if not self.open:
             if fd >= 0:
                 os.close(fd)
             return
         data = message.encode()
-        self._queued += len(data)
-        self._queue.append((memoryview(data), fd))
-        if self._queued > MOST_QUEUED:
+        self._queued_bytes += len(data)
+        self._send_queue.append((memoryview(data), fd))
+        if self._queued_bytes > MAX_QUEUED_BYTES:
             self.close("the other side does not read")
         else:
             self._flush()
 
     @property
     def flushed(self) -> bool:
-        return not self._queue
+        """Whether every queued message has been written to the socket."""
+        return not self._send_queue
 
     def _flush(self) -> None:
         try:
-            while self._queue:
-                data, fd = self._queue[0]
-                rights = [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", [fd]))] if fd >= 0 else []
-                sent = self.sock.sendmsg([data], rights)
+            while self._send_queue:
+                data, fd = self._send_queue[0]
+                ancillary = (
+                    [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", [fd]))] if fd >= 0 else []
+                )
+                sent = self.sock.sendmsg([data], ancillary)
                 if fd >= 0:
                     os.close(fd)
-                self._queued -= sent
+                self._queued_bytes -= sent
                 if sent == len(data):
-                    self._queue.popleft()
+                    self._send_queue.popleft()
                 else:
-                    self._queue[0] = (data[sent:], -1)
+                    self._send_queue[0] = (data[sent:], -1)
         except (BlockingIOError, InterruptedError):
             pass
         except OSError as error:
-            if error.errno != errno.ETOOMANYREFS:  # too many descriptors on their way: they wait
+            # With ETOOMANYREFS the kernel has too many descriptors in flight; the rest is sent later.
+            if error.errno != errno.ETOOMANYREFS:
                 self.close(errno.errorcode.get(error.errno or 0, "error"))
                 return
-        mask = READ | (WRITE if self._queue else 0)
+        mask = READ | (WRITE if self._send_queue else 0)
         if mask != self._mask:
             self._mask = mask
             self.loop.change(self.sock, mask, self._ready)
@@ -100,54 +110,56 @@
             self.read()
 
     def read(self) -> None:
-        for _ in range(READS):
+        """Reads and dispatches what has arrived, up to a bounded number of reads."""
+        for _ in range(MAX_READS_PER_TURN):
             try:
-                data, fds, flags, _ = socket.recv_fds(self.sock, CHUNK, FDS)
+                data, fds, flags, _ = socket.recv_fds(self.sock, READ_BYTES, MAX_FDS_PER_READ)
             except (BlockingIOError, InterruptedError):
                 return
             except OSError as error:
                 self.close(errno.errorcode.get(error.errno or 0, "error"))
                 return
-            self._came.extend(fds)
-            if not data or flags & socket.MSG_CTRUNC or len(self._came) > MOST_WAITING:
+            self._pending_fds.extend(fds)
+            if not data or flags & socket.MSG_CTRUNC or len(self._pending_fds) > MAX_PENDING_FDS:
                 self.close("descriptors were lost" if data else "the other side has ended")
                 return
             try:
                 for message in self._decoder.feed(data):
-                    if self.open:  # what was heard may have ended it
-                        self._hear(message)
+                    if self.open:  # handling an earlier message may have closed the link
+                        self._dispatch(message)
             except BadMessage as bad:
                 self.close(str(bad))
             if not self.open:
                 return
 
-    def _hear(self, message: Message) -> None:
+    def _dispatch(self, message: Message) -> None:
         sock = None
         if message.with_socket:
-            if not self._came:
+            if not self._pending_fds:
                 raise BadMessage(f"{message.kind.name} without its descriptor")
-            sock = _socket(self._came.popleft())
+            sock = _socket_from_fd(self._pending_fds.popleft())
         if message.kind is not Kind.UNKNOWN:
-            self._side.heard(self, message, sock)
+            self._handler.message_received(self, message, sock)
         elif sock is not None:
             sock.close()
 
     def close(self, why: str) -> None:
+        """Closes the link and all descriptors that it still owns; logs the reason."""
         if not self.open:
             return
         self.open = False
         self.log("handover_link_ended", why=why)
         self.loop.forget(self.sock)
         self.sock.close()
-        for fd in [*self._came, *(fd for _, fd in self._queue if fd >= 0)]:
+        for fd in [*self._pending_fds, *(fd for _, fd in self._send_queue if fd >= 0)]:
             os.close(fd)
-        self._came.clear()
-        self._queue.clear()
-        self._side.parted(self)
+        self._pending_fds.clear()
+        self._send_queue.clear()
+        self._handler.link_closed(self)
 
 
-def _socket(fd: int) -> socket.socket:
-    """The socket behind a descriptor that came; raises BadMessage for any other file, which is closed."""
+def _socket_from_fd(fd: int) -> socket.socket:
+    """Returns the socket of a received descriptor; closes any other file and raises BadMessage."""
     try:
         return socket.socket(fileno=fd)
     except OSError:
@@ -155,21 +167,24 @@
         raise BadMessage("a descriptor that is no socket") from None
 
 
-def _within(path: Path) -> tuple[int, str]:
-    """A name for a Unix socket, whose path may be longer than the 107 bytes that an address has."""
+def _short_path(path: Path) -> tuple[int, str]:
+    """Returns a directory descriptor to close after use, and a short path through it for a Unix socket.
+
+    The real path may exceed the 107 bytes that a Unix socket address can hold.
+    """
     folder = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     return folder, f"/proc/self/fd/{folder}/{path.name}"
 
 
-class Landing:
-    """Where a newcomer asks this process for what it holds."""
+class HandoverListener:
+    """The listening socket on which a newly started process asks this one for a hand-over."""
 
-    def __init__(self, loop: Loop, path: Path, side: Side, log: Callable[..., None]) -> None:
-        self._loop, self._side, self._log = loop, side, log
+    def __init__(self, loop: Loop, path: Path, handler: LinkHandler, log: Callable[..., None]) -> None:
+        self._loop, self._handler, self._log = loop, handler, log
         self._links: list[Link] = []
-        folder, name = _within(path)
+        folder, name = _short_path(path)
         try:
-            self._sock = listen_unix(name, MOST_LINKS)
+            self._sock = listen_unix(name, MAX_LINKS)
         finally:
             os.close(folder)
         loop.watch(self._sock, READ, self._accept)
@@ -179,53 +194,56 @@
             sock, _ = self._sock.accept()
         except OSError:
             return
-        if len(self.links) >= MOST_LINKS:
+        if len(self.links) >= MAX_LINKS:
             sock.close()
             return
-        link = Link(self._loop, sock, self._side, self._log)
+        link = Link(self._loop, sock, self._handler, self._log)
         self._links.append(link)
         link.read()
 
     @property
     def links(self) -> list[Link]:
-        """To those who asked and live, the oldest first."""
+        """The open links to processes that have connected, oldest first."""
         self._links = [link for link in self._links if link.open]
         return self._links
 
     def close(self) -> None:
+        """Stops listening; open links stay open."""
         self._loop.forget(self._sock)
         self._sock.close()
 
 
-def ask(path: Path) -> tuple[socket.socket, socket.socket | None, bytes]:
-    """At a start: connects to the process before; its listening socket if it shares one, and what it learned.
+def request_handover(path: Path) -> tuple[socket.socket, socket.socket | None, bytes]:
+    """Connects to the predecessor at the start of this process and blocks for its reply.
 
-    Raises OSError or BadMessage where it does not answer within ASK_S: the start goes on alone.
+    Returns the connected socket, the predecessor's listening socket if it shares one, and its encoded learned
+    state. Raises OSError or BadMessage if there is no valid reply within ANSWER_TIMEOUT_S; the process then
+    starts without a hand-over.
     """
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
-    listener, decoder, until = None, Decoder(), time.monotonic() + ASK_S
-    came: deque[int] = deque()
-    folder, name = _within(path)
+    listener, decoder, deadline_s = None, Decoder(), time.monotonic() + ANSWER_TIMEOUT_S
+    pending_fds: deque[int] = deque()
+    folder, name = _short_path(path)
     try:
-        sock.settimeout(ASK_S)
+        sock.settimeout(ANSWER_TIMEOUT_S)
         sock.connect(name)
         sock.sendall(Message(Kind.HELLO, {"v": VERSION}).encode())
         while True:
-            left = until - time.monotonic()
-            if left <= 0 or not select.select([sock], [], [], left)[0]:
+            remaining_s = deadline_s - time.monotonic()
+            if remaining_s <= 0 or not select.select([sock], [], [], remaining_s)[0]:
                 raise TimeoutError("no answer in time")
-            data, fds, flags, _ = socket.recv_fds(sock, CHUNK, FDS)
-            came.extend(fds)
+            data, fds, flags, _ = socket.recv_fds(sock, READ_BYTES, MAX_FDS_PER_READ)
+            pending_fds.extend(fds)
             if not data or flags & socket.MSG_CTRUNC:
                 raise OSError(0, "it ended" if data == b"" else "descriptors were lost")
             for message in decoder.feed(data):
-                if message.kind is Kind.LISTENER and came:
-                    listener = _socket(came.popleft())
+                if message.kind is Kind.LISTENER and pending_fds:
+                    listener = _socket_from_fd(pending_fds.popleft())
                 elif message.kind is Kind.LEARNED:
                     return sock, listener, message.raw
     except BaseException:
         sock.close()
-        for fd in came:
+        for fd in pending_fds:
             os.close(fd)
         if listener is not None:
             listener.close()
--- a/olivecourse/ops/learned.py
+++ b/olivecourse/ops/learned.py
@@ -1,6 +1,7 @@
-"""What a Router has learned, for the process that follows at once: memory's lessons as JSON, not aged.
+"""The learned state of a Router as JSON, passed to the successor process in a hot restart.
 
-The lessons and how a fresh Router takes them up are those of `olivecourse.memory`, without its files.
+The records, and how a new Router restores them, are those of `olivecourse.memory`, but without its files. The
+state is not aged, because the successor takes over at once.
 """
 
 from __future__ import annotations
@@ -15,25 +16,32 @@
 from olivecourse.memory.lessons import Snapshot, Stamp
 from olivecourse.memory.uptake import Uptake
 
-MOST = 2**20  # bytes
-POLICY = Policy(DEFAULTS)
+MAX_STATE_BYTES = 2**20  # bytes
+AGEING_POLICY = Policy(DEFAULTS)
 
 
-def pack(router: Router, watcher: Watcher, name: str, now: int, unix_ns: int) -> bytes:
-    """All of it in one go: some 60 stores and a few hundred hot objects, a few milliseconds."""
+def encode_state(router: Router, watcher: Watcher, name: str, now: int, unix_ns: int) -> bytes:
+    """Encodes the whole state in one call.
+
+    About 60 stores and a few hundred hot objects take a few milliseconds.
+    """
     snapshot = Snapshot(name, Stamp(unix_ns), router.density)
     for lessons in collect(router, watcher, now):
         snapshot.file(lessons)
-    snapshot.intervals = [replace(i, t=min(i.t, 1e300)) for i in snapshot.intervals]  # JSON has no infinity
+    # JSON can't represent infinity.
+    snapshot.intervals = [replace(interval, t=min(interval.t, 1e300)) for interval in snapshot.intervals]
     return msgspec.json.encode(snapshot)
 
 
-def adopt(router: Router, data: bytes, now: int, unix_ns: int) -> Uptake:
-    """Before the Router's first event. Raises ValueError, and then nothing has been taken."""
-    if len(data) > MOST:
+def restore_state(router: Router, data: bytes, now: int, unix_ns: int) -> Uptake:
+    """Restores the state into a Router that has had no event yet.
+
+    Raises ValueError, and then leaves the Router unchanged.
+    """
+    if len(data) > MAX_STATE_BYTES:
         raise ValueError(f"{len(data)} bytes")
-    snapshot = msgspec.json.decode(data, type=Snapshot)  # a ValidationError is a ValueError
-    gone = max(unix_ns - snapshot.stamp.unix_ns, 0)
-    uptake = Uptake(snapshot, Elapsed(gone, True), now, POLICY)
+    snapshot = msgspec.json.decode(data, type=Snapshot)  # raises ValidationError, a ValueError
+    elapsed_ns = max(unix_ns - snapshot.stamp.unix_ns, 0)
+    uptake = Uptake(snapshot, Elapsed(elapsed_ns, True), now, AGEING_POLICY)
     uptake.begin(router, now)
     return uptake
--- a/olivecourse/ops/standing.py
+++ b/olivecourse/ops/standing.py
@@ -1,8 +1,9 @@
-"""Where a process stands among those of its gateway, and which clients changed hands. State without I/O.
+"""The processes of a hot restart and the client connections transferred between them. State without I/O.
 
-A process has at most one elder (it ran when this one started) and some heirs (they started later). What
-follows: whether limits are shared, to whom clients go at the end, when the elder is told of the yes, and when
-the files of the dead may be cleared. The links themselves are keys here, nothing more.
+A process has at most one predecessor, which ran when it started, and any number of successors, which started
+later. From these follow whether limits are shared, which successor gets the client connections at the end,
+when the predecessor is notified that this process is ready, and when the files of dead processes may be
+removed. Links are used only as keys.
 """
 
 from __future__ import annotations
@@ -11,115 +12,128 @@
 from typing import Generic, Protocol, TypeVar
 
 
-class Owing(Protocol):
-    """A client, as far as answers that are still to come are concerned."""
+class PendingClient(Protocol):
+    """A client connection that may still be owed answers."""
 
     def load(self) -> int:
-        """Requests that are owed an answer on its connection."""
+        """Returns the number of unanswered requests on the connection."""
         ...
 
 
 L = TypeVar("L", bound=Hashable)
-C = TypeVar("C", bound=Owing)
+C = TypeVar("C", bound=PendingClient)
 
 
-class Standing(Generic[L]):
+class ProcessLineage(Generic[L]):
+    """The predecessor and successors of this process, and whether its record on disk is current."""
+
     def __init__(self) -> None:
-        self.elder: L | None = None
-        self._heirs: dict[L, bool] = {}  # whether each has said that it serves, the oldest first
-        self._told = False  # the elder knows that we serve
-        self._unwritten = True  # our record is behind what we know; at a start there is none
-
-    def inherits(self, elder: L) -> None:
-        """The elder has answered this process at its start."""
-        self.elder = elder
-
-    def asked(self, heir: L) -> None:
-        """A newcomer asked for what is held here."""
-        self._heirs.setdefault(heir, False)
-
-    def serves(self, heir: L) -> None:
-        """A newcomer has said yes; it counts only once it has asked."""
-        if heir in self._heirs:
-            self._heirs[heir] = True
-
-    def parted(self, link: L) -> None:
-        """That process has ended, or spoke nonsense."""
-        self._heirs.pop(link, None)
-        if link == self.elder:
-            self.elder = None
+        self.predecessor: L | None = None
+        self._successors: dict[L, bool] = {}  # whether each has reported that it is ready, oldest first
+        self._notified = False  # whether the predecessor knows that this process is ready
+        self._needs_flush = True  # whether the record on disk lacks a change; at the start there is none
+
+    def add_predecessor(self, predecessor: L) -> None:
+        """Records the predecessor, which has answered this process at its start."""
+        self.predecessor = predecessor
+
+    def add_successor(self, successor: L) -> None:
+        """Records a successor, which has asked for a hand-over."""
+        self._successors.setdefault(successor, False)
+
+    def successor_ready(self, successor: L) -> None:
+        """Marks a successor as ready; has no effect for a process that has not asked for a hand-over."""
+        if successor in self._successors:
+            self._successors[successor] = True
+
+    def link_closed(self, link: L) -> None:
+        """Removes the process of a closed link."""
+        self._successors.pop(link, None)
+        if link == self.predecessor:
+            self.predecessor = None
 
     @property
-    def shared(self) -> bool:
-        """Whether another process lives, with which all limits are divided."""
-        return self.elder is not None or bool(self._heirs)
+    def limits_shared(self) -> bool:
+        """Whether another process of this gateway is alive, with which all limits are shared."""
+        return self.predecessor is not None or bool(self._successors)
 
-    def heir(self) -> L | None:
-        """Who gets the clients: the youngest that serves."""
-        return next((link for link in reversed(self._heirs) if self._heirs[link]), None)
+    def successor(self) -> L | None:
+        """Returns the successor that gets the client connections: the youngest that is ready."""
+        return next((link for link in reversed(self._successors) if self._successors[link]), None)
 
-    def yes_said(self) -> L | None:
-        """This process has said yes: the elder, if it is now to be told. Once only."""
-        tell, self._told = (None if self._told else self.elder), True
-        return tell
+    def take_ready_notification(self) -> L | None:
+        """Returns the predecessor to notify that this process is ready, on the first call only."""
+        to_notify, self._notified = (
+            (None if self._notified else self.predecessor),
+            True,
+        )
+        return to_notify
 
-    # The record --------------------------------------------------------------------------------------
+    # The record ---------------------------------------------------------------------------------------
 
-    def learned(self) -> None:
-        """A ban was said or heard: the record has to follow."""
-        self._unwritten = True
+    def drains_changed(self) -> None:
+        """Notes that a manual drain has changed, so that the record has to be written again."""
+        self._needs_flush = True
 
-    def wrote(self, whole: bool) -> None:
-        """A try to write the record, and whether it is there."""
-        self._unwritten = not whole
+    def record_written(self, whole: bool) -> None:
+        """Notes an attempt to write the record, and whether it succeeded."""
+        self._needs_flush = not whole
 
     @property
-    def must_write(self) -> bool:
-        return self._unwritten
+    def needs_flush(self) -> bool:
+        """Whether the record on disk lacks a change."""
+        return self._needs_flush
 
     @property
-    def may_clear(self) -> bool:
-        """Whether what the dead said is safe with us; before, their files hold the only copy."""
-        return not self._unwritten
+    def may_remove_files(self) -> bool:
+        """Whether the files of dead processes may be removed.
+
+        Until this process's record has been written, they hold the only copy of their drain records.
+        """
+        return not self._needs_flush
 
 
-class Passages(Generic[L, C]):
-    """Clients that went to another process, and those that came, by their numbers on each link."""
+class TransferredConnections(Generic[L, C]):
+    """Client connections sent to and received from other processes, by link and connection number."""
 
     def __init__(self) -> None:
         self._last = 0
-        self._went: dict[L, dict[int, C]] = {}
-        self._came: dict[L, dict[int, C]] = {}
+        self._sent: dict[L, dict[int, C]] = {}
+        self._received: dict[L, dict[int, C]] = {}
 
-    def number(self) -> int:
-        """A new one for a client that is about to go."""
+    def next_number(self) -> int:
+        """Returns a new connection number for a client that is about to be sent."""
         self._last += 1
         return self._last
 
-    def went(self, link: L, conn: int, client: C) -> None:
-        self._went.setdefault(link, {})[conn] = client
+    def add_sent(self, link: L, conn: int, client: C) -> None:
+        """Records a client that was sent over `link`."""
+        self._sent.setdefault(link, {})[conn] = client
+
+    def add_received(self, link: L, conn: int, client: C) -> None:
+        """Records a client that was received over `link`; a repeated number replaces the earlier client."""
+        self._received.setdefault(link, {})[conn] = client
 
-    def came(self, link: L, conn: int, client: C) -> None:
-        """A number that comes twice replaces what it stood for: of one link, the later word counts."""
-        self._came.setdefault(link, {})[conn] = client
+    def sent(self, link: L, conn: int) -> C | None:
+        """Returns the client that was sent over `link` under this number, or None."""
+        return self._sent.get(link, {}).get(conn)
 
-    def gone(self, link: L, conn: int) -> C | None:
-        """The client that went over a link under this number."""
-        return self._went.get(link, {}).get(conn)
+    def received(self, link: L, conn: int) -> C | None:
+        """Returns the client that was received over `link` under this number, or None."""
+        return self._received.get(link, {}).get(conn)
 
-    def taken(self, link: L, conn: int) -> C | None:
-        """The client that came over a link under this number."""
-        return self._came.get(link, {}).get(conn)
+    def sent_count(self, link: L) -> int:
+        """Returns how many clients were sent over `link`."""
+        return len(self._sent.get(link, ()))
 
-    def count(self, link: L) -> int:
-        """Clients that went over a link."""
-        return len(self._went.get(link, ()))
+    def has_unanswered(self) -> bool:
+        """Whether any sent client still waits for an answer that this process has to give or to relay."""
+        return any(client.load() for clients in self._sent.values() for client in clients.values())
 
-    def owed(self) -> bool:
-        """Whether a client that went away still waits for an answer of this process, its own or relayed."""
-        return any(client.load() for clients in self._went.values() for client in clients.values())
+    def link_closed(self, link: L) -> tuple[Iterator[C], Iterator[C]]:
+        """Forgets the clients of a closed link and returns them: those sent over it, those received over it.
 
-    def parted(self, link: L) -> tuple[Iterator[C], Iterator[C]]:
-        """A link has ended: clients that went over it, whose requests nobody waits for any more, and clients
-        that came over it, whose open numbers nobody answers any more. Both are forgotten."""
-        return iter(self._went.pop(link, {}).values()), iter(self._came.pop(link, {}).values())
+        Nobody waits any longer for the requests of the former, and nobody answers the open requests of the
+        latter.
+        """
+        return iter(self._sent.pop(link, {}).values()), iter(self._received.pop(link, {}).values())
--- a/olivecourse/ops/succession.py
+++ b/olivecourse/ops/succession.py
@@ -1,6 +1,7 @@
-"""One gateway's processes in an upgrade: who lives, what they have said of stores, whose clients go where.
+"""Hot restart of a gateway: finds other processes, shares manual drains, transfers client connections.
 
-Ties `standing`, `presence`, `handover` and a front together; the whole is told in `docs/design/daily.md`, D.
+Connects `standing`, `presence`, `handover` and a front. `docs/design/daily.md`, section D, describes the
+whole procedure.
 """
 
 from __future__ import annotations
@@ -16,161 +17,180 @@
 from olivecourse.fronts.thrift import ThriftClient, ThriftFront
 from olivecourse.memory.collect import Watcher
 from olivecourse.net.loop import Loop
-from olivecourse.ops.handover import Landing, Link, ask
+from olivecourse.ops.handover import HandoverListener, Link, request_handover
 from olivecourse.ops.handwire import BadMessage, Kind, Message
-from olivecourse.ops.learned import adopt, pack
-from olivecourse.ops.presence import NoFolder, Presence, Words
-from olivecourse.ops.standing import Passages, Standing
+from olivecourse.ops.learned import encode_state, restore_state
+from olivecourse.ops.presence import DrainRecords, FolderUnusable, ProcessRecord
+from olivecourse.ops.standing import ProcessLineage, TransferredConnections
 
 MS = 1_000_000
-LOOK_NS = 100 * MS  # between two looks at the others' records: a ban said there binds here well within 1 s
-WATCH = 10  # looks between two at the Router's counting intervals
+SCAN_INTERVAL_NS = 100 * MS  # of the other processes' records: a drain set there applies here within 1 s
+SCANS_PER_INTERVAL_CHECK = 10  # scans between two checks of the Router's counting intervals
 
 
-class Desk(Protocol):
-    """Where bans are kept."""
+class DrainHolder(Protocol):
+    """The holder of the manual drains."""
 
-    def hear(self, words: Words) -> None: ...
+    def merge_drains(self, records: DrainRecords) -> None:
+        """Merges drain records of another process."""
+        ...
 
-    def said(self) -> Words: ...
+    def drain_records(self) -> DrainRecords:
+        """Returns the newest drain record of each id."""
+        ...
 
 
-class Way:
-    """One client's connection, as the other process knows it."""
+class RemoteConnection:
+    """The other process's side of one transferred client connection."""
 
     def __init__(self, link: Link, conn: int) -> None:
         self._link, self._conn = link, conn
 
     def answer(self, number: int, frame: bytes) -> None:
+        """Sends the answer to request `number`, for the process that holds the connection to write."""
         self._link.send(Message(Kind.ANSWER, {"conn": self._conn, "number": number}, frame))
 
     def forget(self, number: int) -> None:
+        """Reports that the client no longer waits for request `number`."""
         self._link.send(Message(Kind.FORGET, {"conn": self._conn, "number": number}))
 
     def gone(self) -> None:
+        """Reports that the client has disconnected."""
         self._link.send(Message(Kind.GONE, {"conn": self._conn}))
 
 
-class Succession:
-    """Raises NoFolder where `$TMPDIR` can't be used."""
+class HotRestart:
+    """One process's part in hot restarts; the constructor raises FolderUnusable if `$TMPDIR` is unusable."""
 
     def __init__(
         self,
         loop: Loop,
         folder: str,
         name: str,
-        desk: Desk,
-        shared: Callable[[bool], None],
+        drains: DrainHolder,
+        on_limits_shared: Callable[[bool], None],
         log: Callable[..., None],
     ) -> None:
-        """`shared` is told whether another process lives, with which all limits are divided."""
-        self._loop, self._name, self._desk, self._shared, self._log = loop, name, desk, shared, log
-        self._presence = Presence(folder, name, log)
+        """`shared` is called with whether another process is alive, with which all limits are shared."""
+        self._loop, self._name, self._drains, self._on_limits_shared, self._log = (
+            loop,
+            name,
+            drains,
+            on_limits_shared,
+            log,
+        )
+        self._process_record = ProcessRecord(folder, name, log)
         self._front: Listener | None = None
         self._router: Router | None = None
         self._watcher = Watcher()
-        self._learned = b""
-        self._landing: Landing | None = None
-        self._standing = Standing[Link]()
-        self._passages = Passages[Link, ThriftClient]()
-        self._looks = 0
+        self._warm_state = b""
+        self._handover_listener: HandoverListener | None = None
+        self._lineage = ProcessLineage[Link]()
+        self._transferred = TransferredConnections[Link, ThriftClient]()
+        self._scan_count = 0
         self._stopped = False
-        living = self._look()
+        living = self._scan_processes()
         self.listener: socket.socket | None = None
         if living:
-            self._ask(living[-1])
+            self._contact_predecessor(living[-1])
 
-    # The start ---------------------------------------------------------------------------------------
+    # The start ----------------------------------------------------------------------------------------
 
-    def _ask(self, token: str) -> None:
+    def _contact_predecessor(self, token: str) -> None:
         try:
-            sock, self.listener, self._learned = ask(self._presence.path("sock", token))
+            sock, self.listener, self._warm_state = request_handover(self._process_record.path("sock", token))
         except (OSError, BadMessage) as error:
             self._log("handover_unanswered", why=str(error))
             return
-        self._standing.inherits(Link(self._loop, sock, self, self._log))
+        self._lineage.add_predecessor(Link(self._loop, sock, self, self._log))
 
     def teach(self, router: Router) -> None:
-        """Before the Router's first event: what the process before has learned."""
+        """Restores the predecessor's learned state into `router`, which has had no event yet."""
         self._router = router
-        if not self._learned:
+        if not self._warm_state:
             return
         try:
-            uptake = adopt(router, self._learned, self._loop.clock.now(), time.time_ns())
+            uptake = restore_state(router, self._warm_state, self._loop.clock.now(), time.time_ns())
         except ValueError as error:
             self._log("handover_unusable", why=str(error))
         else:
             self._loop.after(0, lambda: uptake.settle(router))
-        self._learned = b""
+        self._warm_state = b""
 
     def start(self, front: Listener) -> None:
-        """The front listens: from now on a newcomer may ask."""
+        """Starts to accept hand-over requests from successors; `front` must be listening."""
         self._front = front
         try:
-            self._landing = Landing(self._loop, self._presence.path("sock"), self, self._log)
+            self._handover_listener = HandoverListener(
+                self._loop, self._process_record.path("sock"), self, self._log
+            )
         except OSError as error:
             self._log("presence_unusable", why=str(error))
-        if self._standing.shared:
-            self._shared(True)
-        self._loop.after(LOOK_NS, self._tick)
+        if self._lineage.limits_shared:
+            self._on_limits_shared(True)
+        self._loop.after(SCAN_INTERVAL_NS, self._tick)
 
     def serves(self) -> None:
-        """This process has said that it is ready: the one before may hand its clients over."""
-        elder = self._standing.yes_said()
-        if elder is not None:
-            elder.send(Message(Kind.READY))
+        """Notifies the predecessor that this process is ready to receive its client connections."""
+        predecessor = self._lineage.take_ready_notification()
+        if predecessor is not None:
+            predecessor.send(Message(Kind.READY))
 
-    # Bans --------------------------------------------------------------------------------------------
+    # Manual drains ------------------------------------------------------------------------------------
 
     def say(self) -> None:
-        """A ban was set or lifted here: written down, and the others are told to look."""
-        self._standing.learned()
-        self._record()
+        """Records a changed manual drain and asks the other processes to read the records again."""
+        self._lineage.drains_changed()
+        self._write_record()
         for link in self._links():
             link.send(Message(Kind.LOOK))
 
     def _links(self) -> list[Link]:
-        elder = self._standing.elder
-        return [*(() if elder is None else (elder,)), *(() if self._landing is None else self._landing.links)]
-
-    def _record(self) -> None:
-        if self._standing.must_write:
-            self._standing.wrote(self._presence.write(self._desk.said()))
-
-    def _look(self) -> list[str]:
-        living, words, dead = self._presence.look()
-        if words:
-            self._desk.hear(words)
-            self._standing.learned()
-        self._record()
-        if self._standing.may_clear:
-            self._presence.clear(dead)
+        predecessor = self._lineage.predecessor
+        return [
+            *(() if predecessor is None else (predecessor,)),
+            *(() if self._handover_listener is None else self._handover_listener.links),
+        ]
+
+    def _write_record(self) -> None:
+        if self._lineage.needs_flush:
+            self._lineage.record_written(self._process_record.write(self._drains.drain_records()))
+
+    def _scan_processes(self) -> list[str]:
+        living, records, dead = self._process_record.scan()
+        if records:
+            self._drains.merge_drains(records)
+            self._lineage.drains_changed()
+        self._write_record()
+        if self._lineage.may_remove_files:
+            self._process_record.remove_files(dead)
         return living
 
     def _tick(self) -> None:
         if self._stopped:
             return
-        self._look()
-        self._looks += 1
-        if self._router is not None and self._looks % WATCH == 0:
+        self._scan_processes()
+        self._scan_count += 1
+        if self._router is not None and self._scan_count % SCANS_PER_INTERVAL_CHECK == 0:
             self._watcher.look(self._router, self._loop.clock.now())
-        self._loop.after(LOOK_NS, self._tick)
+        self._loop.after(SCAN_INTERVAL_NS, self._tick)
 
-    # Handing over ------------------------------------------------------------------------------------
+    # Transfer of client connections -------------------------------------------------------------------
 
     def retire(self) -> bool:
-        """SIGTERM: hands every client to the newcomer that serves; False if there is none."""
-        for link in () if self._landing is None else self._landing.links:
-            link.read()  # its yes may have come in this very turn
-        heir, front = self._standing.heir(), self._front
-        if heir is None or not isinstance(front, ThriftFront):
+        """Transfers the client connections to the ready successor on SIGTERM; False if there is none."""
+        for link in () if self._handover_listener is None else self._handover_listener.links:
+            link.read()  # its READY may have arrived in this turn
+        successor, front = self._lineage.successor(), self._front
+        if successor is None or not isinstance(front, ThriftFront):
             return False
         front.no_more()
         for client in list(front.clients):
-            if not isinstance(client, ThriftClient) or client.lingers or not heir.open:  # those stay here
+            # Such a client stays with this process.
+            if not isinstance(client, ThriftClient) or client.lingers or not successor.open:
                 continue
-            conn = self._passages.number()
-            handed = client.hand_over(Way(heir, conn))
+            conn = self._transferred.next_number()
+            handed = client.hand_over(RemoteConnection(successor, conn))
             head = {
                 "conn": conn,
                 "last": handed.last,
@@ -178,57 +198,57 @@
                 "open": handed.open,
                 "in": len(handed.read),
             }
-            self._passages.went(heir, conn, client)
-            heir.send(
+            self._transferred.add_sent(successor, conn, client)
+            successor.send(
                 Message(Kind.CLIENT, head, handed.read + handed.unsent, with_socket=True),
                 client.sock.detach(),
             )
-        self._log("handed_over", clients=self._passages.count(heir))
+        self._log("handed_over", clients=self._transferred.sent_count(successor))
         return True
 
     def flushed(self) -> bool:
-        """Whether every answer for clients that went over a link has left, also what is only relayed."""
-        return not self._passages.owed() and all(link.flushed for link in self._links())
+        """Whether every answer for transferred clients, own or relayed, has been written to its link."""
+        return not self._transferred.has_unanswered() and all(link.flushed for link in self._links())
 
-    def heard(self, link: Link, message: Message, sock: socket.socket | None) -> None:
-        """A message of the other process; its form has been checked."""
+    def message_received(self, link: Link, message: Message, sock: socket.socket | None) -> None:
+        """Handles a message of another process; `Decoder` has checked its form."""
         if message.kind is Kind.HELLO:
-            self._greet(link)
+            self._answer_hello(link)
         elif message.kind is Kind.READY:
-            self._standing.serves(link)
+            self._lineage.successor_ready(link)
         elif message.kind is Kind.CLIENT and sock is not None:
-            self._adopt(link, message, sock)
+            self._adopt_client(link, message, sock)
         elif message.kind is Kind.ANSWER:
-            client = self._passages.taken(link, message.number("conn"))
+            client = self._transferred.received(link, message.number("conn"))
             if client is not None:
                 client.from_elder(message.number("number"), message.raw)
         elif message.kind in (Kind.FORGET, Kind.GONE):
-            client = self._passages.gone(link, message.number("conn"))
+            client = self._transferred.sent(link, message.number("conn"))
             if client is not None:
                 client.from_heir(message.number("number") if message.kind is Kind.FORGET else None)
         elif message.kind is Kind.LOOK:
-            self._look()
+            self._scan_processes()
         elif sock is not None:
             sock.close()
 
-    def _greet(self, link: Link) -> None:
+    def _answer_hello(self, link: Link) -> None:
         front = self._front
         if front is not None and isinstance(front, ThriftFront) and front.fileno() >= 0:
             try:
                 link.send(Message(Kind.LISTENER, with_socket=True), os.dup(front.fileno()))
-            except OSError as error:  # no descriptor left: the newcomer listens for itself
+            except OSError as error:  # out of descriptors: the successor opens its own listening socket
                 self._log("handover_unusable", why=str(error))
-        learned = (
+        warm_state = (
             b""
             if self._router is None
-            else pack(self._router, self._watcher, self._name, self._loop.clock.now(), time.time_ns())
+            else encode_state(self._router, self._watcher, self._name, self._loop.clock.now(), time.time_ns())
         )
-        link.send(Message(Kind.LEARNED, raw=learned))
-        self._log("upgrade_begins", learned_bytes=len(learned))
-        self._standing.asked(link)
-        self._shared(True)
+        link.send(Message(Kind.LEARNED, raw=warm_state))
+        self._log("upgrade_begins", learned_bytes=len(warm_state))
+        self._lineage.add_successor(link)
+        self._on_limits_shared(True)
 
-    def _adopt(self, link: Link, message: Message, sock: socket.socket) -> None:
+    def _adopt_client(self, link: Link, message: Message, sock: socket.socket) -> None:
         front, read, raw = self._front, message.number("in"), message.raw
         if not isinstance(front, ThriftFront) or self._stopped:
             sock.close()
@@ -238,41 +258,42 @@
             message.number("last"), message.number("taken"), message.head["open"], raw[:read], raw[read:]
         )
         sock.setblocking(False)
-        self._passages.came(link, conn, front.adopt(sock, handed, Way(link, conn)))
+        self._transferred.add_received(link, conn, front.adopt(sock, handed, RemoteConnection(link, conn)))
 
-    def parted(self, link: Link) -> None:
-        """The other process has ended: it owes nothing any more, and its share of the limits is free."""
-        went, came = self._passages.parted(link)
-        for client in went:
+    def link_closed(self, link: Link) -> None:
+        """Ends the transfers over a closed link and takes back the other process's share of the limits."""
+        sent, received = self._transferred.link_closed(link)
+        for client in sent:
             client.from_heir(None)
-        for client in came:
+        for client in received:
             client.elder_lost()
-        self._standing.parted(link)
+        self._lineage.link_closed(link)
         if not self._stopped:
-            self._shared(self._standing.shared)
+            self._on_limits_shared(self._lineage.limits_shared)
 
     def close(self) -> None:
+        """Closes all links and releases the files of this process."""
         self._stopped = True
         for link in self._links():
             link.close("this process ends")
-        if self._landing is not None:
-            self._landing.close()
-        self._presence.leave()
+        if self._handover_listener is not None:
+            self._handover_listener.close()
+        self._process_record.release()
 
 
 def open_succession(
     loop: Loop,
     folder: str | None,
     name: str,
-    desk: Desk,
-    shared: Callable[[bool], None],
+    drains: DrainHolder,
+    on_limits_shared: Callable[[bool], None],
     log: Callable[..., None],
-) -> Succession | None:
-    """None, and one line in the log, where `$TMPDIR` is not set or can't be used."""
+) -> HotRestart | None:
+    """Returns a HotRestart, or None, with a log line, if `$TMPDIR` is unset or can't be used."""
     try:
         if folder is None:
-            raise NoFolder("TMPDIR is not set")
-        return Succession(loop, os.path.abspath(folder), name, desk, shared, log)
-    except NoFolder as error:
+            raise FolderUnusable("TMPDIR is not set")
+        return HotRestart(loop, os.path.abspath(folder), name, drains, on_limits_shared, log)
+    except FolderUnusable as error:
         log("presence_unusable", why=str(error))
         return None
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -1,4 +1,4 @@
-"""The operators' door, its figures and stores out by hand, over loopback sockets and without a bench."""
+"""The admin server, its metrics and manual drains, over loopback sockets."""
 
 import json
 import re
@@ -12,13 +12,13 @@
 from hypothesis import strategies as st
 from stage import OBJECT, REQUEST, Stage, drain, member
 
-from olivecourse import interface as w
+from olivecourse import interface
 from olivecourse.core.descriptors import DOOR, split
 from olivecourse.core.ledger import Crowded, Duplicate, Ledger
 from olivecourse.fronts import codec
 from olivecourse.gateway import Gateway
-from olivecourse.ops.bans import Bans, Word
-from olivecourse.ops.door import MOST_CALLERS
+from olivecourse.ops.bans import DrainRecord, ManualDrains
+from olivecourse.ops.door import MAX_CONNECTIONS
 from olivecourse.parts import DoorPart
 
 GAUGES = {
@@ -39,7 +39,7 @@
 
 
 class Call:
-    """One call at the door; `reply` is its status and body once it is whole and the door has closed."""
+    """One call to the admin server; invoking it returns status, body and head, or None until complete."""
 
     def __init__(self, stage, head, body=b"", cut=0):
         self.stage = stage
@@ -83,7 +83,7 @@
     return f'app_transactions_total{{group="{group}",state="{state}"}}'
 
 
-def test_the_door_says_no_with_a_reason_to_all_that_is_no_call(stage):
+def test_the_admin_server_refuses_every_invalid_call_with_a_reason(stage):
     assert call(stage, "GET /ops/readiness") == (200, b'{"ready": true}\n')
     assert call(stage, "GET /ops/readiness", cut=3)[0] == 200
     good = b'{"id": "s-00000001"}'
@@ -110,22 +110,22 @@
     assert stage.gateway.directory.ready(1), "no call that got a no has changed anything"
 
 
-def test_calls_are_answered_beside_callers_who_hold_connections_and_say_little(stage):
+def test_calls_are_answered_while_silent_clients_hold_connections(stage):
     door = stage.gateway.part(DoorPart).doors[0]
     silent = [socket.create_connection(("127.0.0.1", door.port)) for _ in range(50)]
     for sock in silent[::2]:
         sock.sendall(b"GET /ops/readiness HTTP/1.1\r\nHo")
-    stage.until(lambda: len(stage.gateway.part(DoorPart).doors[0].callers) == MOST_CALLERS)
+    stage.until(lambda: len(stage.gateway.part(DoorPart).doors[0].connections) == MAX_CONNECTIONS)
     began = time.monotonic()
     assert call(stage, "GET /ops/readiness")[0] == 200
     assert time.monotonic() - began < 0.5
-    assert len(door.callers) <= MOST_CALLERS
-    stage.until(lambda: not door.callers)  # all are closed within seconds, whoever they are
+    assert len(door.connections) <= MAX_CONNECTIONS
+    stage.until(lambda: not door.connections)  # every silent connection is closed within seconds
     for sock in silent:
         sock.close()
 
 
-def test_figures_count_each_end_and_each_attempt_once(stage):
+def test_metrics_count_each_outcome_and_each_attempt_once(stage):
     start = figures(stage)
     assert {k: v for k, v in start.items() if k not in GAUGES} == {
         total(s, g): 0 for s in ("answered", "deferred", "errored") for g in ("fichiers", "commande")
@@ -139,7 +139,7 @@
     stage.until(lambda: client.answers())
     client.call(2, i="00" * 8)
     stage.until(stage.cache.line)
-    client.sock.close()  # abandoned: neither open nor ended
+    client.sock.close()  # an abandoned request counts neither as open nor as ended
     stage.until(lambda: not stage.gateway.ledger.open)
     orders = stage.client()
     orders.call(1, c="commande", i="11" * 8, d="150")
@@ -151,20 +151,20 @@
     assert ledger.taken == sum(map(sum, ledger.outcomes)) + ledger.left + ledger.open
 
 
-def test_an_attempt_counts_once_its_last_byte_is_out_and_not_before(stage):
+def test_an_attempt_counts_only_once_its_last_byte_has_been_written(stage):
     client = stage.client()
     client.call(1, c="commande", body=b"x" * 48_000)
     (conn,) = stage.until(lambda: stage.cache.poll() and stage.cache.conns)
     assert stage.gateway.pool.sends == 1
     stream = stage.gateway.pool._stores[1][0]
-    stream.outbox.write(b"y")  # as if the system had not taken all
+    stream.outbox.write(b"y")  # simulates a write that the system took only in part
     stream._partly = True
     assert stage.gateway.pool.sends == 1
     stream.flush()
     assert stage.gateway.pool.sends == 2
 
 
-def test_a_store_out_by_hand_gets_nothing_till_it_is_called_back_whatever_the_list_says(stage):
+def test_a_manually_drained_store_gets_nothing_until_it_is_restored_whatever_the_list_says(stage):
     assert down(stage, "s-0000000f") == 404
     assert down(stage, "s-00000001") == down(stage, "s-00000001") == 200
     assert figures(stage)["app_cluster_unhealthy"] == 1
@@ -210,16 +210,16 @@
     assert f"fetch {'77' * 8}" in stage.until(stage.cache.line)
 
 
-def test_a_store_restarted_while_it_was_out_comes_back_as_cold_as_it_is(stage):
+def test_a_store_restarted_while_drained_comes_back_as_a_cold_store(stage):
     assert down(stage, "s-00000001") == 200
-    told = int(time.time() * 1000)
+    up_since_ms = int(time.time() * 1000)
     stage.gateway.on_events(
         [
             {
                 "pool": {
                     "revision": 4,
                     "complete": False,
-                    "members": [member("s-00000001", stage.cache.address, up_since_ms=told)],
+                    "members": [member("s-00000001", stage.cache.address, up_since_ms=up_since_ms)],
                 }
             }
         ]
@@ -227,7 +227,7 @@
     assert down(stage, "s-00000001", "up") == 200
     stage.turn()
     node, began, number = stage.gateway.local.router.nodes[1], time.monotonic(), 0
-    assert abs(node.member.ready_at_ns - told * 1_000_000) < 50_000_000
+    assert abs(node.member.ready_at_ns - up_since_ms * 1_000_000) < 50_000_000
     node.credit = 0.0
     while not stage.cache.poll() and time.monotonic() - began < 5.0:
         number += 1
@@ -237,7 +237,7 @@
     assert stage.cache.data and number > 1, "within 5 s, and not before it can bear it"
 
 
-def test_a_parent_out_by_hand_is_no_source_for_what_waits_or_comes(stage):
+def test_a_manually_drained_parent_is_no_fill_source_for_waiting_or_new_requests(stage):
     client = stage.client()
     client.call(1)
     assert "fetch=s-00000008" in stage.until(stage.cache.line)
@@ -250,36 +250,38 @@
     assert "fetch=s-00000008" in stage.until(stage.cache.line)
 
 
-words = st.lists(st.tuples(st.sampled_from("abc"), st.builds(Word, st.integers(1, 9), st.booleans())))
+drain_records = st.lists(
+    st.tuples(st.sampled_from("abc"), st.builds(DrainRecord, st.integers(1, 9), st.booleans()))
+)
 
 
 @settings(max_examples=200, deadline=None)
-@given(words, st.randoms(use_true_random=False))
-def test_whoever_hears_the_same_words_agrees_in_whatever_order(said, chance):
-    one, two = Bans(lambda: 5), Bans(lambda: 5)
-    one.hear(said)
-    other = said + said[:2]
-    chance.shuffle(other)
-    for word in other:
-        two.hear([word])
-    assert one.out == two.out and one.words == two.words
-    one.say("a", "a" not in one.out)  # a call after all of these beats them, however their clocks ran
-    two.hear(one.words.items())
-    assert one.out == two.out
-
-
-def test_without_a_door_nothing_of_it_is_there():
+@given(drain_records, st.randoms(use_true_random=False))
+def test_processes_that_merge_the_same_drain_records_in_any_order_agree(records, chance):
+    one, two = ManualDrains(lambda: 5), ManualDrains(lambda: 5)
+    one.merge(records)
+    shuffled = records + records[:2]
+    chance.shuffle(shuffled)
+    for record in shuffled:
+        two.merge([record])
+    assert one.drained == two.drained and one.records == two.records
+    one.set_drained("a", "a" not in one.drained)  # a later call overrides all of these, whatever the clocks
+    two.merge(one.records.items())
+    assert one.drained == two.drained
+
+
+def test_without_an_admin_server_no_store_can_be_drained():
     stage = Stage()
     try:
         assert stage.gateway.part(DoorPart) is None and stage.gateway.directory.effective_member(
-            w.Member(1, 1.0)
-        ) == w.Member(1, 1.0)
+            interface.Member(1, 1.0)
+        ) == interface.Member(1, 1.0)
     finally:
         stage.close()
 
 
-def test_changes_among_the_events_of_a_start_do_not_end_the_stores_that_they_do_not_name():
-    """Seen on a bench day: a gateway started during a release knew only the last store it was told of."""
+def test_a_partial_list_at_the_start_does_not_remove_stores_that_it_does_not_name():
+    """A start must apply all events in order: it once kept only the last store of a change after the list."""
     stage = Stage()
     try:
         more = member("s-00000002", stage.cache.address)
@@ -302,15 +304,15 @@
         stage.close()
 
 
-def some(sock, most=10_000):
+def receive_available(sock, max_bytes=10_000):
     try:
-        return sock.recv(most)
+        return sock.recv(max_bytes)
     except BlockingIOError:
         return b""
 
 
-def test_a_request_that_comes_byte_by_byte_over_two_seconds_is_served_and_so_is_a_slow_reader(stage):
-    """Fronts, stores and the door take messages cut anywhere; slow is not broken."""
+def test_a_request_sent_byte_by_byte_over_two_seconds_and_a_slow_reader_are_served(stage):
+    """Clients and stores may split messages at any byte; a slow sender or reader is not an error."""
     client = stage.client()
     fields = {"c": "fichiers", "i": REQUEST, "o": OBJECT, "d": "5000", "n": "0", "m": "41.5", "shard": "17"}
     frame = codec.encode("serve", 1, 1, codec.ServeArgs(fields=fields, body=b""))
@@ -327,8 +329,8 @@
         stage.cache.say(answer[at : at + 20_000])
         stage.turn()
     got = b""
-    while len(got) < 200_000:  # some 1 MB a second
-        part = some(client.sock)
+    while len(got) < 200_000:  # about 1 MB per second
+        part = receive_available(client.sock)
         got += part
         end = time.monotonic() + 0.01
         while time.monotonic() < end:
@@ -336,7 +338,7 @@
     assert "client_does_not_read" not in stage.names()
 
 
-def test_answers_of_stores_and_of_the_board_may_be_cut_at_every_byte():
+def test_answers_of_stores_and_of_the_notice_board_may_be_split_at_every_byte():
     stage = Stage(board=True, mgmt="127.0.0.1:0")
     try:
         stage.until(lambda: b"watch=1&linger=0" in stage.board.poll())
@@ -358,7 +360,7 @@
         stage.close()
 
 
-def test_a_crowd_of_clients_leaves_the_door_its_descriptors():
+def test_many_clients_leave_the_admin_server_its_descriptors():
     stage = Stage(mgmt="127.0.0.1:0", limits={"sockets": 128, "memory_mb": 40})
     try:
         crowd = [stage.client() for _ in range(150)]
@@ -372,17 +374,17 @@
         stage.close()
 
 
-def test_all_that_can_be_open_at_once_is_within_the_descriptors_and_the_door_has_its_own():
+def test_the_descriptor_budget_covers_all_sockets_and_reserves_those_of_the_admin_server():
     for sockets in range(96, 4097):
         assert split(sockets, 1).total(1) <= sockets
-    assert DOOR >= MOST_CALLERS + 2
+    assert DOOR >= MAX_CONNECTIONS + 2
     for sockets, before in ((256, (96, 24, 112)), (384, (160, 24, 176)), (1024, (480, 24, 496))):
         room = split(sockets, 0)
         assert (room.stores, room.per_store, room.clients) == before, "without a door as it was"
 
 
-class Still:
-    """Timers that never fire, and the clock that goes with them."""
+class StoppedTimers:
+    """A clock that stands still and timers that never fire."""
 
     def now(self):
         return 5
@@ -395,9 +397,9 @@
 
 
 class Answers(list):
-    """A reply that notes which kind of answer it was given."""
+    """A reply that records the kind of each answer: 0 served, 1 refused, 2 failed."""
 
-    def served(self, *words):
+    def served(self, *args):
         self.append(0)
 
     def refused(self, wait):
@@ -413,37 +415,37 @@
         st.tuples(
             st.sampled_from(["take", "leave", "refuse", "fail", "send", "end", "away", "all"]),
             st.integers(0, 4),
-            st.sampled_from(list(w.Status)),
+            st.sampled_from(list(interface.Status)),
         )
     )
 )
-def test_what_was_taken_has_ended_once_or_left_or_is_open_after_any_sequence(steps):
+def test_each_accepted_request_has_ended_once_or_was_abandoned_or_is_open_after_any_sequence(steps):
     classes = tuple(
         make_class(effect, name=name)
-        for name, effect in (("read", w.Effect.IDEMPOTENT), ("order", w.Effect.AT_MOST_ONCE))
+        for name, effect in (("read", interface.Effect.IDEMPOTENT), ("order", interface.Effect.AT_MOST_ONCE))
     )
     answers, attempts = Answers(), []
     quiet = SimpleNamespace(emit=lambda event: None, log=lambda event, **v: None)
-    ledger = Ledger(make_settings(classes=classes), Still(), quiet.emit, quiet.log, most=4)
+    ledger = Ledger(make_settings(classes=classes), StoppedTimers(), quiet.emit, quiet.log, most=4)
     ledger.carrier = SimpleNamespace(send=attempts.append, abort=lambda attempt: None)
-    for word, n, status in steps:
+    for operation, n, status in steps:
         request = f"{n:016x}"
         try:
-            if word == "take":
-                ledger.take(w.Request(request, n % 2, object="a"), b"", None, answers)
-            elif word == "send":
-                ledger.attempt(w.Look(request, 1, 50))
-            elif word == "end" and attempts:
+            if operation == "take":
+                ledger.take(interface.Request(request, n % 2, object="a"), b"", None, answers)
+            elif operation == "send":
+                ledger.attempt(interface.Look(request, 1, 50))
+            elif operation == "end" and attempts:
                 ledger.end(attempts.pop(), status)
-            elif word == "refuse":
-                ledger.refuse(w.Refuse(request, 1))
-            elif word == "fail":
-                ledger.fail(w.Fail(request))
-            elif word == "leave":
+            elif operation == "refuse":
+                ledger.refuse(interface.Refuse(request, 1))
+            elif operation == "fail":
+                ledger.fail(interface.Fail(request))
+            elif operation == "leave":
                 ledger.leave(request)
-            elif word == "all":
+            elif operation == "all":
                 ledger.give_up_all("a test")
-            elif word == "away":
+            elif operation == "away":
                 raise Crowded
         except (Crowded, Duplicate):
             ledger.turned_away(n % 2)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,7 +1,7 @@
-"""Two processes of one gateway: hand-overs, bans that both hold, and what happens when either dies.
+"""Hot restarts of a gateway: hand-overs, shared manual drains, and the death of either process.
 
-Both gateways run in this process, each with its own loop; the one before turns in a thread while the newcomer
-asks it at its start, which is the only time that one waits for the other.
+Both gateways run in this process, each with its own event loop. The predecessor's loop runs in a thread while
+the successor starts, because only then does one gateway block for the other.
 """
 
 import json
@@ -12,6 +12,8 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from olivecourse.ops.lineage import ProcessLineage, TransferredConnections
+from olivecourse.ops.process_record import FolderUnusable, ProcessRecord
 from stage import OBJECT, REQUEST, Stage
 from test_ops import call, down, figures
 
@@ -20,13 +22,11 @@
 from olivecourse.net.loop import Loop
 from olivecourse.ops.handover import Link
 from olivecourse.ops.handwire import BadMessage, Decoder, Kind, Message
-from olivecourse.ops.presence import NoFolder, Presence
-from olivecourse.ops.standing import Passages, Standing
 from olivecourse.parts import DoorPart, PeersPart, UpgradePart
 
 
 class Upgrade:
-    """A stage whose gateway is followed by others; all turn together."""
+    """A test stage with a chain of gateways, each the successor of the one before; all loops run in turn."""
 
     def __init__(self, folder, **more):
         self.folder = str(folder)
@@ -67,13 +67,13 @@
                 gateway.decide()
 
     def kill(self, gateway):
-        """Outright: the system closes all that the process held."""
+        """Simulates SIGKILL: closes everything that the system would close for a killed process."""
         self.killed.add(gateway)
-        s = gateway.part(UpgradePart).succession
-        for link in s._links():
+        restart = gateway.part(UpgradePart).succession
+        for link in restart._links():
             link.sock.shutdown(socket.SHUT_RDWR)
             link.sock.close()
-        os.close(s._presence._lock)
+        os.close(restart._process_record._lock)
         gateway.front.no_more()
         gateway.part(DoorPart).doors[0].close()
 
@@ -102,15 +102,15 @@
     return [f"{n:016x}" for n in numbers]
 
 
-def test_clients_change_hands_with_requests_open_half_read_and_half_sent(upgrade):
+def test_clients_are_transferred_with_requests_open_half_read_and_half_sent(upgrade):
     old = upgrade.stage.gateway
     client, other = upgrade.client(), upgrade.client()
     one, two, three, four = ids(1, 2, 3, 4)
     client.call(1, i=one)
     other.call(1, i=two)
     upgrade.until(lambda: upgrade.cache.poll().count(b"fetch ") == 2)
-    client.call(2, i=three)  # of this one only a part comes before the upgrade
-    whole = client.sock  # what follows is written by hand
+    client.call(2, i=three)  # only a part of the next request arrives before the restart
+    whole = client.sock  # the next request is written to the socket directly
     new = upgrade.follow()
     upgrade.until(lambda: upgrade.cache.poll().count(b"fetch ") == 3)
     from olivecourse.fronts import codec
@@ -123,7 +123,7 @@
     upgrade.until(lambda: len(new.front.clients) == 2 and not old.front.clients)
     whole.sendall(frame[50:])
     upgrade.until(lambda: upgrade.cache.poll().count(b"fetch ") == 4)
-    for request in (one, two, three, four):  # each on the connection that asked
+    for request in (one, two, three, four):  # each answer must arrive on the connection of its request
         for conn in upgrade.cache.conns:
             conn.sendall(served(request, request.encode()))
     upgrade.until(lambda: len(client.answers()) == 3 and len(other.answers()) == 1)
@@ -138,7 +138,7 @@
     upgrade.until(lambda: b"55" * 8 in upgrade.cache.poll())
 
 
-def test_what_the_client_takes_back_reaches_the_process_that_owes_it(upgrade):
+def test_a_cancelled_request_or_lost_client_reaches_the_process_that_owes_the_answer(upgrade):
     old = upgrade.stage.gateway
     client, leaver = upgrade.client(), upgrade.client()
     one, two = ids(1, 2)
@@ -157,7 +157,7 @@
     assert old.ledger.left == 2 and not client.answers() and not client.closed
 
 
-def test_a_second_upgrade_right_after_relays_what_the_first_process_owes(upgrade):
+def test_a_second_restart_right_after_relays_the_answers_that_the_first_process_owes(upgrade):
     first = upgrade.stage.gateway
     client = upgrade.client()
     client.call(1, i=REQUEST)
@@ -174,7 +174,7 @@
     assert not client.closed
 
 
-def test_the_process_before_killed_in_the_middle_costs_a_failure_and_no_connection(upgrade):
+def test_a_predecessor_killed_during_the_transfer_costs_a_failure_and_no_connection(upgrade):
     old = upgrade.stage.gateway
     client = upgrade.client()
     client.call(1, c="commande")
@@ -189,7 +189,7 @@
     assert new.pool.limits.total == split(new.config.sockets, True).stores, "all of the limits again"
 
 
-def test_a_newcomer_that_dies_before_its_yes_changes_nothing(upgrade):
+def test_a_successor_that_dies_before_it_is_ready_changes_nothing(upgrade):
     old = upgrade.stage.gateway
     before = old.pool.limits
     client = upgrade.client()
@@ -203,22 +203,24 @@
     upgrade.until(client.answers)
     late = upgrade.client()
     late.sock.close()
-    old.stop()  # nobody follows: it keeps its clients to the end, as at any restart
+    old.stop()  # without a successor it keeps its clients to the end, as in a plain restart
     client.call(2, i="77" * 8)
     upgrade.until(lambda: b"77" * 8 in upgrade.cache.poll())
 
 
-def test_a_ban_holds_in_both_whoever_was_called_and_outlasts_both(upgrade, tmp_path):
+def test_a_manual_drain_holds_in_both_processes_and_outlasts_both(upgrade, tmp_path):
     old = upgrade.stage.gateway
     assert down(upgrade, "s-00000008") == 200
     new = upgrade.follow()
     assert not new.directory.ready(8), "held before the first request"
     assert figures(upgrade)["app_cluster_unhealthy"] == 1
-    assert down(upgrade, "s-00000008", "up") == down(upgrade, "s-00000001") == 200  # said to the new one
+    assert (
+        down(upgrade, "s-00000008", "up") == down(upgrade, "s-00000001") == 200
+    )  # these calls go to the successor
     upgrade.until(lambda: old.directory.ready(8) and not old.directory.ready(1))
     upgrade.kill(old)
     upgrade.kill(new)
-    (tmp_path / "olivecourse-n0" / f"{0:020d}-1.lock").touch()  # of a crash: nobody holds it
+    (tmp_path / "olivecourse-n0" / f"{0:020d}-1.lock").touch()  # left by a crash: no process holds the lock
     (tmp_path / "olivecourse-n0" / f"{0:020d}-1.json").write_bytes(b'{"bans": [["s-00000009", ')
     again = Stage(mgmt="127.0.0.1:0", env={"TMPDIR": str(tmp_path)})
     assert not again.gateway.directory.ready(1) and again.gateway.directory.ready(8)
@@ -229,64 +231,71 @@
     again.close()
 
 
-def test_a_folder_of_others_is_not_used(tmp_path):
+def test_a_folder_that_other_users_can_write_is_not_used(tmp_path):
     (tmp_path / "olivecourse-n0").mkdir(mode=0o777)
     (tmp_path / "olivecourse-n0").chmod(0o777)
-    with pytest.raises(NoFolder):
-        Presence(str(tmp_path), "n0", lambda event, **v: None)
+    with pytest.raises(FolderUnusable):
+        ProcessRecord(str(tmp_path), "n0", lambda event, **v: None)
     stage = Stage(mgmt="127.0.0.1:0", env={"TMPDIR": str(tmp_path)})
     assert stage.gateway.part(UpgradePart).succession is None and "presence_unusable" in stage.names()
     stage.close()
 
 
-class Ear:
+class RecordingHandler:
     def __init__(self):
-        self.heard_of, self.ended = [], False
+        self.received_messages, self.ended = [], False
 
-    def heard(self, link, message, sock):
-        self.heard_of.append((message.kind, sock))
+    def message_received(self, link, message, sock):
+        self.received_messages.append((message.kind, sock))
 
-    def parted(self, link):
+    def link_closed(self, link):
         self.ended = True
 
 
 @pytest.mark.parametrize(
-    "said, kinds, ends",
+    "sent, kinds, ends",
     [
         ([Message(Kind.LOOK)], [Kind.LOOK], False),
-        ([b"\0\0\0\5\x7e\0\0\0\0", Message(Kind.LOOK)], [Kind.LOOK], False),  # of a later version
+        (
+            [b"\0\0\0\5\x7e\0\0\0\0", Message(Kind.LOOK)],
+            [Kind.LOOK],
+            False,
+        ),  # a message kind of a later version
         ([b"\xff" * 32], [], True),
         ([b"\0\0\0\5\3\0\0\0\1"], [], True),
         ([Message(Kind.CLIENT, {"conn": 1, "last": 1, "taken": 1, "in": 9}, with_socket=True)], [], True),
         ([Message(Kind.ANSWER, {"conn": -1, "number": "x"})], [], True),
         ([Message(Kind.LISTENER, with_socket=True)], [], True),
     ],
-)  # whose descriptor never came
-def test_a_link_passes_over_what_it_does_not_know_and_ends_at_nonsense(said, kinds, ends):
+)  # the last message lacks its descriptor
+def test_a_link_ignores_unknown_kinds_and_closes_on_an_invalid_message(sent, kinds, ends):
     ours, theirs = socket.socketpair(socket.AF_UNIX)
-    loop, ear = Loop(), Ear()
-    Link(loop, ours, ear, lambda event, **v: None)
-    for data in said:
+    loop, handler = Loop(), RecordingHandler()
+    Link(loop, ours, handler, lambda event, **v: None)
+    for data in sent:
         theirs.sendall(data if isinstance(data, bytes) else data.encode())
     for _ in range(3):
         loop.turn(1_000_000)
-    assert ([k for k, _ in ear.heard_of], ear.ended) == (kinds, ends)
+    assert ([k for k, _ in handler.received_messages], handler.ended) == (kinds, ends)
     theirs.close()
     loop.close()
 
 
-def test_descriptors_arrive_with_their_messages_and_those_of_unknown_ones_are_closed():
+def test_descriptors_arrive_with_their_messages_and_those_of_unknown_kinds_are_closed():
     ours, theirs = socket.socketpair(socket.AF_UNIX)
-    loop, ear = Loop(), Ear()
-    Link(loop, ours, ear, lambda event, **v: None)
-    sender, (left, right) = Link(loop, theirs, Ear(), lambda event, **v: None), socket.socketpair()
+    loop, handler = Loop(), RecordingHandler()
+    Link(loop, ours, handler, lambda event, **v: None)
+    sender, (left, right) = (
+        Link(loop, theirs, RecordingHandler(), lambda event, **v: None),
+        socket.socketpair(),
+    )
     unknown = Message(Kind.UNKNOWN, with_socket=True)
     for message in (unknown, Message(Kind.LISTENER, with_socket=True)):
         sender.send(message, os.dup(left.fileno()))
     sender.send(Message(Kind.LOOK))
-    while len(ear.heard_of) < 2:
+    while len(handler.received_messages) < 2:
         loop.turn(1_000_000)
-    (kind, sock), _ = ear.heard_of
+    (kind, sock), _ = handler.received_messages
     left.close()
     sock.sendall(b"here")
     assert kind is Kind.LISTENER and right.recv(9) == b"here"
@@ -318,22 +327,22 @@
 
 @settings(max_examples=200, deadline=None)
 @given(messages, st.lists(st.integers(1, 30), min_size=1), st.binary(max_size=30))
-def test_messages_cut_at_any_byte_come_out_whole_and_noise_ends_in_one_error(said, cuts, noise):
-    data, decoder, found = b"".join(m.encode() for m in said), Decoder(), []
+def test_messages_split_at_any_byte_are_decoded_and_noise_raises_one_error(sent_messages, cuts, noise):
+    data, decoder, found = b"".join(m.encode() for m in sent_messages), Decoder(), []
     while data:
         size = cuts[len(data) % len(cuts)]
         found += decoder.feed(data[:size])
         data = data[size:]
-    assert found == said
+    assert found == sent_messages
     try:
         Decoder().feed(noise)
     except BadMessage:
         pass
 
 
-def test_a_record_that_is_no_record_is_told_and_passed_over(tmp_path):
+def test_an_invalid_record_is_logged_and_ignored(tmp_path):
     logged = []
-    presence = Presence(str(tmp_path), "n0", lambda event, **v: logged.append(event))
+    process_record = ProcessRecord(str(tmp_path), "n0", lambda event, **v: logged.append(event))
     token = f"{5:020d}-7"
     for data in (
         b"",
@@ -342,16 +351,16 @@
         json.dumps({"bans": [["a", 1, 2]]}).encode(),
         b"x" * (2**20 + 1),
     ):
-        presence.path("lock", token).touch()
-        presence.path("json", token).write_bytes(data)
-        assert presence.look() == ([], [], [token])
-        presence.clear([token])
-    presence.path("json", token).symlink_to("/dev/zero")
-    presence.path("lock", token).touch()
-    assert presence.look() == ([], [], [token]) and logged == ["record_unusable"] * 5
+        process_record.path("lock", token).touch()
+        process_record.path("json", token).write_bytes(data)
+        assert process_record.scan() == ([], [], [token])
+        process_record.clear([token])
+    process_record.path("json", token).symlink_to("/dev/zero")
+    process_record.path("lock", token).touch()
+    assert process_record.scan() == ([], [], [token]) and logged == ["record_unusable"] * 5
 
 
-def test_datagrams_come_to_the_newcomer_once_clients_have_changed_hands(tmp_path):
+def test_datagrams_reach_the_successor_once_clients_have_been_transferred(tmp_path):
     peer, free = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2))
     for sock in (peer, free):
         sock.bind(("127.0.0.1", 0))
@@ -361,7 +370,7 @@
     try:
         old = up.stage.gateway
         client = up.client()
-        client.call(1)  # the old one has to stay for it
+        client.call(1)  # an open request keeps the predecessor running
         up.until(lambda: up.cache.poll().count(b"fetch ") == 1)
         new, came = up.follow(), []
         old.stop()
@@ -375,27 +384,29 @@
         up.close()
 
 
-def test_a_descriptor_that_is_no_socket_or_a_client_that_does_not_fit_ends_in_a_close(upgrade, tmp_path):
+def test_a_descriptor_that_is_no_socket_or_a_client_with_too_many_bytes_is_closed(upgrade, tmp_path):
     ours, theirs = socket.socketpair(socket.AF_UNIX)
-    loop, ear = Loop(), Ear()
-    Link(loop, ours, ear, lambda event, **v: None)
+    loop, handler = Loop(), RecordingHandler()
+    Link(loop, ours, handler, lambda event, **v: None)
     (tmp_path / "file").touch()
     with open(tmp_path / "file") as file:
         socket.send_fds(theirs, [Message(Kind.LISTENER, with_socket=True).encode()], [file.fileno()])
     loop.turn(1_000_000)
-    assert ear.ended and not ear.heard_of
+    assert handler.ended and not handler.received_messages
     theirs.close()
     loop.close()
     new, (left, right) = upgrade.follow(), socket.socketpair()
     head = {"conn": 1, "last": 1, "taken": 1, "open": [1], "in": 200_000}
     there = new.part(UpgradePart).succession
-    there.heard(there._links()[0], Message(Kind.CLIENT, head, b"\0" * 200_000, with_socket=True), left)
+    there.message_received(
+        there._links()[0], Message(Kind.CLIENT, head, b"\0" * 200_000, with_socket=True), left
+    )
     assert right.recv(9) == b"" and not new.front.clients
     right.close()
 
 
-class Seat:
-    """A client that is owed so much."""
+class ClientOwed:
+    """A client that is owed `owed` answers."""
 
     def __init__(self, owed):
         self.owed = owed
@@ -406,52 +417,65 @@
 
 @settings(max_examples=300, deadline=None)
 @given(
-    st.lists(st.tuples(st.sampled_from(["inherits", "asked", "serves", "parted"]), st.integers(0, 3))),
+    st.lists(
+        st.tuples(
+            st.sampled_from(["add_predecessor", "add_successor", "successor_ready", "link_closed"]),
+            st.integers(0, 3),
+        )
+    ),
     st.lists(st.tuples(st.integers(0, 2), st.integers(0, 2))),
 )
-def test_limits_are_shared_while_another_lives_and_the_youngest_that_serves_is_the_heir(said, clients):
-    standing, heirs, serving, elder = Standing(), [], set(), None
-    for word, link in said:
-        if word == "inherits" and (elder is not None or link in heirs) or word == "asked" and link == elder:
-            continue  # which does not come about: a process starts once, and asks whom it follows
-        getattr(standing, word)(link)
-        if word == "inherits":
-            elder = link
-        elif word == "asked" and link not in heirs:
-            heirs.append(link)
-        elif word == "serves" and link in heirs:
+def test_limits_are_shared_while_another_process_lives_and_the_youngest_ready_one_succeeds(steps, clients):
+    lineage, successors, serving, predecessor = ProcessLineage(), [], set(), None
+    for operation, link in steps:
+        if (
+            operation == "add_predecessor"
+            and (predecessor is not None or link in successors)
+            or operation == "add_successor"
+            and link == predecessor
+        ):
+            continue  # impossible: a process starts once, and only asks its predecessor
+        getattr(lineage, operation)(link)
+        if operation == "add_predecessor":
+            predecessor = link
+        elif operation == "add_successor" and link not in successors:
+            successors.append(link)
+        elif operation == "successor_ready" and link in successors:
             serving.add(link)
-        elif word == "parted":
-            elder, heirs = None if link == elder else elder, [x for x in heirs if x != link]
+        elif operation == "link_closed":
+            predecessor, successors = (
+                None if link == predecessor else predecessor,
+                [x for x in successors if x != link],
+            )
             serving.discard(link)
-        assert standing.shared == (elder is not None or bool(heirs))
-        assert standing.heir() == next((x for x in reversed(heirs) if x in serving), None)
-    passages = Passages()
+        assert lineage.limits_shared == (predecessor is not None or bool(successors))
+        assert lineage.successor() == next((x for x in reversed(successors) if x in serving), None)
+    transferred = TransferredConnections()
     for link, owed in clients:
-        passages.went(link, passages.number(), Seat(owed))
-    assert passages.owed() == any(owed for _, owed in clients)
+        transferred.add_sent(link, transferred.next_number(), ClientOwed(owed))
+    assert transferred.has_unanswered() == any(owed for _, owed in clients)
     for link in range(3):
-        went, came = passages.parted(link)
-        assert len(list(went)) == sum(x == link for x, _ in clients) and not list(came)
-    assert not passages.owed()
-
-
-def test_the_elder_is_told_once_and_what_the_dead_said_stays_till_it_is_written():
-    standing = Standing()
-    standing.wrote(False)
-    assert standing.must_write and not standing.may_clear
-    standing.wrote(True)
-    assert standing.may_clear
-    standing.learned()
-    assert not standing.may_clear
-    standing.inherits("old")
-    assert standing.yes_said() == "old" and standing.yes_said() is None
-    standing.serves("stranger")
-    assert standing.heir() is None, "who never asked gets no clients"
-
-
-def test_a_drain_holds_in_both_processes_of_an_upgrade_until_either_is_called_back(upgrade):
-    """Two processes count as one gateway: else the newcomer says that it takes work."""
+        sent, received = transferred.link_closed(link)
+        assert len(list(sent)) == sum(x == link for x, _ in clients) and not list(received)
+    assert not transferred.has_unanswered()
+
+
+def test_the_predecessor_is_notified_once_and_files_of_the_dead_stay_till_the_record_is_written():
+    lineage = ProcessLineage()
+    lineage.record_written(False)
+    assert lineage.needs_flush and not lineage.may_remove_files
+    lineage.record_written(True)
+    assert lineage.may_remove_files
+    lineage.drains_changed()
+    assert not lineage.may_remove_files
+    lineage.add_predecessor("old")
+    assert lineage.take_ready_notification() == "old" and lineage.take_ready_notification() is None
+    lineage.successor_ready("stranger")
+    assert lineage.successor() is None, "who never asked gets no clients"
+
+
+def test_a_gateway_drain_holds_in_both_processes_until_it_is_ended_in_either(upgrade):
+    """Both processes count as one gateway; otherwise the successor would report that it takes work."""
     old = upgrade.all[0]
     old.part(DoorPart).desk.set_draining(True)
     new = upgrade.follow(status=503)
