--- a/olivecourse/ops/door.py
+++ b/olivecourse/ops/door.py
@@ -150,7 +150,7 @@
         if self._closed:
             return
         now = self.loop.clock.now()
-        for connection in [connection for connection in self.connections if now > connection.deadline_ns]:
+        for connection in [caller for caller in self.connections if now > caller.deadline_ns]:
             connection.close("too slow")
         self.loop.after(SWEEP_INTERVAL_NS, self._sweep)
 
--- a/olivecourse/relay/commands.py
+++ b/olivecourse/relay/commands.py
@@ -1,4 +1,4 @@
-"""`olivecourse serve --role relay` and `olivecourse relay`: a relay's process, and what operators ask it."""
+"""`olivecourse relay`: operators' queries to a running relay; and the descriptor limit of a relay process."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 
 def most_descriptors() -> int:
-    """Raises this process's soft limit to its hard one, and returns it."""
+    """Raises this process's soft limit on open files to the hard limit, and returns that limit."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft != hard:
         resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     return hard
 
 
-def _ask(address: str, path: str) -> Any:
-    """The relay's answer; ends the program with 3 where there is none."""
+def _fetch(address: str, path: str) -> Any:
+    """Returns the relay's JSON answer to a GET of `path`; exits with 3 if there is no valid answer."""
     try:
         host, port = parse_address(address)
     except ValueError as error:
@@ -46,38 +46,43 @@
 
 @click.group()
 def relay() -> None:
-    """Ask a running relay.
+    """Query a running relay.
 
-    Exit codes: 0 yes, 1 no (who is behind is printed), 2 wrong words, 3 nobody answers.
+    Exit codes: 0 yes, 1 no (the lagging watchers are printed), 2 usage error, 3 no answer.
     """
 
 
 @relay.command()
 @click.argument("address", metavar="HOST:PORT")
-@click.option("--number", type=click.IntRange(0), help="An event, e.g. a purge; without it the newest.")
-@click.option("--json", "as_json", is_flag=True, help="Print all that the relay tells, as JSON.")
+@click.option(
+    "--number", type=click.IntRange(0), help="Number of an event, e.g. of a purge; default: the newest."
+)
+@click.option("--json", "as_json", is_flag=True, help="Print the whole status as JSON.")
 def status(address: str, number: int | None, as_json: bool) -> None:
-    """Whether event NUMBER is in force at every watcher below, and who is behind if not."""
-    told = _ask(address, "/relay/status" if number is None else f"/relay/status?behind={number}")
+    """Report whether every watcher of the relay has taken event NUMBER, and which ones have not."""
+    report = _fetch(address, "/relay/status" if number is None else f"/relay/status?behind={number}")
     if as_json:
-        click.echo(json.dumps(told, indent=2))
+        click.echo(json.dumps(report, indent=2))
     else:
-        _print_status(told)
-    sys.exit(0 if told["passed"] else 1)
+        _print_status(report)
+    sys.exit(0 if report["passed"] else 1)
 
 
-def _print_status(told: dict[str, Any]) -> None:
-    upstream, watchers = told["upstream"], told["watchers"]
-    mark = "none yet" if told["mark"] is None else told["mark"]
-    click.echo(f"{told['name']}: newest event {told['revision']}, low-water mark {mark}")
+def _print_status(report: dict[str, Any]) -> None:
+    """Prints a relay's status for people."""
+    upstream, watchers = report["upstream"], report["watchers"]
+    mark = "none yet" if report["mark"] is None else report["mark"]
+    click.echo(f"{report['name']}: newest event {report['revision']}, low-water mark {mark}")
     click.echo(f"upstream {upstream['address']} for {upstream['seconds']:.0f} s")
     click.echo(
         f"{watchers['connections']} connections, {watchers['waiting']} polls waiting, "
         f"{watchers['counted']} gateways counted"
     )
-    click.echo(f"event {told['asked']}: {'in force everywhere below' if told['passed'] else 'not proven'}")
-    for entry in told["behind"]:
+    click.echo(
+        f"event {report['asked']}: {'in force everywhere below' if report['passed'] else 'not proven'}"
+    )
+    for entry in report["behind"]:
         lapsed = ", lease over" if entry["lapsed"] else ""
         click.echo(f"  {entry['watcher']} at {entry['number']} for {entry['seconds']:.1f} s{lapsed}")
-    if more := told["behind_total"] - len(told["behind"]):
+    if more := report["behind_total"] - len(report["behind"]):
         click.echo(f"  and {more} more")
--- a/olivecourse/relay/connection.py
+++ b/olivecourse/relay/connection.py
@@ -1,4 +1,4 @@
-"""One watcher's connection to a relay: requests in, one at a time, and shared answers out."""
+"""One watcher's connection to a relay: reads requests one at a time and sends answers shared by many."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 if TYPE_CHECKING:
     from olivecourse.relay.server import RelayServer
 
-MOST_REQUEST_BYTES = 8_192  # of one request with its head; a poll has some 80
-MOST_PIPELINED = 64  # requests that wait for the one before them; gateways send none
-LEAVE_NS = 500_000_000  # for the other side to read a refusal and close
-UNUSED_RING = 1  # bytes: a Stream's own buffers are not used here, see `read` and `send`
+MAX_REQUEST_BYTES = 8_192  # of one request including its head; a poll has about 80
+MAX_PIPELINED = 64  # requests queued behind an unanswered one; gateways send none
+CLOSE_TIMEOUT_NS = 500_000_000  # for the peer to read a refusal and close
+UNUSED_BUFFER_BYTES = 1  # bytes; `read` and `send` bypass the buffers of Stream
 
-IDLE, WAITING, SENDING, LEAVING = range(4)
+IDLE, WAITING, SENDING, CLOSING = range(4)
 
 
 class Request:
-    """A whole request, parsed as far as HTTP goes."""
+    """A complete HTTP request: its method, its target, and whether the connection stays open after it."""
 
     __slots__ = ("keep_alive", "method", "target")
 
@@ -38,40 +38,40 @@
 
 
 class WatcherConnection(Stream):
-    """A gateway or a relay below.
+    """The connection of one watcher: a gateway, or a relay that polls this one.
 
-    States: IDLE until a request is whole, WAITING while a poll is held, SENDING until the system has taken
-    the answer, LEAVING after a refusal. Bytes of an answer are never copied: what the system does not take at
+    States: IDLE until a request is complete, WAITING while a poll is held, SENDING until the socket has taken
+    the whole answer, CLOSING after a refusal. An answer is never copied: what the socket does not take at
     once stays a view of the shared answer.
     """
 
     def __init__(self, server: RelayServer, sock: socket.socket, name: str, key: int) -> None:
-        """`name` tells operators who it is; `key` is unique among connections."""
+        """`name` identifies the watcher to operators; `key` is unique among the connections of this relay."""
         self.server = server
         self.name = name
         self.key = key
         self.state = IDLE
         self.poll = PollRequest(0, 0)
-        self.polled = False  # whether it ever asked as a watcher
-        self.deadline = Deadline(self._overdue)
+        self.polled = False  # whether this connection has ever sent a poll
+        self.deadline = Deadline(self._deadline_passed)
         self._keep_alive = True
         self._parser = httptools.HttpRequestParser(self)
         self._target = b""
         self._request_bytes = 0
         self._pipelined: list[Request] = []
         self._unread: memoryview | None = None
-        super().__init__(server.loop, sock, UNUSED_RING, UNUSED_RING)
+        super().__init__(server.loop, sock, UNUSED_BUFFER_BYTES, UNUSED_BUFFER_BYTES)
 
     # Requests
 
     def read(self) -> None:
-        """Reads once; what is left comes with the next turn, as the selector is level-triggered."""
-        now = self.server.work_time()
+        """Reads once; the level-triggered selector reports any remaining bytes in the next turn."""
+        now = self.server.time_within_budget()
         if not now:
             self.server.defer(self)
             return
         try:
-            data = self.sock.recv(MOST_REQUEST_BYTES)
+            data = self.sock.recv(MAX_REQUEST_BYTES)
         except (BlockingIOError, InterruptedError):
             return
         except OSError as error:
@@ -79,13 +79,13 @@
             return
         if not data:
             self.close("closed by the other side")
-        elif self.state != LEAVING:
+        elif self.state != CLOSING:
             self._parse(data)
             if self.state == IDLE:
                 self._next_request(now)
 
-    def read_deferred(self) -> None:
-        """Reads, if there is still something, what an earlier turn had no time for."""
+    def read_deferred_bytes(self) -> None:
+        """Reads the bytes for which an earlier turn had no time, unless the connection has closed."""
         if self.open:
             self._ready(READ)
 
@@ -97,26 +97,26 @@
             self.refuse(HTTPStatus.BAD_REQUEST, "no upgrades here")
         except httptools.HttpParserError as error:
             self.refuse(HTTPStatus.BAD_REQUEST, f"not HTTP/1.1: {type(error).__name__}")
-        if self.state == LEAVING:
+        if self.state == CLOSING:
             return
-        if self._request_bytes > MOST_REQUEST_BYTES:
+        if self._request_bytes > MAX_REQUEST_BYTES:
             self.refuse(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "request too long")
-        elif len(self._pipelined) > MOST_PIPELINED:
+        elif len(self._pipelined) > MAX_PIPELINED:
             self.refuse(HTTPStatus.BAD_REQUEST, "too many requests at once")
 
     def on_url(self, url: bytes) -> None:
-        """Of the parser: a part of the target."""
+        """Parser callback: a part of the request target has arrived."""
         self._target += url
 
     def on_message_complete(self) -> None:
-        """Of the parser: a request is whole."""
+        """Parser callback: a request is complete."""
         target = self._target
         self._target = b""
         self._request_bytes = 0
         self._pipelined.append(Request(self._parser.get_method(), target, self._parser.should_keep_alive()))
 
     def _next_request(self, now: int) -> None:
-        """Handles the oldest request; those after it have a turn each, so that no turn is long."""
+        """Handles the oldest queued request; each later one gets its own turn, which keeps turns short."""
         if not self._pipelined:
             return
         request = self._pipelined.pop(0)
@@ -125,13 +125,13 @@
 
     # Answers
 
-    def wait(self, due_ns: int) -> None:
-        """The poll is held until there are events for it, or until `due_ns`."""
+    def hold(self, due_ns: int) -> None:
+        """Holds the poll until there are events for it, or until `due_ns`."""
         self.state = WAITING
         self.server.deadlines.set(self.deadline, due_ns)
 
     def send(self, body: bytes, now: int) -> None:
-        """Answers the request with `body`, which many may share."""
+        """Answers the request with `body`, which many connections may share."""
         head = answer_head(len(body), self._keep_alive)
         self.state = SENDING
         try:
@@ -142,25 +142,25 @@
             self.close(errno.errorcode.get(error.errno or 0, "error"))
             return
         if sent == len(head) + len(body):
-            self._sent(now)
+            self._answer_sent(now)
         else:
-            self._keep_unread(head, body, sent, now)
+            self._hold_unread(head, body, sent, now)
 
-    def _keep_unread(self, head: bytes, body: bytes, sent: int, now: int) -> None:
-        if sent < len(head):  # hardly ever: the head alone fills no buffer of the system
+    def _hold_unread(self, head: bytes, body: bytes, sent: int, now: int) -> None:
+        if sent < len(head):  # rare, as the head alone does not fill a socket buffer
             body = head[sent:] + body
             sent = 0
         else:
             sent -= len(head)
         self._unread = memoryview(body)[sent:]
-        self._blocked = True  # the Stream waits for the system to take more
+        self._blocked = True  # makes the Stream wait until the socket is writable
         self._want()
         server = self.server
         server.deadlines.set(self.deadline, now + server.read_timeout_ns)
         server.hold_unread(self, body)
 
     def flush(self) -> None:
-        """The system takes bytes again."""
+        """Sends more of the unread answer once the socket is writable."""
         unread = self._unread
         if unread is None:
             self._blocked = False
@@ -181,62 +181,66 @@
         self._blocked = False
         self._want()
         self.server.release_unread(self)
-        self._sent(self.loop.clock.now())
+        self._answer_sent(self.loop.clock.now())
 
-    def _sent(self, now: int) -> None:
+    def _answer_sent(self, now: int) -> None:
         if not self._keep_alive:
-            self._leave(now)
+            self._begin_close(now)
             return
         self.state = IDLE
         self.server.deadlines.set(self.deadline, now + self.server.idle_timeout_ns)
         if self._pipelined:
-            self.server.later(self._resume)
+            self.server.call_next_turn(self._resume)
 
     def _resume(self) -> None:
         if self.open and self.state == IDLE:
             self._next_request(self.loop.clock.now())
 
-    def last_answer(self, body: bytes, now: int) -> None:
-        """Answers what is held, and ends the connection."""
+    def send_and_close(self, body: bytes, now: int) -> None:
+        """Answers the held poll and then closes the connection."""
         self._keep_alive = False
         self.send(body, now)
 
     def refuse(self, status: HTTPStatus, why: str) -> None:
-        """Answers with an error and ends the connection."""
-        if self.state == LEAVING or not self.open:
+        """Answers with an error status and closes the connection."""
+        if self.state == CLOSING or not self.open:
             return
-        self.server.refused(self, status, why)
-        if self._unread is not None:  # in the midst of an answer there is no place for another
+        self.server.request_refused(self, status, why)
+        if self._unread is not None:  # an error can't be sent in the middle of another answer
             self.close(why)
             return
         try:
             self.sock.send(refusal(status, why))
-        except OSError:  # it has gone, or reads nothing
+        except OSError:  # the peer has gone or reads nothing
             self.close(why)
             return
-        self._leave(self.loop.clock.now())
+        self._begin_close(self.loop.clock.now())
 
-    def _leave(self, now: int) -> None:
-        """Ends our side; closed at once, bytes of theirs still under way would take the answer back."""
-        self.state = LEAVING
+    def _begin_close(self, now: int) -> None:
+        """Shuts down the sending side and waits for the peer to close.
+
+        After an immediate close, bytes still in flight from the peer would reset the connection and lose the
+        answer.
+        """
+        self.state = CLOSING
         self._pipelined.clear()
-        self.server.deadlines.set(self.deadline, now + LEAVE_NS)
+        self.server.deadlines.set(self.deadline, now + CLOSE_TIMEOUT_NS)
         try:
             self.sock.shutdown(socket.SHUT_WR)
-        except OSError:  # it has closed already
+        except OSError:  # the peer has already closed the connection
             self.close("done")
 
     # Ends
 
-    def _overdue(self, now: int) -> None:
+    def _deadline_passed(self, now: int) -> None:
         if not self.open:
             return
         if self.state == WAITING:
-            self.server.wait_ended(self, now)
+            self.server.wait_timed_out(self, now)
         elif self.state == SENDING:
             self.server.cut_off(self, "took no whole answer in time")
         elif self.state == IDLE:
-            self.server.idle_ended(self)
+            self.server.idle_timed_out(self)
         else:
             self.close("done")
 
@@ -245,4 +249,4 @@
         self.deadline.due_ns = 0
         self._unread = None
         self._pipelined.clear()
-        self.server.left(self)
+        self.server.connection_ended(self)
--- a/olivecourse/relay/deadlines.py
+++ b/olivecourse/relay/deadlines.py
@@ -1,35 +1,35 @@
-"""Deadlines of many connections, each of which moves its own all the time; without I/O.
+"""Deadlines of many connections, each of which is moved often; without I/O.
 
-Connections stand in buckets of time. One whose deadline is put off stays in its bucket and is moved when that
-comes due, so that a poll costs no timer of its own (the lazy form of a hashed timing wheel: G. Varghese and
-A. Lauck, "Hashed and Hierarchical Timing Wheels", 1987).
+Deadlines are grouped in time buckets. A postponed deadline stays in its bucket and moves only when that
+bucket comes due, so that a poll needs no timer of its own (the lazy form of a hashed timing wheel: G.
+Varghese and A. Lauck, "Hashed and Hierarchical Timing Wheels", 1987).
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-BUCKET_NS = 20_000_000  # how late a deadline may be met; nothing here is judged by less
+BUCKET_NS = 20_000_000  # how late a deadline may be met; no deadline here needs to be more precise
 
 
 class Deadline:
-    """Something that is to happen at `due_ns`."""
+    """A callback that is due at `due_ns`, or never if that is 0."""
 
     __slots__ = ("bucket", "call", "due_ns")
 
     def __init__(self, call: Callable[[int], object]) -> None:
-        """`call` is given the moment at which the deadline was found to be over."""
+        """`call` gets the time at which the deadline was found to have passed."""
         self.call = call
         self.due_ns = 0  # 0: never
-        self.bucket = 0  # the earliest one that holds it; 0: none
+        self.bucket = 0  # the earliest bucket that holds it; 0: none
 
 
 class Deadlines:
-    """All deadlines of a server, met up to BUCKET_NS late and never early."""
+    """All deadlines of a server; each is met up to BUCKET_NS late and never early."""
 
     def __init__(self, now: int) -> None:
         self._buckets: dict[int, list[Deadline]] = {}
-        self._next = now // BUCKET_NS  # the first bucket that has not been looked at
+        self._next = now // BUCKET_NS  # the first bucket that has not been processed
 
     def set(self, deadline: Deadline, due_ns: int) -> None:
         """Moves `deadline` to `due_ns`."""
@@ -48,7 +48,10 @@
             entries.append(deadline)
 
     def take_due(self, now: int) -> list[Deadline]:
-        """Takes out those that are over by `now`, the earliest first, for the caller to call."""
+        """Removes and returns the deadlines that have passed by `now`, for the caller to run.
+
+        They come in the order of their buckets.
+        """
         due: list[Deadline] = []
         last = now // BUCKET_NS
         while self._next <= last:
@@ -57,7 +60,7 @@
             for deadline in self._buckets.pop(bucket, ()):
                 if (
                     deadline.bucket != bucket or not deadline.due_ns
-                ):  # it stands in an earlier one, or is void
+                ):  # an earlier bucket holds it, or it is void
                     if deadline.bucket == bucket:
                         deadline.bucket = 0
                     continue
--- a/olivecourse/relay/event_log.py
+++ b/olivecourse/relay/event_log.py
@@ -1,4 +1,4 @@
-"""The newest events in one growing buffer, each encoded once; an answer is a slice of it."""
+"""The newest events, each encoded once into one growing buffer; an answer is a slice of the buffer."""
 
 from __future__ import annotations
 
@@ -7,48 +7,48 @@
 
 from olivecourse.relay.events import RelayEvent
 
-LEAST_TRIMMED = 1_024  # events: below this, moving the rest costs more than the room that it frees
+MIN_TRIMMED = 1_024  # events; moving the rest for fewer costs more than the memory it frees
 
 # Values come from a JSON parser and so hold no cycles.
 JSON_ENCODER = json.JSONEncoder(separators=(",", ":"), check_circular=False)
 
 
 def encode_json(value: object) -> bytes:
-    """Compact JSON in ASCII; raises RecursionError where `value` is nested too deeply."""
+    """Encodes `value` as compact ASCII JSON; raises RecursionError if it is nested too deeply."""
     return JSON_ENCODER.encode(value).encode("ascii")
 
 
 class EventLog:
-    """A run of events in ascending numbers: appended at its end, removed from its front.
+    """A queue of events in ascending numbers, appended at the end and removed from the front.
 
-    The buffer holds every encoded event followed by a comma. Removed events stay in the lists until they are
-    the greater part of them, so that a removal costs amortised constant time.
+    The buffer holds each encoded event followed by a comma. Removed events stay in the lists until they make
+    up at least half of them, so that a removal costs amortised constant time.
     """
 
     def __init__(self) -> None:
         self._buffer = bytearray()
         self._numbers: list[int] = []
         self._events: list[RelayEvent] = []
-        self._starts: list[int] = []  # in the buffer
-        self._head = 0  # events before it have been removed
+        self._starts: list[int] = []  # offset of each event in the buffer
+        self._head = 0  # index of the oldest retained event
 
     def __len__(self) -> int:
         return len(self._numbers) - self._head
 
     @property
     def size(self) -> int:
-        """Bytes of the retained events, encoded."""
+        """The encoded size of the retained events, in bytes."""
         if self._head == len(self._starts):
             return 0
         return len(self._buffer) - self._starts[self._head]
 
     @property
     def oldest_number(self) -> int:
-        """The number of the oldest retained event; there must be one."""
+        """The number of the oldest retained event; the log must not be empty."""
         return self._numbers[self._head]
 
     def append(self, event: RelayEvent, encoded: bytes) -> None:
-        """One more event; its number must be above all others."""
+        """Appends an event, whose number must be above those of all others."""
         self._numbers.append(event.number)
         self._events.append(event)
         self._starts.append(len(self._buffer))
@@ -56,14 +56,14 @@
         self._buffer += b","
 
     def remove_oldest(self) -> tuple[RelayEvent, bytes]:
-        """Takes the oldest event away and returns it, with its encoding."""
+        """Removes the oldest event and returns it with its encoding."""
         head = self._head
         event = self._events[head]
         last = head + 1 == len(self._starts)
         end = len(self._buffer) if last else self._starts[head + 1]
         encoded = bytes(self._buffer[self._starts[head] : end - 1])
         self._head = head + 1
-        if self._head >= LEAST_TRIMMED and self._head * 2 >= len(self._numbers):
+        if self._head >= MIN_TRIMMED and self._head * 2 >= len(self._numbers):
             self._trim()
         return event, encoded
 
@@ -77,12 +77,12 @@
         self._head = 0
 
     def first_after(self, number: int) -> int:
-        """The number of the first retained event above `number`, or 0 if there is none."""
+        """Returns the number of the first retained event above `number`, or 0 if there is none."""
         index = bisect_right(self._numbers, number, self._head)
         return self._numbers[index] if index < len(self._numbers) else 0
 
     def encoded_after(self, number: int) -> bytes:
-        """All retained events above `number`, encoded and joined by commas."""
+        """Returns the encodings of all retained events above `number`, joined by commas."""
         index = bisect_right(self._numbers, number, self._head)
         if index == len(self._numbers):
             return b""
--- a/olivecourse/relay/events.py
+++ b/olivecourse/relay/events.py
@@ -1,8 +1,9 @@
-"""Typed parsing of one numbered event of the notice board, as JSON gives it.
+"""Parsing of one numbered event of the notice board from decoded JSON.
 
-An event is passed on to watchers untouched. What is parsed here is only what folding needs: the members of a
-server list and the key and moment of a purge. A part that can't be used is counted and left to the gateways
-to refuse, as they would refuse it from the platform: a relay that dropped the event would hide its rest.
+An event is passed on to watchers unchanged. Only what folding needs is parsed here: the members of a server
+list, and the key and time of a purge. An unusable part is counted and passed on for the gateways to refuse,
+as they would if it came from the platform directly; a relay that dropped the event would hide its other
+parts.
 """
 
 from __future__ import annotations
@@ -14,25 +15,26 @@
 GONE = "Gone"
 PHASES = frozenset(("Ready", "Terminating", GONE))
 OBJECT_KEY = re.compile(r"[0-9a-f]{16}")
-HIGHEST_NUMBER = 2**63 - 1  # a larger one would not fit other readers' integers
+HIGHEST_NUMBER = 2**63 - 1  # a larger number would overflow the 64-bit integers of other readers
 
 PurgeKey = str | int
-"""An object's key (16 hex digits) or a group's number: never equal to each other."""
+"""An object's key (16 hex digits) or a group's number; a key never equals a number."""
 
 FOLDED_THROUGH = "folded_through"
-"""Of a folded list: the number of its newest change, where that is above the event's own. Relays write and
-read it; others ignore it, as they do all parts that they do not know."""
+"""Key in the event of a folded list: the number of the newest change in the list, if above the event's own.
+
+Relays write and read it; other readers ignore it like any unknown part."""
 
 UNUSABLE = (KeyError, TypeError, ValueError, OverflowError)
 
 
 class InvalidRelayEvent(ValueError):
-    """A value that is no numbered event; the text tells why."""
+    """A value that is not a numbered event; the message says why."""
 
 
 @dataclass
 class MemberChange:
-    """One store as an event tells it: always whole, under its id."""
+    """The complete entry of one store in an event; `name` is its id, `gone` says that it left the list."""
 
     name: str
     gone: bool
@@ -41,7 +43,7 @@
 
 @dataclass
 class PoolChange:
-    """A server list, or changes to it. `raw` is the event's part with all that is not known here."""
+    """A complete server list, or changes to one. `raw` is the original part, unknown fields included."""
 
     complete: bool
     members: list[MemberChange]
@@ -50,7 +52,7 @@
 
 @dataclass
 class Purge:
-    """A purge of an object or a group, made at the Unix millisecond `made_ms`."""
+    """A purge of an object or a group, issued at the Unix time `made_ms` in milliseconds."""
 
     key: PurgeKey
     made_ms: int
@@ -58,10 +60,11 @@
 
 @dataclass
 class RelayEvent:
-    """One event: its number, its usable parts, and the object that is passed on.
+    """One event: its number, its usable parts, and the original object that is passed on.
 
-    `folded_through` is the number up to which a whole list tells all changes: the event's own or a later one.
-    `unusable` counts parts and members that can't be folded; `has_unknown` tells of parts not known here.
+    `folded_through` is the number up to which a complete list includes all changes: the event's own number or
+    a higher one. `unusable` counts parts and members that can't be folded; `has_unknown` is true if there are
+    parts of unknown meaning.
     """
 
     number: int
@@ -74,7 +77,7 @@
 
 
 def parse_event(raw: object) -> RelayEvent:
-    """The event in `raw`; raises InvalidRelayEvent if it is no object or has no number above 0."""
+    """Parses an event; raises InvalidRelayEvent if `raw` is no object or has no number above 0."""
     if not isinstance(raw, dict):
         raise InvalidRelayEvent("an event is an object")
     number = _event_number(raw.get("rev"))
@@ -101,25 +104,25 @@
 
 
 def _event_number(value: Any) -> int:
-    """The number of an event, or 0 if `value` is none."""
+    """Returns `value` if it is a valid event number, else 0."""
     if not isinstance(value, int) or isinstance(value, bool):
         return 0
     return value if 0 < value <= HIGHEST_NUMBER else 0
 
 
 def _parse_pool(raw: Any) -> tuple[PoolChange | None, int]:
-    """The list or change in `raw`, and how many of its members can't be used."""
+    """Returns the list or change in `raw`, and the number of unusable members."""
     if not isinstance(raw, dict):
         return None, 1
-    told = raw.get("members", [])
-    if not isinstance(told, list):
+    entries = raw.get("members", [])
+    if not isinstance(entries, list):
         return None, 1
     members: list[MemberChange] = []
-    for entry in told:
+    for entry in entries:
         member = _parse_member(entry)
         if member is not None:
             members.append(member)
-    return PoolChange(bool(raw.get("complete")), members, raw), len(told) - len(members)
+    return PoolChange(bool(raw.get("complete")), members, raw), len(entries) - len(members)
 
 
 def _parse_member(raw: Any) -> MemberChange | None:
--- a/olivecourse/relay/history.py
+++ b/olivecourse/relay/history.py
@@ -1,16 +1,17 @@
-"""A relay's bounded history: a folded base and a run of the newest events after it, as a snapshot and a log.
+"""A relay's bounded event history: a compacted base (snapshot) and a run of the newest events after it (log).
 
-Numbers are the board's own and are passed through, so a watcher may go on at another relay with the number
-that it holds. Events leave the run at its front and are folded into the base: the server list by store,
-purges by key. A watcher whose number is in the run is answered with a slice of it; an older one gets what the
-base holds above its number, and then the whole run.
+Event numbers are those of the notice board, so a watcher may continue at another relay with the number that
+it holds. The oldest events of the run are folded into the base: server list entries by store, purges by key.
+A watcher whose number is in the run gets a slice of the run; an older one gets the events of the base above
+its number, and then the whole run.
 
-In such a compacted answer a purge has its own number. The list has the lowest number above the watcher's that
-no purge has, and tells in `folded_through` the number of its newest change. So an answer that is cut off can
-be taken up anywhere from the last event that was read: all changes up to that number have been told. And a
-relay that takes the list in knows that watchers between the two numbers still need it.
+In such a compacted answer each purge keeps its number. The server list gets the lowest number above the
+watcher's that no purge has, and `folded_through` holds the number of its newest change. A watcher whose
+answer was cut off can therefore continue anywhere from the last event that it read, because it has every
+change up to that number. A relay that folds the list knows that watchers between the two numbers still need
+the list.
 
-All moments are Unix time in nanoseconds, as purges tell theirs in Unix milliseconds.
+All times are Unix time in nanoseconds; purges carry theirs in Unix milliseconds.
 """
 
 from __future__ import annotations
@@ -25,21 +26,25 @@
 from olivecourse.relay.purges import PurgeRecord, UnsettledPurges
 
 S = 1_000_000_000  # nanoseconds
-CACHED_RUNS = 4  # times the run's bytes that all cached answers may have together
-MOST_CACHED_ANSWERS = 64  # numbers at which watchers wait at one moment; most wait at the last few
+MAX_CACHED_RUNS = 4  # total size of the cached answers, as a multiple of the run's size limit
+MAX_CACHED_ANSWERS = 64  # distinct numbers of waiting watchers; most wait at the last few
 
 
 @dataclass(frozen=True)
 class HistoryLimits:
-    """What a history may hold.
+    """Limits of an event history.
+
+    `most_bytes` and `most_events` bound the run of complete events. The run need only cover a watcher's poll
+    and a change to another relay: 4,096 events are half a minute at 150 events per second, and older events
+    take less memory when folded. The newest event is always kept, whatever its length.
+
+    `most_members` bounds the server list: about 15 times the stores of the largest deployment planned.
+
+    `most_purges` bounds the folded purges: over 1,000 per second through the whole retention.
 
-    `most_bytes` and `most_events` bound the run of whole events. The run need only outlast a watcher's poll
-    and a turn to another relay: 4,096 events are half a minute at 150 a second, and what is older costs less
-    folded. One event is kept whatever its length.
-    `most_members`: some 15 times the stores of the largest deployment planned.
-    `most_purges` bounds the folded purges: over 1,000 a second through the whole retention.
     `purge_retention_ns` must be at least the settings' `purge_settles`, after which no store holds an older
-    copy; the default is ten times the usual 6 s, as room for clocks that differ and stores that were away.
+    copy; the default is ten times the usual 6 s, to allow for clock differences and for stores that were
+    unreachable.
     """
 
     most_bytes: int = 2**20
@@ -57,7 +62,7 @@
 
 @dataclass(frozen=True)
 class AppendResult:
-    """Of the events given to `append`: how many were new, known already, and no events at all."""
+    """How many of the values given to `append` were new events, known events and invalid values."""
 
     taken: int
     known: int
@@ -66,8 +71,11 @@
 
 @dataclass(frozen=True)
 class HistoryCounters:
-    """Since the start. `unusable` parts are passed on and not folded; `unknown_dropped` are events that held
-    parts not known here when they left the run; `purges_evicted` and `members_refused` were over a limit."""
+    """Counters since the start.
+
+    `unusable` counts parts that are passed on but not folded, `unknown_dropped` events with parts of unknown
+    meaning that left the run, `purges_evicted` and `members_refused` those over a limit.
+    """
 
     taken: int
     known: int
@@ -86,23 +94,23 @@
 
 
 class WatcherTooOld(LookupError):
-    """What a watcher missed is no longer held in full: it must be refused here and not left to wait.
+    """The history no longer holds everything that a watcher missed, so its poll must be refused.
 
-    Raised while a limit on purges or members is exceeded, and only for numbers older than the run.
+    Raised only while a limit on purges or members is exceeded, and only for numbers older than the run.
     """
 
 
 class EventHistory:
-    """The events that a relay hands on, and what is left of the older ones."""
+    """The newest events that a relay passes on, and the compacted state of the older ones."""
 
     def __init__(self, limits: HistoryLimits) -> None:
         self._limits = limits
         self._run = EventLog()
         self._members = FoldedMembers(limits.most_members)
         self._purges = UnsettledPurges(limits.purge_retention_ns, limits.most_purges)
-        self._folded_through = 0  # watchers below this number need the base
-        self._listed = False
-        self._list_through = 0  # `folded_through` of the newest list that a relay above has folded
+        self._folded_through = 0  # a watcher below this number needs events of the base
+        self._list_known = False
+        self._list_through = 0  # `folded_through` of the newest list folded by an upstream relay, or 0
         self._revision = 0
         self._answers: dict[int, bytes] = {}
         self._answers_size = 0
@@ -124,8 +132,8 @@
 
     @property
     def ready(self) -> bool:
-        """Whether a whole server list has been appended. Before that nobody may be answered."""
-        return self._listed
+        """Whether a complete server list has been appended; before that no poll may be answered."""
+        return self._list_known
 
     @property
     def counters(self) -> HistoryCounters:
@@ -148,10 +156,10 @@
         )
 
     def append(self, events: Sequence[Any], now: int) -> AppendResult:
-        """Takes the events of an answer from upstream, each a value as JSON gives it, in any order.
+        """Appends the events of an upstream answer, given as decoded JSON values in any order.
 
-        Those at or below `revision` are known already: an upstream that has come back with older numbers, or
-        none, changes nothing.
+        Events at or below `revision` are ignored as known, so an upstream that has restarted with lower
+        numbers or without events changes nothing.
         """
         parsed, invalid = _parse_all(events)
         parsed.sort(key=_number)
@@ -161,10 +169,10 @@
                 continue
             try:
                 encoded = encode_json(event.raw)
-            except RecursionError:  # nested deeper than can be passed on
+            except RecursionError:  # nested too deeply to be encoded
                 invalid += 1
                 continue
-            self._take(event, encoded, now)
+            self._append_event(event, encoded, now)
             taken += 1
         self._purges.expire(now)
         if taken:
@@ -176,13 +184,13 @@
         self._invalid += invalid
         return AppendResult(taken, known, invalid)
 
-    def _take(self, event: RelayEvent, encoded: bytes, now: int) -> None:
+    def _append_event(self, event: RelayEvent, encoded: bytes, now: int) -> None:
         self._run.append(event, encoded)
         self._revision = event.number
         self._unusable += event.unusable
         pool = event.pool
         if pool is not None and pool.complete:
-            self._listed = True
+            self._list_known = True
             if event.folded_through > event.number:
                 self._list_through = event.folded_through
         run, limits = self._run, self._limits
@@ -192,9 +200,9 @@
             self._fold_through_list(now)
 
     def _fold_through_list(self, now: int) -> None:
-        """Folds the run as far as the newest whole list tells all changes, if a later event came.
+        """Folds the run up to the number through which the newest list includes all changes.
 
-        A watcher between the list's own number and that one would else be given a slice that lacks the list.
+        Otherwise a watcher between the list's own number and that number would get a slice without the list.
         """
         run = self._run
         while len(run) > 1 and run.oldest_number <= self._list_through:
@@ -212,37 +220,37 @@
         if event.pool is not None:
             self._members.fold(event.folded_through, event.pool)
         if event.purge is not None:
-            if event.pool is not None or event.has_unknown:  # its encoding holds more than the purge
+            if event.pool is not None or event.has_unknown:  # the event's encoding holds more than the purge
                 encoded = encode_json({"rev": event.number, "flush": event.raw["flush"]})
             self._purges.fold(event.number, event.purge, encoded, now)
 
     def since(self, revision: int, now: int) -> bytes | None:
-        """The JSON body for a watcher that holds `revision`; None if there is nothing later for it.
+        """Returns the JSON body for a watcher that holds `revision`, or None if there are no later events.
 
-        The same object is given to all who ask from the same events until the next append. Raises
-        WatcherTooOld where a limit was exceeded and the watcher may have missed what was dropped.
+        Until the next append, all watchers that lack the same events get the same object. Raises
+        WatcherTooOld if a limit was exceeded and the watcher may have missed what was dropped.
         """
-        if revision >= self._revision or not self._listed:
+        if revision >= self._revision or not self._list_known:
             return None
         revision = max(revision, 0)
         if revision >= self._folded_through:
             key = self._run.first_after(revision)
         else:
-            self._refuse_too_old(revision, now)
-            key = -1 - self._lowest_equal(revision)
+            self._check_not_too_old(revision, now)
+            key = -1 - self._equivalent_revision(revision)
         answer = self._answers.get(key)
         if answer is not None:
             self._answers_shared += 1
             return answer
         answer = self._encode_answer(revision)
-        self._keep_answer(key, answer)
+        self._cache_answer(key, answer)
         return answer
 
     def empty_answer(self) -> bytes:
-        """The JSON body for a wait that ran out."""
+        """Returns the JSON body, without events, for a poll that timed out."""
         return b'{"rev":%d,"notices":[]}' % self._revision
 
-    def _refuse_too_old(self, revision: int, now: int) -> None:
+    def _check_not_too_old(self, revision: int, now: int) -> None:
         if self._members.number > revision and not self._members.complete and self._members.refused:
             self._watchers_too_old += 1
             raise WatcherTooOld("more stores are listed than this relay may hold")
@@ -250,10 +258,10 @@
             self._watchers_too_old += 1
             raise WatcherTooOld("more purges are unsettled than this relay may hold")
 
-    def _lowest_equal(self, revision: int) -> int:
-        """A number that gets the same compacted answer, so that watchers with different ones share it."""
+    def _equivalent_revision(self, revision: int) -> int:
+        """Returns a number with the same compacted answer, so that watchers at different numbers share it."""
         members_number = self._members.number
-        if members_number > revision:  # the list's number depends on the watcher's
+        if members_number > revision:  # the list's event number depends on `revision`
             return revision
         lowest_purge = self._purges.lowest_number or self._folded_through
         return members_number if revision < lowest_purge else revision
@@ -270,9 +278,9 @@
         return b'{"rev":%d,"notices":[%b]}' % (self._revision, b",".join(parts))
 
     def _base_after(self, revision: int) -> list[bytes]:
-        """The base's events above `revision`, encoded, in ascending numbers.
+        """Returns the encoded events of the base above `revision`, in ascending numbers.
 
-        A watcher that has taken the newest change of the list needs no list.
+        The list is left out for a watcher that has taken its newest change.
         """
         records = self._purges.after(revision)
         parts = [record.encoded for record in records]
@@ -285,16 +293,18 @@
             FOLDED_THROUGH.encode(),
             self._members.number,
         )
-        if index < len(records) and records[index].number == number:  # all are taken: one event tells both
+        if (
+            index < len(records) and records[index].number == number
+        ):  # no number is free: one event holds both
             parts[index] = b"%b,%b" % (parts[index][:-1], pool)
         else:
             parts.insert(index, b'{"rev":%d,%b' % (number, pool))
         return parts
 
-    def _keep_answer(self, key: int, answer: bytes) -> None:
-        """Keeps the answer for others; one that is longer than the bound is kept alone."""
+    def _cache_answer(self, key: int, answer: bytes) -> None:
+        """Caches the answer for other watchers; an answer longer than the bound is cached alone."""
         size = self._answers_size + len(answer)
-        if size > CACHED_RUNS * self._limits.most_bytes or len(self._answers) >= MOST_CACHED_ANSWERS:
+        if size > MAX_CACHED_RUNS * self._limits.most_bytes or len(self._answers) >= MAX_CACHED_ANSWERS:
             self._answers.clear()
             self._answers_size = 0
         self._answers[key] = answer
@@ -302,7 +312,10 @@
 
 
 def _first_free_number(records: list[PurgeRecord], above: int, highest: int) -> tuple[int, int]:
-    """The lowest number above `above` that no purge has, or `highest`; and its place among the purges."""
+    """Returns the index among the purges and the value of the lowest number above `above` that no purge has.
+
+    If there is none below `highest`, the number is `highest`.
+    """
     number = above + 1
     index = 0
     while number < highest and index < len(records) and records[index].number == number:
@@ -316,7 +329,7 @@
 
 
 def _parse_all(events: Sequence[Any]) -> tuple[list[RelayEvent], int]:
-    """The events that have a number, and how many have none."""
+    """Returns the parsed events, and how many values are not events."""
     parsed: list[RelayEvent] = []
     invalid = 0
     for raw in events:
--- a/olivecourse/relay/members.py
+++ b/olivecourse/relay/members.py
@@ -1,4 +1,4 @@
-"""The server list as all events so far have made it, encoded only when somebody needs it whole."""
+"""The server list that results from all events so far; it is encoded only when a watcher needs all of it."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class FoldedMembers:
-    """The newest whole entry of each store, by id. A store that is gone leaves nothing behind.
+    """The newest complete entry of each store, by id. A store that is gone leaves no entry.
 
-    Only the entries that have changed are encoded again; the joined list is kept until the next change.
+    Only changed entries are encoded again; the encoded list is cached until the next change.
     """
 
     def __init__(self, most_members: int) -> None:
@@ -19,22 +19,22 @@
         self._members: dict[str, dict[str, Any]] = {}
         self._encoded_members: dict[str, bytes] = {}
         self._encoded_pool: bytes | None = None
-        self._extra: dict[str, Any] = {}  # all of the newest change but its members
-        self.number = 0  # of the newest change in it
-        self.complete = False  # whether a whole list is among what was folded
-        self.refused = 0  # members beyond the limit
+        self._extra: dict[str, Any] = {}  # the newest change without its members
+        self.number = 0  # number of the newest folded change
+        self.complete = False  # whether a complete list has been folded and all members fit
+        self.refused = 0  # count of members refused because of the limit
 
     def __len__(self) -> int:
         return len(self._members)
 
     def fold(self, number: int, change: PoolChange) -> None:
-        """Takes in one change, or a whole list as of `number`, in the order of their events.
+        """Applies a change, or a complete list as of `number`; calls must follow the order of events.
 
-        What a whole list as of a later number has told already is left out: a relay whose answer was cut off
-        may be given it again by another upstream.
+        A change that an already folded list includes is ignored: a relay whose answer was cut off may get it
+        again from another upstream.
 
-        Above the limit on members the list is no longer complete until the next whole one that fits: a list
-        that lacks stores must never pass for a whole one.
+        Above the limit on members the list is incomplete until the next complete one that fits, because a
+        list that lacks stores must never be served as complete.
         """
         if number <= self.number:
             return
@@ -60,7 +60,7 @@
             self.complete = False
 
     def encoded_pool(self) -> bytes:
-        """The whole list, as the `pool` of an event."""
+        """Returns the complete list, encoded as the `pool` part of an event."""
         if self._encoded_pool is None:
             self._encoded_pool = self._encode_pool()
         return self._encoded_pool
--- a/olivecourse/relay/purges.py
+++ b/olivecourse/relay/purges.py
@@ -1,4 +1,4 @@
-"""The newest purge of each key for as long as some store may still hold an older copy."""
+"""The newest purge of each key, retained as long as a store may still hold an older copy of the object."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass
 class PurgeRecord:
-    """One purge that is kept: its event's number, its moment, when it is settled, and its event encoded."""
+    """A retained purge: its event's number, when it was issued, when it settles, and its encoded event."""
 
     number: int
     made_ms: int
@@ -21,17 +21,18 @@
 
 
 class UnsettledPurges:
-    """Purges by key, in ascending numbers of their events.
+    """Purges by key, in the ascending order of their events' numbers.
 
-    A purge is settled `retention_ns` after it was made or was folded here, whichever was first: it was made
-    before it came, unless clocks differ, and then the moment of folding bounds how long it is kept.
+    A purge settles `retention_ns` after it was issued or was folded here, whichever came first. A purge is
+    issued before it is folded unless clocks differ; in that case the time of folding bounds the retention.
 
-    Objects and groups are different keys. A relay does not know which objects are in a group, so a group's
-    purge replaces no object's and the reverse.
+    Objects and groups have different keys. A relay does not know which objects belong to a group, so the
+    purge of a group does not replace that of an object, nor the reverse.
 
-    When more than `most_purges` are unsettled the oldest is evicted, and `incomplete_before` tells from then
-    on, until it is settled, below which number a watcher can't be told all that it missed. To refuse new ones
-    instead would make them late for every watcher; this way only those far behind bear it, and are told so.
+    When more than `most_purges` are unsettled, the oldest is evicted. From then until it would have settled,
+    `incomplete_before` returns the number below which a watcher can't get all events that it missed. Refusing
+    new purges instead would delay them for every watcher; eviction affects only watchers far behind, and they
+    get an error.
     """
 
     def __init__(self, retention_ns: int, most_purges: int) -> None:
@@ -40,15 +41,15 @@
         self._records: OrderedDict[PurgeKey, PurgeRecord] = OrderedDict()
         self._evicted_number = 0
         self._evicted_settled_ns = 0
-        self.superseded = 0  # folded: another purge of the key is as new or newer
-        self.settled = 0  # dropped, as nothing older can be left anywhere
-        self.evicted = 0  # dropped before they were settled
+        self.superseded = 0  # folded purges for whose key another purge is as new or newer
+        self.settled = 0  # purges dropped because no store can hold an older copy any more
+        self.evicted = 0  # purges dropped before they had settled
 
     def __len__(self) -> int:
         return len(self._records)
 
     def fold(self, number: int, purge: Purge, encoded: bytes, now: int) -> None:
-        """Takes one purge in, at the Unix time `now` in nanoseconds; numbers must ascend."""
+        """Folds one purge at the Unix time `now` in nanoseconds; numbers must ascend."""
         settled_ns = min(now, purge.made_ms * MS) + self._retention_ns
         if settled_ns <= now:
             self.settled += 1
@@ -56,7 +57,7 @@
         known = self._records.get(purge.key)
         if known is not None:
             self.superseded += 1
-            if known.made_ms > purge.made_ms:  # told later and made earlier: the known one covers it
+            if known.made_ms > purge.made_ms:  # issued earlier than the known one, which covers it
                 return
             del self._records[purge.key]
         self._records[purge.key] = PurgeRecord(number, purge.made_ms, settled_ns, encoded)
@@ -73,7 +74,7 @@
         self._evicted_settled_ns = max(self._evicted_settled_ns, record.settled_ns)
 
     def expire(self, now: int) -> None:
-        """Drops settled purges from the front: each `retention_ns` after its folding, at the latest."""
+        """Drops settled purges from the front, each at the latest `retention_ns` after it was folded."""
         while self._records:
             key = next(iter(self._records))
             if self._records[key].settled_ns > now:
@@ -82,16 +83,16 @@
             self.settled += 1
 
     def incomplete_before(self, now: int) -> int:
-        """A watcher below this number may lack a purge that was evicted unsettled; 0 if there is none."""
+        """Returns the number below which a watcher may lack an evicted, unsettled purge; 0 if none."""
         return self._evicted_number if now < self._evicted_settled_ns else 0
 
     @property
     def lowest_number(self) -> int:
-        """The number of the oldest purge that is kept, or 0."""
+        """The number of the oldest retained purge, or 0."""
         if not self._records:
             return 0
         return next(iter(self._records.values())).number
 
     def after(self, number: int) -> list[PurgeRecord]:
-        """Those above `number`, in ascending numbers."""
+        """Returns the retained purges above `number`, in ascending order of numbers."""
         return [record for record in self._records.values() if record.number > number]
--- a/olivecourse/relay/requests.py
+++ b/olivecourse/relay/requests.py
@@ -1,4 +1,4 @@
-"""The targets of HTTP requests that a relay knows, parsed; without I/O."""
+"""Parsing of the HTTP request targets that a relay serves; without I/O."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 POLL_PATH = b"/board/poll"
 STATUS_PATH = b"/relay/status"
-HIGHEST_NUMBER = 2**63 - 1  # of events: a larger one would not fit other readers' integers
+HIGHEST_NUMBER = 2**63 - 1  # of events; a larger one would overflow the 64-bit integers of other readers
 
-# What gateways and relays send, word for word; all else takes the longer way below.
+# The exact form that gateways and relays send; other forms take the slower general parser below.
 USUAL_POLL = re.compile(
     rb"/board/poll\?watch=(\d{1,18})&linger=(\d{1,9})(?:&low=(\d{1,18})&count=(\d{1,9}))?"
 )
@@ -16,14 +16,14 @@
 
 
 class BadTarget(ValueError):
-    """A target whose parameters can't be used; the text tells why."""
+    """A target with unusable parameters; the message says why."""
 
 
 class PollRequest:
-    """One poll: the number that the watcher holds and how many ms it will wait.
+    """One poll: the event number that the watcher holds, and how many milliseconds it will wait.
 
-    `low` is what all below a relay have taken, and `count` how many gateways that are; for a gateway None
-    and 1.
+    For a relay, `low` is the number that all its watchers have taken and `count` the number of gateways below
+    it; for a gateway they are None and 1.
     """
 
     __slots__ = ("count", "linger_ms", "low", "revision")
@@ -36,45 +36,45 @@
 
 
 def path_of(target: bytes) -> bytes:
-    """The target without its query."""
+    """Returns the target without its query."""
     return target.partition(b"?")[0]
 
 
 def parse_poll(target: bytes) -> PollRequest:
-    """The poll that `target`, whose path is POLL_PATH, asks for; raises BadTarget.
+    """Parses the poll in `target`, whose path is POLL_PATH; raises BadTarget.
 
-    Unknown parameters are ignored; of one that is given twice the last counts.
+    Unknown parameters are ignored; the last value of a repeated parameter counts.
     """
-    usual = USUAL_POLL.fullmatch(target)
-    if usual is not None:
-        low = usual[3]
+    usual_match = USUAL_POLL.fullmatch(target)
+    if usual_match is not None:
+        low = usual_match[3]
         if low is None:
-            return PollRequest(int(usual[1]), int(usual[2]))
-        return PollRequest(int(usual[1]), int(usual[2]), int(low), int(usual[4]))
-    given = _parameters(target)
-    revision = _number(given, b"watch")
-    linger_ms = _number(given, b"linger")
+            return PollRequest(int(usual_match[1]), int(usual_match[2]))
+        return PollRequest(int(usual_match[1]), int(usual_match[2]), int(low), int(usual_match[4]))
+    parameters = _parameters(target)
+    revision = _number(parameters, b"watch")
+    linger_ms = _number(parameters, b"linger")
     if revision is None or linger_ms is None:
         raise BadTarget("watch and linger are needed")
-    count = _number(given, b"count")
-    return PollRequest(revision, linger_ms, _number(given, b"low"), 1 if count is None else count)
+    count = _number(parameters, b"count")
+    return PollRequest(revision, linger_ms, _number(parameters, b"low"), 1 if count is None else count)
 
 
 def number_parameter(target: bytes, name: bytes) -> int | None:
-    """One number of a target's query; None if absent. Raises BadTarget."""
+    """Returns a numeric parameter of a target's query, or None if it is absent; raises BadTarget."""
     return _number(_parameters(target), name)
 
 
 def _parameters(target: bytes) -> dict[bytes, bytes]:
-    given: dict[bytes, bytes] = {}
+    parameters: dict[bytes, bytes] = {}
     for pair in target.partition(b"?")[2].split(b"&"):
         name, _, value = pair.partition(b"=")
-        given[name] = value
-    return given
+        parameters[name] = value
+    return parameters
 
 
-def _number(given: dict[bytes, bytes], name: bytes) -> int | None:
-    value = given.get(name)
+def _number(parameters: dict[bytes, bytes], name: bytes) -> int | None:
+    value = parameters.get(name)
     if value is None:
         return None
     if DIGITS.fullmatch(value) is None or int(value) > HIGHEST_NUMBER:
--- a/olivecourse/relay/responses.py
+++ b/olivecourse/relay/responses.py
@@ -1,4 +1,4 @@
-"""HTTP responses of a relay, encoded; without I/O."""
+"""Encoding of a relay's HTTP responses; without I/O."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def answer_head(length: int, keep_alive: bool) -> bytes:
-    """The head of a 200 with a JSON body of `length` bytes."""
+    """Returns the head of a 200 response with a JSON body of `length` bytes."""
     return b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n%b\r\n" % (
         length,
         b"" if keep_alive else CLOSING,
@@ -16,7 +16,7 @@
 
 
 def refusal(status: HTTPStatus, why: str) -> bytes:
-    """A whole response that refuses a request and announces the end of its connection."""
+    """Returns a complete error response that announces the close of the connection."""
     body = f"{why}\n".encode()
     allow = b"Allow: GET\r\n" if status is HTTPStatus.METHOD_NOT_ALLOWED else b""
     return b"HTTP/1.1 %d %b\r\nContent-Type: text/plain\r\nContent-Length: %d\r\n%b%b\r\n%b" % (
--- a/olivecourse/relay/section.py
+++ b/olivecourse/relay/section.py
@@ -1,4 +1,4 @@
-"""The `relay:` section of an operator's file: where a relay listens, whom it polls, and its limits."""
+"""The `relay:` section of an operator's file: listening address, upstreams and limits of a relay."""
 
 from __future__ import annotations
 
@@ -16,32 +16,32 @@
 MS = 1_000_000  # nanoseconds
 S = 1_000 * MS
 KB = 1024
-MOST_UPSTREAMS = 16  # more relays than a whole fleet has
-LEASE_BEYOND_WAIT_S = 2  # for an answer to arrive and the next poll to come
+MAX_UPSTREAMS = 16  # more than the relays of a whole fleet
+MIN_LEASE_MARGIN_S = 2  # for an answer to reach the watcher and its next poll to arrive
 
 
 class RelaySection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What may stand in the section.
+    """The fields of the section, with their defaults.
 
     | field | unit | why this default |
     | --- | --- | --- |
     | `listen`, `upstreams` | HOST:PORT | none; the first upstream is preferred |
-    | `report_upstream` | | off: only relays of ours are sure to take the further parameters of a poll |
-    | `lease_s` | seconds | three of the longest waits: one lost poll must not count as a dead gateway |
-    | `longest_wait_ms` | ms | what the platform's protocol allows a poll to wait |
-    | `shortest_grace_ms` | ms | shortest grace of the settings (drains, purges); sets the pace of polls |
+    | `report_upstream` | | off: only a relay, not the platform, is sure to accept the extra poll parameters |
+    | `lease_s` | seconds | three times the longest wait: one lost poll must not count as a dead gateway |
+    | `longest_wait_ms` | ms | the longest wait that the platform's protocol allows a poll |
+    | `shortest_grace_ms` | ms | shortest grace of the settings (drains, purges); sets the pace of answers |
     | `purge_retention_s` | seconds | ten times the usual `purge_settles` of 6 s |
     | `history_kb`, `history_events` | KB, events | half a minute at 150 purges a second |
     | `most_members` | stores | 15 times the largest deployment planned |
     | `most_purges` | purges | over 1,000 a second through the whole retention |
-    | `most_watchers` | connections | the largest fleet planned, all on the last relay left |
-    | `most_unread_kb` | KB | four of the longest answers: slow readers together hold no more |
-    | `read_timeout_ms` | ms | a gateway gives up an answer after 0.7 s; four times that |
-    | `idle_timeout_ms` | ms | gateways poll several times a second; the rest has gone silently |
+    | `most_watchers` | connections | the largest fleet planned, if a single relay is left for it |
+    | `most_unread_kb` | KB | four of the longest answers; bounds the answers held for all slow readers |
+    | `read_timeout_ms` | ms | about four times the 0.7 s after which a gateway abandons an answer |
+    | `idle_timeout_ms` | ms | gateways poll several times a second; an idle peer has gone silently |
     """
 
     listen: str
-    upstreams: Annotated[list[str], msgspec.Meta(min_length=1, max_length=MOST_UPSTREAMS)]
+    upstreams: Annotated[list[str], msgspec.Meta(min_length=1, max_length=MAX_UPSTREAMS)]
     report_upstream: bool = False
     lease_s: Annotated[float, msgspec.Meta(ge=1, le=600)] = 15.0
     longest_wait_ms: Annotated[int, msgspec.Meta(ge=100, le=5_000)] = 5_000
@@ -62,11 +62,11 @@
             parse_address(upstream)
         if self.listen in self.upstreams:
             raise ValueError("upstreams: a relay can't poll itself")
-        if self.lease_s * 1000 < self.longest_wait_ms + LEASE_BEYOND_WAIT_S * 1000:
-            raise ValueError(f"lease_s is to be {LEASE_BEYOND_WAIT_S} s more than longest_wait_ms")
+        if self.lease_s * 1000 < self.longest_wait_ms + MIN_LEASE_MARGIN_S * 1000:
+            raise ValueError(f"lease_s is to be {MIN_LEASE_MARGIN_S} s more than longest_wait_ms")
 
     def history_limits(self) -> HistoryLimits:
-        """The history's part of the limits."""
+        """Returns the limits of the event history."""
         return HistoryLimits(
             most_bytes=self.history_kb * KB,
             most_events=self.history_events,
@@ -76,11 +76,11 @@
         )
 
     def addresses(self) -> list[Address]:
-        """The upstreams, parsed."""
+        """Returns the parsed addresses of the upstreams."""
         return [parse_address(text) for text in self.upstreams]
 
 
-# Taken at the start only; a reload names those that differ.
+# Fields that only a start applies; a reload logs those that differ.
 FIXED_AT_START = (
     "listen",
     "lease_s",
@@ -94,14 +94,14 @@
 
 @dataclass(frozen=True)
 class RelayConfig:
-    """A relay's name and its section."""
+    """A relay's name and its `relay:` section."""
 
     name: str
     section: RelaySection
 
 
 def read_relay(path: str) -> RelayConfig:
-    """The relay described by the operator's file at `path`; raises BadSection with one line of text."""
+    """Reads a relay's configuration from the operator's file; raises BadSection with a one-line message."""
     section = read_section(path, "relay", RelaySection)
     if section is None:
         raise BadSection(f"{path}: relay: missing")
--- a/olivecourse/relay/server.py
+++ b/olivecourse/relay/server.py
@@ -1,7 +1,8 @@
-"""The listening side of a relay: long polls held and answered, in the platform's own protocol.
+"""The server of a relay: holds and answers long polls in the platform's protocol.
 
-`GET /board/poll?watch=N&linger=MS` is answered once events above N exist, or with none after MS ms. All that
-costs time in proportion to the number of watchers is done in slices, so that no turn of the loop is long.
+`GET /board/poll?watch=N&linger=MS` is answered once events above N exist, or without events after MS
+milliseconds. Work proportional to the number of watchers is done in slices, so that no turn of the loop is
+long.
 """
 
 from __future__ import annotations
@@ -24,49 +25,49 @@
 from olivecourse.relay.watermarks import LowWaterMark
 
 MS = 1_000_000
-READ_BUDGET_NS = 30 * MS  # of a turn, for reading polls and answering them at once; and for deferred ones
-SLICE_NS = 20 * MS  # of a turn, for answering those that waited
-ACCEPTED_A_TURN = 64  # some 5 ms of work
-BACKLOG = 4_096  # connections that the system holds for us: gateways of a dead relay come together
-SEND_BUFFER_BYTES = 262_144  # of the system, a connection: thousands must not take gigabytes of it
-MOST_TURNED_AWAY = 256  # connections that are told that the table is full
-ACCEPT_AGAIN_NS = 50 * MS  # out of descriptors
+READ_BUDGET_NS = 30 * MS  # per turn, for reading and answering new polls, and again for deferred reads
+SLICE_NS = 20 * MS  # per turn, for answering the polls that waited
+MAX_ACCEPTED_PER_TURN = 64  # about 5 ms of work
+BACKLOG = 4_096  # connections not yet accepted; all gateways of a failed relay connect at the same time
+SEND_BUFFER_BYTES = 262_144  # per connection in the kernel; thousands must not take gigabytes
+MAX_REFUSED_CONNECTIONS = 256  # refused connections that may still be reading their refusal
+ACCEPT_RETRY_NS = 50 * MS  # delay before accepting again after running out of descriptors
 
 StatusReport = Callable[[bytes, int], bytes]
 
 
 @dataclass
 class ServerLimits:
-    """What a reload may change."""
+    """The limits of a relay server that a reload may change."""
 
     most_watchers: int
     longest_wait_ms: int
     read_timeout_ns: int
     idle_timeout_ns: int
     most_unread_bytes: int
-    pace_ns: int  # the least time between two answers to all who wait
+    pace_ns: int  # the least time between two rounds of answers to waiting polls
 
 
 @dataclass
 class ServerCounters:
-    """Since the start."""
+    """Counters since the start, written to the status under their names."""
 
     polls: int = 0
     answers: int = 0
     empty_answers: int = 0
-    bytes: int = 0  # of answers, without their heads
-    not_ready: int = 0  # polls answered 503 before the first whole list
-    too_old: int = 0  # polls answered 503, as what they missed is no longer held
+    bytes: int = 0  # sum of the answers' bodies
+    not_ready: int = 0  # polls answered 503 before the first complete server list
+    too_old: int = 0  # polls answered 503 because the history no longer holds all missed events
     bad_requests: int = 0
-    cut_off: int = 0  # slow readers
+    cut_off: int = 0  # connections closed for reading too slowly
     idle_closed: int = 0
     refused_full: int = 0
     accept_failed: int = 0
-    connections: int = 0  # accepted
+    connections: int = 0  # accepted connections
 
 
 class RelayServer:
-    """Holds the watchers of one relay and answers them from its history."""
+    """Holds the watchers' connections of one relay and answers their polls from its history."""
 
     def __init__(
         self,
@@ -78,7 +79,10 @@
         status: StatusReport,
         log: Callable[..., None],
     ) -> None:
-        """`status` gives the body of a status call for its target at a moment. Raises OSError."""
+        """`status` returns the body of a status answer for a target and a time.
+
+        Raises OSError if the server can't listen at `address`.
+        """
         self.loop = loop
         self.history = history
         self.marks = marks
@@ -90,14 +94,14 @@
         self._log = log
         self._unread = UnreadAnswers(limits.most_unread_bytes)
         self._keys = itertools.count(1)
-        self._leaving: dict[int, WatcherConnection] = {}  # turned away, the oldest first
+        self._refused_connections: dict[int, WatcherConnection] = {}  # refused connections, oldest first
         self._deferred: dict[int, WatcherConnection] = {}
         self._waiting: dict[int, WatcherConnection] = {}
         self._to_answer: list[WatcherConnection] = []
         self._answer_again = False
         self._answer_scheduled = False
-        self._answered_ns = 0  # when all who waited were last answered
-        self._turn_began = 0
+        self._answered_ns = 0  # start of the last round of answers
+        self._turn_started_ns = 0
         self._stopping = False
         self.apply_limits(limits)
         self._sock: socket.socket | None = listen(address)
@@ -106,20 +110,20 @@
         self.port: int = self._sock.getsockname()[1]
         self._accepting = True
         loop.watch(self._sock, READ, self._accept)
-        loop.after(BUCKET_NS, self._meet_deadlines)
+        loop.after(BUCKET_NS, self._run_deadlines)
 
     @property
     def waiting(self) -> int:
-        """Polls that are held."""
+        """The number of held polls."""
         return len(self._waiting)
 
     @property
     def unread_bytes(self) -> int:
-        """Bytes of answers that slow readers have not taken, shared ones counted once."""
+        """The size in bytes of answers held for slow readers; a shared answer counts once."""
         return self._unread.size
 
     def apply_limits(self, limits: ServerLimits) -> None:
-        """Goes by other limits from now on; connections over a lower one stay."""
+        """Applies other limits; connections above a lowered limit stay open."""
         self._limits = limits
         self.read_timeout_ns = limits.read_timeout_ns
         self.idle_timeout_ns = limits.idle_timeout_ns
@@ -128,92 +132,98 @@
     # Turns of the loop
 
     def turn_ended(self) -> None:
-        """To be called after each turn of the loop."""
-        self._turn_began = 0
+        """Resets the read budget; must be called after each turn of the loop."""
+        self._turn_started_ns = 0
 
-    def work_time(self) -> int:
-        """The moment now, or 0 if this turn has read for long enough: then see `defer`."""
+    def time_within_budget(self) -> int:
+        """Returns the current time, or 0 if this turn's read budget is used up; then call `defer`."""
         now = self.loop.clock.now()
-        if not self._turn_began:
-            self._turn_began = now
-        elif now - self._turn_began > READ_BUDGET_NS:
+        if not self._turn_started_ns:
+            self._turn_started_ns = now
+        elif now - self._turn_started_ns > READ_BUDGET_NS:
             return 0
         return now
 
     def defer(self, watcher: WatcherConnection) -> None:
-        """This turn has no time left for what `watcher` sent: first come, first served in later ones.
+        """Defers a watcher's read to the next turn, where deferred reads run in order of arrival.
 
-        Left to the selector, which tells the same sockets first in each turn, busy ones could starve others.
+        The selector reports the same sockets first in each turn, so busy sockets could starve the others.
         """
         if not self._deferred:
             self.loop.next_turn(self._read_deferred)
         self._deferred[watcher.key] = watcher
 
     def _read_deferred(self) -> None:
-        self._turn_began = 0  # a budget of their own, beyond which they defer themselves again
+        self._turn_started_ns = 0  # deferred reads get their own budget, beyond which they are deferred again
         deferred, self._deferred = self._deferred, {}
         for watcher in deferred.values():
             try:
-                watcher.read_deferred()
-            except Exception as error:  # that connection is closed; the others go on
+                watcher.read_deferred_bytes()
+            except Exception as error:  # an error of one connection must not stop the others
                 self.loop.faulted("socket", error)
 
-    def later(self, call: Callable[[], object]) -> None:
-        """Calls in the next turn of the loop."""
+    def call_next_turn(self, call: Callable[[], object]) -> None:
+        """Runs `call` in the next turn of the loop."""
         self.loop.next_turn(call)
 
-    def _meet_deadlines(self) -> None:
+    def _run_deadlines(self) -> None:
         due = self.deadlines.take_due(self.loop.clock.now())
         if due:
-            self._call_due(due)
-        if self._sock is not None or self.watchers or self._leaving:
-            self.loop.after(BUCKET_NS, self._meet_deadlines)
-
-    def _call_due(self, due: list[Deadline]) -> None:
-        """Thousands may be due at once: those that one slice leaves have the next turn."""
-        began = now = self.loop.clock.now()
-        called = 0
-        while called < len(due) and now - began <= SLICE_NS:
-            deadline = due[called]
-            called += 1
-            if deadline.due_ns and deadline.due_ns <= now:  # not moved since
+            self._run_due(due)
+        if self._sock is not None or self.watchers or self._refused_connections:
+            self.loop.after(BUCKET_NS, self._run_deadlines)
+
+    def _run_due(self, due: list[Deadline]) -> None:
+        """Runs due deadlines for one slice of time and leaves the rest to the next turn.
+
+        Thousands may be due at once.
+        """
+        started_ns = now = self.loop.clock.now()
+        run_count = 0
+        while run_count < len(due) and now - started_ns <= SLICE_NS:
+            deadline = due[run_count]
+            run_count += 1
+            if deadline.due_ns and deadline.due_ns <= now:  # it has not been moved since
                 deadline.call(now)
             now = self.loop.clock.now()
-        if called < len(due):
-            self.loop.next_turn(partial(self._call_due, due[called:]))
+        if run_count < len(due):
+            self.loop.next_turn(partial(self._run_due, due[run_count:]))
 
     # Connections
 
     def _accept(self, mask: int) -> None:
-        for _ in range(ACCEPTED_A_TURN):
+        for _ in range(MAX_ACCEPTED_PER_TURN):
             if self._sock is None:
                 return
             try:
                 sock, address = self._sock.accept()
             except (BlockingIOError, InterruptedError):
                 return
-            except ConnectionError:  # it was gone again
+            except ConnectionError:  # the peer has already gone
                 continue
             except OSError as error:
                 self._accept_failed(error)
                 return
-            self._adopt(sock, f"{address[0]}:{address[1]}")
+            self._add_connection(sock, f"{address[0]}:{address[1]}")
 
     def _accept_failed(self, error: OSError) -> None:
-        """Most likely out of descriptors: the listening socket stays readable, and is left alone a while."""
+        """Stops accepting for a while, most likely for lack of descriptors.
+
+        The listening socket stays readable, so that watching it on would keep the loop busy.
+        """
         self.counters.accept_failed += 1
         self._log("relay_accept_failed", why=str(error))
         if self._sock is not None and self._accepting:
             self._accepting = False
             self.loop.forget(self._sock)
-            self.loop.after(ACCEPT_AGAIN_NS, self._accept_again)
+            self.loop.after(ACCEPT_RETRY_NS, self._accept_again)
 
     def _accept_again(self) -> None:
         if self._sock is not None:
             self._accepting = True
             self.loop.watch(self._sock, READ, self._accept)
 
-    def _adopt(self, sock: socket.socket, name: str) -> None:
+    def _add_connection(self, sock: socket.socket, name: str) -> None:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.counters.connections += 1
@@ -221,43 +231,46 @@
         watcher = WatcherConnection(self, sock, name, key)
         if len(self.watchers) >= self._limits.most_watchers:
             self.counters.refused_full += 1
-            self._turn_away(watcher)
+            self._refuse_connection(watcher)
             return
         self.watchers[key] = watcher
         self.deadlines.set(watcher.deadline, self.loop.clock.now() + self.idle_timeout_ns)
 
-    def _turn_away(self, watcher: WatcherConnection) -> None:
-        """Refuses a newcomer. It has a moment to read that, but a flood of them must not hold descriptors."""
-        self._leaving[watcher.key] = watcher
+    def _refuse_connection(self, watcher: WatcherConnection) -> None:
+        """Refuses a new connection.
+
+        The peer has some time to read the refusal, but many refused connections must not use up descriptors.
+        """
+        self._refused_connections[watcher.key] = watcher
         watcher.refuse(HTTPStatus.SERVICE_UNAVAILABLE, "this relay is full")
-        if len(self._leaving) > MOST_TURNED_AWAY:
-            next(iter(self._leaving.values())).close("full")
+        if len(self._refused_connections) > MAX_REFUSED_CONNECTIONS:
+            next(iter(self._refused_connections.values())).close("full")
 
-    def left(self, watcher: WatcherConnection) -> None:
-        """A connection has ended."""
+    def connection_ended(self, watcher: WatcherConnection) -> None:
+        """Removes a connection that has ended."""
         self.watchers.pop(watcher.key, None)
-        self._leaving.pop(watcher.key, None)
+        self._refused_connections.pop(watcher.key, None)
         self._waiting.pop(watcher.key, None)
         self._unread.release(watcher.key)
         if watcher.polled:
             self.marks.disconnected(watcher.name, self.loop.clock.now())
 
-    def refused(self, watcher: WatcherConnection, status: HTTPStatus, why: str) -> None:
-        """A request has been answered with an error."""
+    def request_refused(self, watcher: WatcherConnection, status: HTTPStatus, why: str) -> None:
+        """Counts and logs a request that is answered with an error."""
         self._waiting.pop(watcher.key, None)
         if status is not HTTPStatus.SERVICE_UNAVAILABLE:
             self.counters.bad_requests += 1
             self._log("relay_bad_request", peer=watcher.name, status=int(status), why=why)
 
-    def idle_ended(self, watcher: WatcherConnection) -> None:
-        """A connection has asked nothing for too long."""
+    def idle_timed_out(self, watcher: WatcherConnection) -> None:
+        """Closes a connection without a request for too long."""
         self.counters.idle_closed += 1
         watcher.close("idle")
 
     # Requests
 
     def handle(self, watcher: WatcherConnection, method: bytes, target: bytes, now: int) -> None:
-        """One whole request."""
+        """Handles one complete request."""
         if method == b"GET" and target.startswith(POLL_PATH + b"?"):
             self._handle_poll(watcher, target, now)
             return
@@ -274,16 +287,16 @@
     def _handle_status(self, watcher: WatcherConnection, target: bytes, now: int) -> None:
         try:
             body = self._status(target, now)
-        except BadTarget as bad:
-            watcher.refuse(HTTPStatus.BAD_REQUEST, str(bad))
+        except BadTarget as error:
+            watcher.refuse(HTTPStatus.BAD_REQUEST, str(error))
             return
         watcher.send(body, now)
 
     def _handle_poll(self, watcher: WatcherConnection, target: bytes, now: int) -> None:
         try:
             poll = parse_poll(target)
-        except BadTarget as bad:
-            watcher.refuse(HTTPStatus.BAD_REQUEST, str(bad))
+        except BadTarget as error:
+            watcher.refuse(HTTPStatus.BAD_REQUEST, str(error))
             return
         self.counters.polls += 1
         watcher.poll = poll
@@ -298,13 +311,13 @@
             return
         wait_ms = min(poll.linger_ms, self._limits.longest_wait_ms)
         if not wait_ms or self._stopping:
-            self.wait_ended(watcher, now)
+            self.wait_timed_out(watcher, now)
             return
         self._waiting[watcher.key] = watcher
-        watcher.wait(now + wait_ms * MS)
+        watcher.hold(now + wait_ms * MS)
 
     def _answer(self, watcher: WatcherConnection, now: int) -> bool:
-        """Whether the poll has been answered, or refused."""
+        """Answers the poll if there are events for it; returns whether it was answered or refused."""
         try:
             body = self.history.since(watcher.poll.revision, now)
         except WatcherTooOld as why:
@@ -322,12 +335,12 @@
         self._waiting.pop(watcher.key, None)
         self.counters.bytes += len(body)
         if self._stopping:
-            watcher.last_answer(body, now)
+            watcher.send_and_close(body, now)
         else:
             watcher.send(body, now)
 
-    def wait_ended(self, watcher: WatcherConnection, now: int) -> None:
-        """There is nothing for a poll, and it may wait no longer."""
+    def wait_timed_out(self, watcher: WatcherConnection, now: int) -> None:
+        """Answers a poll whose wait has ended: without events, or with 503 before the first complete list."""
         if not self.history.ready:
             self.counters.not_ready += 1
             watcher.refuse(HTTPStatus.SERVICE_UNAVAILABLE, "no whole list is known yet")
@@ -338,7 +351,7 @@
     # Answers to all who wait
 
     def events_appended(self) -> None:
-        """The history has grown: who waits is answered, at once if that has not just been done."""
+        """Schedules a round of answers to the waiting polls, at least `pace_ns` after the last round."""
         if self._answer_scheduled:
             return
         if self._to_answer:
@@ -347,25 +360,25 @@
         self._answer_scheduled = True
         delay_ns = self._answered_ns + self._limits.pace_ns - self.loop.clock.now()
         if delay_ns > 0:
-            self.loop.after(delay_ns, self._answer_all)
+            self.loop.after(delay_ns, self._start_round)
         else:
-            self.loop.soon(self._answer_all)
+            self.loop.soon(self._start_round)
 
-    def _answer_all(self) -> None:
+    def _start_round(self) -> None:
         self._answer_scheduled = False
         self._answered_ns = self.loop.clock.now()
         self._to_answer = list(self._waiting.values())
-        self._to_answer.reverse()  # taken from the end: the longest waiting first
+        self._to_answer.reverse()  # `pop` takes from the end, so the longest waiting poll comes first
         self._answer_slice()
 
     def _answer_slice(self) -> None:
-        began = now = self.loop.clock.now()
-        while self._to_answer and now - began <= SLICE_NS:
+        started_ns = now = self.loop.clock.now()
+        while self._to_answer and now - started_ns <= SLICE_NS:
             watcher = self._to_answer.pop()
             if watcher.state == WAITING:
                 self._answer(watcher, now)
             now = self.loop.clock.now()
-        self.longest_slice_ns = max(self.longest_slice_ns, now - began)
+        self.longest_slice_ns = max(self.longest_slice_ns, now - started_ns)
         if self._to_answer:
             self.loop.next_turn(self._answer_slice)
         elif self._answer_again:
@@ -375,7 +388,10 @@
     # Slow readers
 
     def hold_unread(self, watcher: WatcherConnection, answer: bytes) -> None:
-        """The system has not taken all of `answer`; over the bound, who is stuck for longest is cut off."""
+        """Records an answer that the socket has not taken completely.
+
+        Above the bound, the watchers that have been stuck longest are cut off.
+        """
         self._unread.hold(watcher.key, answer)
         slowest = self._unread.slowest()
         while slowest is not None:
@@ -383,11 +399,11 @@
             slowest = self._unread.slowest()
 
     def release_unread(self, watcher: WatcherConnection) -> None:
-        """A slow reader has taken its answer."""
+        """Records that a slow reader has read its whole answer."""
         self._unread.release(watcher.key)
 
     def cut_off(self, watcher: WatcherConnection, why: str) -> None:
-        """Ends the connection of a watcher that reads too slowly."""
+        """Closes the connection of a watcher that reads too slowly."""
         self.counters.cut_off += 1
         self._log("relay_watcher_cut_off", peer=watcher.name, why=why)
         watcher.close(why)
@@ -395,7 +411,7 @@
     # The end
 
     def stop(self) -> None:
-        """Accepts nobody more, and answers every poll that is held with what there is."""
+        """Stops accepting, and answers every held poll with the events that there are."""
         if self._stopping:
             return
         self._stopping = True
@@ -404,25 +420,25 @@
                 self.loop.forget(self._sock)
             self._sock.close()
             self._sock = None
-        self._end_waits(list(self._waiting.values()))
+        self._answer_held_polls(list(self._waiting.values()))
 
-    def _end_waits(self, watchers: list[WatcherConnection]) -> None:
-        began = now = self.loop.clock.now()
-        while watchers and now - began <= SLICE_NS:
+    def _answer_held_polls(self, watchers: list[WatcherConnection]) -> None:
+        started_ns = now = self.loop.clock.now()
+        while watchers and now - started_ns <= SLICE_NS:
             watcher = watchers.pop()
             if watcher.state == WAITING and not self._answer(watcher, now):
-                self.wait_ended(watcher, now)
+                self.wait_timed_out(watcher, now)
             now = self.loop.clock.now()
         if watchers:
-            self.loop.next_turn(partial(self._end_waits, watchers))
+            self.loop.next_turn(partial(self._answer_held_polls, watchers))
 
     @property
     def unanswered(self) -> int:
-        """Polls that are held or of which the system has not taken the whole answer."""
+        """The number of polls that are held or whose answer the socket has not taken completely."""
         return len(self._waiting) + len(self._unread)
 
     def close(self) -> None:
-        """Ends everything that is left."""
+        """Stops the server and closes every connection."""
         self.stop()
-        for watcher in [*self.watchers.values(), *self._leaving.values()]:
+        for watcher in [*self.watchers.values(), *self._refused_connections.values()]:
             watcher.close("the relay ends")
--- a/olivecourse/relay/service.py
+++ b/olivecourse/relay/service.py
@@ -1,4 +1,4 @@
-"""A relay as a process of its own: one poll upstream, and a server for the polls of many watchers."""
+"""The relay process: one poll to an upstream, and a server for the polls of many watchers."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from olivecourse.relay.status import encode_status
 from olivecourse.relay.watermarks import LowWaterMark
 
-# One level of relays gathers news as if a tenth of the shortest grace were all there is: the rest is for
-# further levels, for gateways, which gather for themselves, and for the way between them.
+# One level of relays may use a tenth of the shortest grace to batch events. The rest is left for further
+# levels of relays, for the batching in gateways, and for the transmission between them.
 GRACE_DIVISOR = 10
-ANSWER_DIVISOR = 20  # of the shortest grace, the least time between two answers to all who wait
-STOP_WITHIN_NS = 800 * MS  # of a second, so that a process that is told to stop is gone within it
-STOP_LOOK_NS = 10 * MS
-SPARE_DESCRIPTORS = 64  # beside watchers: logs, the listening socket, the poll upstream, those turned away
+ANSWER_DIVISOR = 20  # the shortest grace divided by this is the least time between two rounds of answers
+STOP_TIMEOUT_NS = 800 * MS  # so that a process ends within one second of the signal to stop
+STOP_CHECK_INTERVAL_NS = 10 * MS
+SPARE_DESCRIPTORS = 64  # for logs, the listening socket, the upstream poll and refused connections
 
 
 def server_limits(section: RelaySection, most_descriptors: int) -> ServerLimits:
-    """The server's limits; no more watchers than there are descriptors for."""
+    """Returns the server's limits, with no more watchers than the descriptors suffice for."""
     return ServerLimits(
         most_watchers=max(min(section.most_watchers, most_descriptors - SPARE_DESCRIPTORS), 1),
         longest_wait_ms=section.longest_wait_ms,
@@ -42,10 +42,10 @@
 
 
 class RelayService:
-    """Ties the history, the marks, the server and the poll upstream together."""
+    """Connects the event history, the low-water mark, the server and the upstream poll."""
 
     def __init__(self, config: RelayConfig, log: Callable[..., None], most_descriptors: int) -> None:
-        """Raises OSError where the address can't be listened at."""
+        """Raises OSError if the relay can't listen at its address."""
         section = config.section
         self.name = config.name
         self.loop = Loop()
@@ -64,8 +64,8 @@
             log("relay_watchers_limited", most=limits.most_watchers, descriptors=most_descriptors)
         address = parse_address(section.listen)
         self.server = RelayServer(self.loop, address, self.history, self.marks, limits, self._status, log)
-        self._stop_by_ns = 0
-        self._was_ready = False
+        self._stop_deadline_ns = 0
+        self._ready_logged = False
         self.upstream_answers = 0
         address, *alternatives = section.addresses()
         self._pacer = PollPacer(_graces_ns(section))
@@ -84,31 +84,31 @@
 
     @property
     def upstream(self) -> Address:
-        """The address that is polled."""
+        """The address of the upstream that is polled now."""
         return self._client.address
 
     @property
     def upstream_since_ns(self) -> int:
-        """When that address was turned to, in Unix nanoseconds."""
+        """The Unix time in nanoseconds since which that upstream is polled."""
         return self._client.address_since_ns
 
     def _status(self, target: bytes, now: int) -> bytes:
         return encode_status(self, target, now)
 
     def _on_events(self, events: list[Any]) -> None:
-        """Events from upstream, in the order of their numbers."""
+        """Appends events from upstream to the history and answers the waiting polls."""
         self.upstream_answers += 1
         result = self.history.append(events, self.loop.clock.now())
         if result.invalid:
             self.log("relay_event_invalid", count=result.invalid)
         if result.taken:
             self.server.events_appended()
-        if self.history.ready and not self._was_ready:
-            self._was_ready = True
+        if self.history.ready and not self._ready_logged:
+            self._ready_logged = True
             self.log("relay_list_known", revision=self.history.revision)
 
     def upstream_query(self) -> str:
-        """What a poll upstream tells a relay of ours about all below; nothing for the notice board."""
+        """Returns the poll parameters that report all watchers to an upstream relay, or an empty text."""
         if not self._section.report_upstream:
             return ""
         now = self.loop.clock.now()
@@ -116,42 +116,42 @@
         return f"&low={low}&count={self.marks.counted(now)}"
 
     def stop(self) -> None:
-        """Answers what waits and ends within a second."""
-        if self._stop_by_ns:
+        """Answers the waiting polls and ends the loop within a second."""
+        if self._stop_deadline_ns:
             return
-        self._stop_by_ns = self.loop.clock.now() + STOP_WITHIN_NS
+        self._stop_deadline_ns = self.loop.clock.now() + STOP_TIMEOUT_NS
         self.log("stopping", waiting=self.server.waiting)
         self._client.stop()
         self.server.stop()
-        self._look_whether_done()
+        self._check_stopped()
 
-    def _look_whether_done(self) -> None:
-        if not self.server.unanswered or self.loop.clock.now() >= self._stop_by_ns:
+    def _check_stopped(self) -> None:
+        if not self.server.unanswered or self.loop.clock.now() >= self._stop_deadline_ns:
             self.loop.running = False
         else:
-            self.loop.after(STOP_LOOK_NS, self._look_whether_done)
+            self.loop.after(STOP_CHECK_INTERVAL_NS, self._check_stopped)
 
     def reload(self, config: RelayConfig) -> None:
-        """Goes by another configuration; what only a start can change is named."""
-        old, fresh = self._section, config.section
-        needs_restart = [name for name in FIXED_AT_START if getattr(old, name) != getattr(fresh, name)]
-        self._section = fresh
-        self.server.apply_limits(server_limits(fresh, self._most_descriptors))
-        address, *alternatives = fresh.addresses()
+        """Applies another configuration; logs the changed fields that need a restart."""
+        old, new = self._section, config.section
+        needs_restart = [name for name in FIXED_AT_START if getattr(old, name) != getattr(new, name)]
+        self._section = new
+        self.server.apply_limits(server_limits(new, self._most_descriptors))
+        address, *alternatives = new.addresses()
         self._client.move(address, alternatives)
-        self._pacer.apply_settings(_graces_ns(fresh))
-        moved = ["upstreams"] if old.upstreams != fresh.upstreams else []
+        self._pacer.apply_settings(_graces_ns(new))
+        moved = ["upstreams"] if old.upstreams != new.upstreams else []
         self.log("reloaded", moved=moved, needs_restart=needs_restart)
 
     def run(self) -> None:
-        """Serves until it is told to stop."""
+        """Serves until `stop` has been called and has completed."""
         self.log("ready", listen=f"{self._section.listen.rpartition(':')[0]}:{self.server.port}")
         self.loop.run(self.server.turn_ended)
         self.close()
         self.log("stopped", polls=self.server.counters.polls, answers=self.server.counters.answers)
 
     def close(self) -> None:
-        """Ends everything at once."""
+        """Closes the upstream poll, the server and the loop at once."""
         self._client.stop()
         self.server.close()
         self.loop.close()
--- a/olivecourse/relay/status.py
+++ b/olivecourse/relay/status.py
@@ -1,6 +1,7 @@
-"""What a relay tells operators: one JSON object for `GET /relay/status`.
+"""The status of a relay for operators: one JSON object in answer to `GET /relay/status`.
 
-`?behind=N` names those that have not taken event N; without it, those that have not taken the newest.
+With `?behind=N` it lists the watchers that have not taken event N, otherwise those that lack the newest
+event.
 """
 
 from __future__ import annotations
@@ -15,20 +16,20 @@
     from olivecourse.relay.service import RelayService
 
 S = 1_000_000_000
-MOST_NAMED = 200  # of those behind: some 20 KB
+MAX_LISTED = 200  # lagging watchers listed, about 20 KB
 BEHIND = b"behind"
 
 
 def encode_status(relay: RelayService, target: bytes, now: int) -> bytes:
-    """The body for a status call; raises BadTarget. `now` is Unix time in nanoseconds."""
+    """Returns the body of a status answer; raises BadTarget. `now` is the Unix time in nanoseconds."""
     asked = number_parameter(target, BEHIND)
     number = relay.history.revision if asked is None else asked
     mark = relay.marks.mark(now)
     behind = relay.marks.behind(number, now)
-    named: list[dict[str, Any]] = []
-    for watcher in behind[:MOST_NAMED]:
+    listed: list[dict[str, Any]] = []
+    for watcher in behind[:MAX_LISTED]:
         seconds = round((now - watcher.since_ns) / S, 3)
-        named.append(
+        listed.append(
             {
                 "watcher": watcher.name,
                 "number": watcher.revision,
@@ -55,7 +56,7 @@
         "asked": number,
         "passed": mark is not None and mark >= number,
         "behind_total": len(behind),
-        "behind": named,
+        "behind": listed,
         "unread_bytes": relay.server.unread_bytes,
         "longest_turn_ms": round(relay.loop.longest_ns / 1_000_000, 1),
         "counters": {
--- a/olivecourse/relay/watermarks.py
+++ b/olivecourse/relay/watermarks.py
@@ -1,10 +1,11 @@
-"""The low-water mark: the highest number that every watcher with a live lease has taken.
+"""The low-water mark: the highest event number that every watcher with a live lease has taken.
 
-A poll's `watch` tells what a watcher has taken. A relay below tells the mark of all that poll it, and how
-many they are. A watcher that has not been heard of for a lease no longer holds the mark back; it is listed
-for a while as lapsed. What it may still serve is bounded by its own rules and not by this mark.
+The `watch` parameter of a poll is the number that the watcher has taken. A relay that polls this one reports
+the mark of its own watchers and their count. A watcher without a poll for the duration of a lease no longer
+holds the mark back; it is listed as lapsed for a while. The mark does not limit what a lapsed watcher serves;
+that is bounded by the watcher's own rules.
 
-Moments are nanoseconds of any one clock that does not go back.
+Times are nanoseconds of any one monotonic clock.
 """
 
 from __future__ import annotations
@@ -14,15 +15,15 @@
 from dataclasses import dataclass
 
 S = 1_000_000_000  # nanoseconds
-LAPSED_KEPT_NS = 600 * S  # long enough for an operator to look
-MOST_LAPSED = 4_096  # half of the largest fleet planned
-MOST_WATCHERS = 16_384  # twice the largest fleet planned, all on one relay
-SPARE_HEAP_ENTRIES = 64  # stale ones below which a heap is not made anew
+LAPSED_RETENTION_NS = 600 * S  # long enough for an operator to notice
+MAX_LAPSED = 4_096  # half of the largest fleet planned
+MAX_WATCHERS = 16_384  # twice the largest fleet planned, all on one relay
+SPARE_HEAP_ENTRIES = 64  # stale entries that a heap may have before it is rebuilt
 
 
 @dataclass(frozen=True)
 class LaggingWatcher:
-    """A watcher below a number: what it has taken, since when, and whether its lease has lapsed."""
+    """A watcher that lacks an event: the number it has, since when, and whether its lease has lapsed."""
 
     name: str
     revision: int
@@ -32,8 +33,11 @@
 
 @dataclass(frozen=True)
 class WatermarkCounters:
-    """Since the start. `refused` reports came from more watchers than are held; `lapsed_dropped` were dropped
-    from the list of lapsed watchers because it was full, `lapsed_forgotten` because their time was over."""
+    """Counters since the start.
+
+    `refused` counts reports refused because the table of watchers was full. `lapsed_dropped` counts watchers
+    dropped from the full list of lapsed ones, `lapsed_forgotten` those dropped after their retention.
+    """
 
     lapsed: int
     returned: int
@@ -43,43 +47,48 @@
 
 
 class _Watcher:
-    __slots__ = ("count", "heard_ns", "revision", "since_ns")
+    """The state of one watcher: the number it has taken, and how many gateways it stands for."""
+
+    __slots__ = ("count", "last_report_ns", "revision", "since_ns")
 
     def __init__(self, revision: int, count: int, now: int) -> None:
         self.revision = revision
         self.count = count
-        self.since_ns = now  # when it first told this number
-        self.heard_ns = now
+        self.since_ns = now  # when the watcher first reported this number
+        self.last_report_ns = now
 
 
 class LowWaterMark:
-    """What all watchers have taken. Reports and the mark cost amortised constant time per new number.
+    """The lowest number that the live watchers have taken.
 
-    Watchers are counted by number, and a heap holds the numbers: most watchers share the few newest. A number
-    that nobody holds any more stays in the heap until it is on top or stale ones are the greater part.
+    Watchers are counted per number and a heap holds the numbers, because most watchers share the few newest
+    numbers. A number without watchers stays in the heap until it reaches the top or until most entries are
+    stale. A report and a query of the mark cost amortised constant time per new number.
     """
 
     def __init__(
         self,
         lease_ns: int,
-        most_watchers: int = MOST_WATCHERS,
-        most_lapsed: int = MOST_LAPSED,
-        lapsed_kept_ns: int = LAPSED_KEPT_NS,
+        most_watchers: int = MAX_WATCHERS,
+        most_lapsed: int = MAX_LAPSED,
+        lapsed_retention_ns: int = LAPSED_RETENTION_NS,
         started_ns: int | None = None,
     ) -> None:
-        """`lease_ns` must exceed the longest wait of a poll, as a watcher tells nothing while it waits.
+        """`lease_ns` must exceed the longest wait of a poll, because a waiting watcher sends no reports.
 
-        With `started_ns` there is no mark for the first lease after it: until then a watcher that was here
-        before the start may not have come back yet.
+        With `started_ns` there is no mark for the first lease after that time, because watchers from before
+        the start may not have reconnected yet.
         """
-        self._marked_from_ns = 0 if started_ns is None else started_ns + lease_ns
+        self._mark_valid_from_ns = 0 if started_ns is None else started_ns + lease_ns
         self._lease_ns = lease_ns
         self._most_watchers = most_watchers
         self._most_lapsed = most_lapsed
-        self._lapsed_kept_ns = lapsed_kept_ns
-        self._watchers: OrderedDict[str, _Watcher] = OrderedDict()  # the longest unheard first
-        self._lapsed: OrderedDict[str, _Watcher] = OrderedDict()  # the longest lapsed first
-        self._holders: dict[int, int] = {}  # watchers by number
+        self._lapsed_retention_ns = lapsed_retention_ns
+        self._watchers: OrderedDict[str, _Watcher] = (
+            OrderedDict()
+        )  # the one without a report for longest first
+        self._lapsed: OrderedDict[str, _Watcher] = OrderedDict()  # the one that lapsed first, first
+        self._holders: dict[int, int] = {}  # count of watchers by number
         self._heap: list[int] = []
         self._counted = 0
         self._lapsed_total = 0
@@ -96,22 +105,23 @@
         )
 
     def report(self, watcher: str, revision: int, now: int, low: int | None = None, count: int = 1) -> bool:
-        """What `watcher` has taken: up to `revision`, and all below it up to `low` if it is a relay.
+        """Records that `watcher` has taken `revision` and, for a relay, that its watchers have taken `low`.
 
-        False if no more watchers can be held: this one must not be served, as the mark would not tell of it.
+        Returns False if the table is full: then the watcher must not be served, as the mark would not cover
+        it.
         """
         taken = revision if low is None or low > revision else low
         state = self._watchers.get(watcher)
         if state is None:
             return self._admit(watcher, taken, count, now)
-        state.heard_ns = now
+        state.last_report_ns = now
         self._watchers.move_to_end(watcher)
         if state.count != count:
             self._counted += count - state.count
             state.count = count
         if state.revision != taken:
-            self._release(state.revision)
-            self._hold(taken)
+            self._remove_holder(state.revision)
+            self._add_holder(taken)
             state.revision = taken
             state.since_ns = now
         return True
@@ -126,20 +136,23 @@
             self._returned += 1
         self._watchers[watcher] = _Watcher(taken, count, now)
         self._counted += count
-        self._hold(taken)
+        self._add_holder(taken)
         return True
 
     def disconnected(self, watcher: str, now: int) -> None:
-        """The watcher's connection has ended: it is counted for one more lease, as it may still serve."""
+        """Renews the lease of a disconnected watcher once, because the watcher may still serve requests."""
         state = self._watchers.get(watcher)
         if state is not None:
-            state.heard_ns = now
+            state.last_report_ns = now
             self._watchers.move_to_end(watcher)
 
     def mark(self, now: int) -> int | None:
-        """The number that every watcher with a live lease has taken; None if there is none, or none yet."""
+        """Returns the number that every watcher with a live lease has taken.
+
+        None if there are no such watchers, or in the first lease after the start.
+        """
         self._expire(now)
-        if now < self._marked_from_ns:
+        if now < self._mark_valid_from_ns:
             return None
         heap = self._heap
         while heap and heap[0] not in self._holders:
@@ -147,33 +160,36 @@
         return heap[0] if heap else None
 
     def subtree_low(self, revision: int, now: int) -> int:
-        """The `low` that a relay at `revision` reports to the one above, for itself and all below it.
+        """Returns the `low` that a relay at `revision` reports to its upstream for itself and its watchers.
 
-        Without watchers it is the relay's own number. For the first lease after the start it is 0, as nothing
-        is known of those that were here before.
+        Without watchers it is the relay's own number. For the first lease after the start it is 0, because
+        the state of earlier watchers is unknown.
         """
         low = self.mark(now)
-        if now < self._marked_from_ns:
+        if now < self._mark_valid_from_ns:
             return 0
         return revision if low is None else min(low, revision)
 
     def counted(self, now: int) -> int:
-        """How many watchers the mark stands for, those of relays below included."""
+        """Returns how many gateways the mark covers, including those behind relays that poll this one."""
         self._expire(now)
         return self._counted
 
     def behind(self, revision: int, now: int) -> list[LaggingWatcher]:
-        """Those that have not taken `revision`, the lowest first; walks all watchers, for an operator."""
+        """Returns the watchers that have not taken `revision`, the lowest first.
+
+        Visits all watchers, so it is only for operators' queries.
+        """
         self._expire(now)
         found = _lagging(self._watchers, revision, False)
         found += _lagging(self._lapsed, revision, True)
         found.sort(key=_lag_order)
         return found
 
-    def _hold(self, number: int) -> None:
-        held = self._holders.get(number)
-        if held is not None:
-            self._holders[number] = held + 1
+    def _add_holder(self, number: int) -> None:
+        holder_count = self._holders.get(number)
+        if holder_count is not None:
+            self._holders[number] = holder_count + 1
             return
         self._holders[number] = 1
         heapq.heappush(self._heap, number)
@@ -181,35 +197,35 @@
             self._heap = list(self._holders)
             heapq.heapify(self._heap)
 
-    def _release(self, number: int) -> None:
-        held = self._holders[number] - 1
-        if held:
-            self._holders[number] = held
+    def _remove_holder(self, number: int) -> None:
+        holder_count = self._holders[number] - 1
+        if holder_count:
+            self._holders[number] = holder_count
         else:
             del self._holders[number]
 
     def _expire(self, now: int) -> None:
-        """Moves watchers whose lease is over to the lapsed ones, and forgets the oldest of these."""
-        unheard_since = now - self._lease_ns
+        """Moves watchers with an expired lease to the lapsed ones, and drops the oldest of those."""
+        expired_before_ns = now - self._lease_ns
         while self._watchers:
             name = next(iter(self._watchers))
             state = self._watchers[name]
-            if state.heard_ns > unheard_since:
+            if state.last_report_ns > expired_before_ns:
                 break
             del self._watchers[name]
-            self._release(state.revision)
+            self._remove_holder(state.revision)
             self._counted -= state.count
             self._lapsed_total += 1
             self._lapsed[name] = state
-        self._forget_lapsed(unheard_since - self._lapsed_kept_ns)
+        self._forget_lapsed(expired_before_ns - self._lapsed_retention_ns)
 
-    def _forget_lapsed(self, unheard_since: int) -> None:
+    def _forget_lapsed(self, expired_before_ns: int) -> None:
         while len(self._lapsed) > self._most_lapsed:
             self._lapsed.popitem(last=False)
             self._lapsed_dropped += 1
         while self._lapsed:
             name = next(iter(self._lapsed))
-            if self._lapsed[name].heard_ns > unheard_since:
+            if self._lapsed[name].last_report_ns > expired_before_ns:
                 return
             del self._lapsed[name]
             self._lapsed_forgotten += 1
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -62,6 +62,7 @@
 
 
 def call(stage, head, body=b"", **more):
+    """Makes one call to the admin server and returns the status and body."""
     made = Call(stage, head, body, **more)
     try:
         return stage.until(made)[:2]
@@ -69,17 +70,20 @@
         made.sock.close()
 
 
-def down(stage, name, word="down"):
-    return call(stage, f"PUT /ops/stores/{word}", json.dumps({"id": name}).encode())[0]
+def down(stage, name, action="down"):
+    """Calls the admin server to drain a store, or with "up" to end its drain; returns the status."""
+    return call(stage, f"PUT /ops/stores/{action}", json.dumps({"id": name}).encode())[0]
 
 
 def figures(stage):
+    """Returns the gateway's metrics by name and labels."""
     status, text = call(stage, "GET /ops/stats")
     assert status == 200
     return {name: float(value) for name, value in re.findall(r"^(app_\S+) (\S+)$", text.decode(), re.M)}
 
 
 def total(state, group="fichiers"):
+    """Returns the metric name of the requests of a class that ended in a state."""
     return f'app_transactions_total{{group="{group}",state="{state}"}}'
 
 
@@ -212,14 +216,14 @@
 
 def test_a_store_restarted_while_drained_comes_back_as_a_cold_store(stage):
     assert down(stage, "s-00000001") == 200
-    up_since_ms = int(time.time() * 1000)
+    restarted_ms = int(time.time() * 1000)
     stage.gateway.on_events(
         [
             {
                 "pool": {
                     "revision": 4,
                     "complete": False,
-                    "members": [member("s-00000001", stage.cache.address, up_since_ms=up_since_ms)],
+                    "members": [member("s-00000001", stage.cache.address, up_since_ms=restarted_ms)],
                 }
             }
         ]
@@ -227,7 +231,7 @@
     assert down(stage, "s-00000001", "up") == 200
     stage.turn()
     node, began, number = stage.gateway.local.router.nodes[1], time.monotonic(), 0
-    assert abs(node.member.ready_at_ns - up_since_ms * 1_000_000) < 50_000_000
+    assert abs(node.member.ready_at_ns - restarted_ms * 1_000_000) < 50_000_000
     node.credit = 0.0
     while not stage.cache.poll() and time.monotonic() - began < 5.0:
         number += 1
@@ -257,13 +261,13 @@
 
 @settings(max_examples=200, deadline=None)
 @given(drain_records, st.randoms(use_true_random=False))
-def test_processes_that_merge_the_same_drain_records_in_any_order_agree(records, chance):
+def test_processes_that_merge_the_same_drain_records_in_any_order_agree(changes, chance):
     one, two = ManualDrains(lambda: 5), ManualDrains(lambda: 5)
-    one.merge(records)
-    shuffled = records + records[:2]
+    one.merge(changes)
+    shuffled = changes + changes[:2]
     chance.shuffle(shuffled)
-    for record in shuffled:
-        two.merge([record])
+    for change in shuffled:
+        two.merge([change])
     assert one.drained == two.drained and one.records == two.records
     one.set_drained("a", "a" not in one.drained)  # a later call overrides all of these, whatever the clocks
     two.merge(one.records.items())
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Relays over real sockets: what gateways and relays below see, and what hostile ones do not change."""
+"""Relays over real sockets, as seen by gateways, by relays that poll them, and by hostile clients."""
 
 import json
 import os
@@ -38,12 +38,12 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 
-def poll_target(watch, linger, more=""):
-    return f"/board/poll?watch={watch}&linger={linger}{more}"
+def poll_target(watch, linger, extra=""):
+    return f"/board/poll?watch={watch}&linger={linger}{extra}"
 
 
 class Watcher:
-    """A stand-in of a gateway's poll."""
+    """A stand-in for the polling connection of a gateway."""
 
     def __init__(self, port, receive_buffer=None):
         self.sock = socket.socket()
@@ -59,11 +59,11 @@
     def get(self, target, method="GET", head=""):
         self.send(f"{method} {target} HTTP/1.1\r\nHost: relay\r\n{head}\r\n".encode())
 
-    def poll(self, watch, linger, more=""):
-        self.get(poll_target(watch, linger, more))
+    def poll(self, watch, linger, extra=""):
+        self.get(poll_target(watch, linger, extra))
 
-    def look(self):
-        """Reads what is there; whole responses go to `answers` as (status, body)."""
+    def receive(self):
+        """Reads the available bytes; complete responses go to `answers` as (status, body)."""
         try:
             while part := self.sock.recv(1 << 20):
                 self.data += part
@@ -83,12 +83,12 @@
         return self.answers
 
     def take(self):
-        """The next answer, or None."""
-        return self.look().pop(0) if self.look() else None
+        """Removes and returns the next answer, or None."""
+        return self.receive().pop(0) if self.receive() else None
 
 
 class Stage:
-    """A board, and relays that poll it or each other, all in this process."""
+    """A notice board, and relays that poll it or each other, all in this process."""
 
     def __init__(self):
         self.world = World([], lambda *asked: None)
@@ -96,11 +96,11 @@
         self.board.publish(pool=WHOLE_LIST)
         self.relays, self.watchers, self.logged = [], [], []
 
-    def relay(self, *upstreams, **more):
+    def relay(self, *upstreams, **extra):
         section = RelaySection(
-            listen=more.pop("listen", "127.0.0.1:0"),
+            listen=extra.pop("listen", "127.0.0.1:0"),
             upstreams=list(upstreams) or [self.board.address],
-            **more,
+            **extra,
         )
         config = RelayConfig(f"relay-{len(self.relays)}", section)
         self.relays.append(RelayService(config, self.log, DESCRIPTORS))
@@ -112,8 +112,8 @@
     def names(self):
         return [event for event, _ in self.logged]
 
-    def watcher(self, relay, **more):
-        self.watchers.append(Watcher(relay.server.port, **more))
+    def watcher(self, relay, **extra):
+        self.watchers.append(Watcher(relay.server.port, **extra))
         return self.watchers[-1]
 
     def turn(self):
@@ -122,19 +122,19 @@
             relay.loop.turn(1_000_000)
             relay.server.turn_ended()
 
-    def until(self, what, seconds=20):
+    def until(self, condition, seconds=20):
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             self.turn()
-            if found := what():
+            if found := condition():
                 return found
         raise AssertionError(f"did not come about; logged: {self.logged[-20:]}")
 
-    def known(self, relay):
+    def wait_until_current(self, relay):
         self.until(lambda: relay.history.revision >= self.board.rev)
 
     def answer(self, watcher):
-        """The next answer's status and its body, parsed if it is one of events."""
+        """Returns the next answer's status and body; the body of a 200 is decoded."""
         status, body = self.until(watcher.take)
         return status, json.loads(body) if status == 200 else body.decode()
 
@@ -164,9 +164,9 @@
     return [event["rev"] for event in body["notices"]]
 
 
-def test_a_poll_is_answered_when_events_come_and_else_with_none_at_its_end(stage):
+def test_a_poll_is_answered_when_events_arrive_or_without_events_when_its_wait_ends(stage):
     relay = stage.relay()
-    stage.known(relay)
+    stage.wait_until_current(relay)
     watcher = stage.watcher(relay)
     watcher.poll(0, 1500)
     status, body = stage.answer(watcher)
@@ -185,21 +185,21 @@
     )
 
 
-def test_numbers_above_ours_and_long_lingers_wait_and_unknown_parameters_are_ignored(stage):
+def test_higher_numbers_wait_long_lingers_are_limited_and_unknown_parameters_are_ignored(stage):
     relay = stage.relay(longest_wait_ms=100)
-    stage.known(relay)
+    stage.wait_until_current(relay)
     watcher = stage.watcher(relay)
     watcher.poll(9, 9_000_000, "&more=1&lows")
     assert stage.answer(watcher) == (200, {"rev": 1, "notices": []})
-    watcher.get("/board/poll?linger=10&x=%20&watch=0")  # the longer way of parsing, on the same connection
+    watcher.get("/board/poll?linger=10&x=%20&watch=0")  # uses the general parser, on the same connection
     assert numbers(stage.answer(watcher)[1]) == [1]
 
 
-def test_who_waits_at_one_number_shares_one_encoding_and_is_answered_in_slices(stage, monkeypatch):
-    """With slices of no length every watcher has a turn of its own, and events come between them."""
+def test_watchers_at_the_same_number_share_one_encoding_and_are_answered_in_slices(stage, monkeypatch):
+    """With a slice length of 0 every watcher is answered in its own turn, and events arrive in between."""
     monkeypatch.setattr("olivecourse.relay.server.SLICE_NS", 0)
     relay = stage.relay()
-    stage.known(relay)
+    stage.wait_until_current(relay)
     watchers = [stage.watcher(relay) for _ in range(40)]
     for watcher in watchers:
         watcher.poll(1, 5000)
@@ -217,15 +217,15 @@
     assert relay.history.counters.answers_shared >= 38
 
 
-def test_a_turn_reads_for_a_bounded_time_and_nobody_starves(stage, monkeypatch):
-    """With no time at all each turn reads from one, and a flood from another delays nobody for ever."""
+def test_a_turn_reads_for_a_bounded_time_and_no_watcher_starves(stage, monkeypatch):
+    """With a read budget of 0 each turn reads one connection; a flooding client must not starve others."""
     monkeypatch.setattr("olivecourse.relay.server.READ_BUDGET_NS", 0)
     relay = stage.relay()
-    stage.known(relay)
+    stage.wait_until_current(relay)
     flood = stage.watcher(relay)
     flood.poll(1, 5000)
     stage.until(lambda: relay.server.waiting)
-    flood.send(b"GET /")  # and the rest byte by byte
+    flood.send(b"GET /")  # the rest follows byte by byte
     watchers = [stage.watcher(relay) for _ in range(20)]
     for watcher in watchers:
         watcher.poll(1, 5000)
@@ -233,7 +233,7 @@
     def flooded():
         try:
             flood.send(b"a")
-        except OSError:  # refused in the end
+        except OSError:  # the relay refuses the request in the end
             pass
         return relay.server.waiting >= 20
 
@@ -244,7 +244,7 @@
 
 def test_pipelined_polls_are_answered_one_at_a_time_and_in_order(stage):
     relay = stage.relay()
-    stage.known(relay)
+    stage.wait_until_current(relay)
     watcher = stage.watcher(relay)
     for watch, linger in ((0, 0), (1, 60), (0, 5000), (1, 0)):
         watcher.poll(watch, linger)
@@ -277,18 +277,20 @@
 
 
 @pytest.mark.parametrize("name", HOSTILE)
-def test_hostile_input_gets_an_error_and_a_close_and_does_not_touch_others(stage, name):
+def test_hostile_input_gets_an_error_and_a_close_and_does_not_affect_other_watchers(stage, name):
     data, expected = HOSTILE[name]
     relay = stage.relay()
-    stage.known(relay)
+    stage.wait_until_current(relay)
     other = stage.watcher(relay)
     other.poll(1, 5000)
     hostile = stage.watcher(relay)
-    for start in range(0, len(data), 5_000):  # in parts, so that none of it is still unsent at the answer
+    for start in range(
+        0, len(data), 5_000
+    ):  # in parts, so that no bytes are left unsent when the answer comes
         hostile.send(data[start : start + 5_000])
         stage.turn()
     assert stage.answer(hostile)[0] == expected
-    stage.until(lambda: hostile.look() is not None and hostile.closed)
+    stage.until(lambda: hostile.receive() is not None and hostile.closed)
     assert relay.server.counters.bad_requests == 1 and "relay_bad_request" in stage.names()
     hostile.sock.close()
     stage.until(lambda: len(relay.server.watchers) == 1)
@@ -296,15 +298,15 @@
     assert numbers(stage.answer(other)[1]) == [2]
 
 
-def test_a_connection_that_asks_nothing_is_closed_and_a_full_table_refuses(stage):
+def test_an_idle_connection_is_closed_and_a_full_relay_refuses_new_ones(stage):
     relay = stage.relay(most_watchers=1, idle_timeout_ms=200)
-    stage.known(relay)
+    stage.wait_until_current(relay)
     idle = stage.watcher(relay)
     idle.send(b"GET /board/poll?watch=0&lin")
     stage.until(lambda: relay.server.watchers)
     refused = stage.watcher(relay)
     assert stage.answer(refused) == (503, "this relay is full\n")
-    stage.until(lambda: idle.look() is not None and idle.closed)
+    stage.until(lambda: idle.receive() is not None and idle.closed)
     assert not idle.answers
     counters = relay.server.counters
     assert (counters.refused_full, counters.idle_closed) == (1, 1)
@@ -313,10 +315,10 @@
     assert stage.answer(watcher)[0] == 200
 
 
-def test_without_descriptors_newcomers_wait_and_a_stop_comes_in_between(stage, monkeypatch):
-    """The listening socket is left alone for a while, so that it does not keep the loop busy."""
+def test_without_descriptors_new_connections_wait_and_a_relay_can_stop_meanwhile(stage, monkeypatch):
+    """The relay stops watching the listening socket for a while, so that it does not keep the loop busy."""
     relay, other = stage.relay(), stage.relay()
-    stage.known(relay)
+    stage.wait_until_current(relay)
 
     def exhausted(self):
         raise OSError(24, "Too many open files")
@@ -329,13 +331,13 @@
         stage.kill(other)
     watcher.poll(0, 0)
     assert stage.answer(watcher)[0] == 200 and "relay_accept_failed" in stage.names()
-    stage.until(lambda: late.look() is not None and late.closed)
+    stage.until(lambda: late.receive() is not None and late.closed)
 
 
-def test_a_slow_reader_is_cut_off_with_a_reason_while_others_are_served(stage):
-    """Two answers are unread and together over the bound: who has been stuck for longest goes."""
+def test_a_slow_reader_is_cut_off_with_a_logged_reason_while_others_are_served(stage):
+    """Two unread answers together exceed the bound, so the reader stuck for longest is cut off."""
     relay = stage.relay(most_unread_kb=2_048, history_kb=65_536, history_events=100_000)
-    stage.known(relay)
+    stage.wait_until_current(relay)
     slow = stage.watcher(relay, receive_buffer=4_096)
     other = stage.watcher(relay)
     purges = [
@@ -351,13 +353,13 @@
     assert [v["why"] for e, v in stage.logged if e == "relay_watcher_cut_off"] == [
         "unread answers over the limit"
     ]
-    stage.until(lambda: slow.look() is not None and slow.closed)
+    stage.until(lambda: slow.receive() is not None and slow.closed)
     assert not slow.answers
 
 
-def test_a_reader_that_takes_nothing_is_cut_off_in_time(stage):
+def test_a_reader_that_reads_nothing_is_cut_off_after_the_read_timeout(stage):
     relay = stage.relay(read_timeout_ms=100, history_kb=65_536, history_events=100_000)
-    stage.known(relay)
+    stage.wait_until_current(relay)
     slow, slower = stage.watcher(relay, receive_buffer=4_096), stage.watcher(relay, receive_buffer=4_096)
     purges = [
         {"rev": n, "flush": {"asset": f"{n:016x}", "ms": 5}, "more": "x" * 100} for n in range(2, 12_000)
@@ -366,13 +368,15 @@
     body = relay.history.since(0, relay.loop.clock.now())
     slow.poll(0, 0)
     slower.poll(0, 0)
-    stage.until(lambda: relay.server.unread_bytes == len(body))  # what both have not read counts once
-    stage.until(lambda: slow.take())  # it reads
+    stage.until(
+        lambda: relay.server.unread_bytes == len(body)
+    )  # an answer that both have not read counts once
+    stage.until(lambda: slow.take())  # this watcher reads its answer
     stage.until(lambda: relay.server.counters.cut_off)
     assert relay.server.unread_bytes == 0 and relay.server.counters.cut_off == 1 and not slow.closed
 
 
-def test_before_a_whole_list_is_known_polls_are_held_and_then_refused(stage):
+def test_before_a_complete_list_is_known_polls_are_held_and_then_refused(stage):
     stage.board.refuse()
     relay = stage.relay()
     watcher = stage.watcher(relay)
@@ -385,7 +389,7 @@
     stage.until(lambda: relay.server.waiting)
     stage.board.resume()
     assert numbers(stage.answer(held)[1]) == [1]
-    stage.board.refuse()  # what is known is served on
+    stage.board.refuse()  # known events are still served
     stage.until(lambda: stage.names().count("discovery_disconnected") > 3)
     held.poll(0, 0)
     assert numbers(stage.answer(held)[1]) == [1]
@@ -394,11 +398,11 @@
 
 
 @pytest.mark.parametrize("later", [0, 1, 2])
-def test_an_upstream_that_comes_back_with_older_numbers_or_none_changes_nothing(stage, later):
+def test_an_upstream_that_restarts_with_lower_numbers_or_without_events_changes_nothing(stage, later):
     for number in range(2, 6):
         stage.board.publish(flush={"collection": number, "ms": 5})
     relay = stage.relay()
-    stage.known(relay)
+    stage.wait_until_current(relay)
     watcher = stage.watcher(relay)
     watcher.poll(5, 5000)
     stage.until(lambda: relay.server.waiting)
@@ -411,15 +415,15 @@
     late = stage.watcher(relay)
     late.poll(3, 5000)
     assert numbers(stage.answer(late)[1]) == [4, 5]
-    stage.board.rev = 8  # numbers may jump
+    stage.board.rev = 8  # event numbers may jump
     stage.board.publish(flush={"collection": 9, "ms": 6})
     assert numbers(stage.answer(watcher)[1]) == [9]
 
 
-def test_an_hours_backlog_gives_an_answer_of_what_is_live(stage):
-    """60,000 purges of an hour, the last 500 of them unsettled, and a store that went and came."""
+def test_after_an_hours_backlog_an_answer_holds_only_the_list_and_unsettled_purges(stage):
+    """60,000 purges, of which the last 500 are unsettled, and a store that left and returned."""
     relay = stage.relay(history_events=100, purge_retention_s=10)
-    stage.known(relay)
+    stage.wait_until_current(relay)
     now_ms = relay.loop.clock.now() // 1_000_000
     went = {"revision": 2, "complete": False, "members": [MEMBER | {"phase": "Gone"}]}
     came = {"revision": 3, "complete": False, "members": [MEMBER | {"host_port": "127.0.0.1:10"}]}
@@ -439,9 +443,9 @@
     assert listed["complete"] and [m["host_port"] for m in listed["members"]] == ["127.0.0.1:10"]
 
 
-def test_a_watcher_too_old_for_a_full_history_is_refused_and_not_left_to_wait(stage):
+def test_a_watcher_too_old_for_a_full_history_is_refused_at_once(stage):
     relay = stage.relay(history_events=1, most_purges=1)
-    stage.known(relay)
+    stage.wait_until_current(relay)
     now_ms = relay.loop.clock.now() // 1_000_000
     events = [{"rev": n, "flush": {"collection": n, "ms": now_ms}} for n in range(2, 9)]
     relay.history.append(events, relay.loop.clock.now())
@@ -453,31 +457,33 @@
     assert numbers(stage.answer(other)[1]) == [8]
 
 
-def test_status_tells_the_mark_and_who_is_behind(stage):
+def test_the_status_shows_the_mark_and_the_lagging_watchers(stage):
     relay = stage.relay(lease_s=3.0, longest_wait_ms=1_000)
-    stage.known(relay)
+    stage.wait_until_current(relay)
     stage.board.publish(flush={"collection": 3, "ms": 5})
-    stage.known(relay)
+    stage.wait_until_current(relay)
     ahead, behind, asking = (stage.watcher(relay) for _ in range(3))
     name = "{}:{}".format(*behind.sock.getsockname())
     behind.poll(1, 0)
     stage.answer(behind)
 
-    def told():
+    def fetch_status():
         ahead.poll(2, 0)
         stage.answer(ahead)
         asking.get("/relay/status?behind=2")
         return stage.answer(asking)[1]
 
-    first = told()
-    assert first["mark"] is None and not first["passed"]  # an earlier life's watchers may not be back yet
+    first = fetch_status()
+    assert (
+        first["mark"] is None and not first["passed"]
+    )  # watchers from before the start may not have reconnected yet
     assert first["behind_total"] == 1 and first["behind"][0]["watcher"] == name
     assert first["behind"][0]["number"] == 1 and first["watchers"]["counted"] == 2
 
     def passed():
-        return (found := told())["passed"] and found
+        return (found := fetch_status())["passed"] and found
 
-    last = stage.until(passed)  # its lease is over
+    last = stage.until(passed)  # the lagging watcher's lease has expired
     assert last["mark"] == 2 and last["watchers"]["counted"] == 1
     assert last["behind"][0] == {"watcher": name, "number": 1, "lapsed": True} | {
         "seconds": last["behind"][0]["seconds"]
@@ -485,7 +491,7 @@
 
 
 class Processes:
-    """Relays as an operator starts them, before a board in this process; ended by their own ids."""
+    """Relays as separate processes that poll a notice board in this process; ended by their process ids."""
 
     def __init__(self, folder):
         self.folder, self.started = folder, []
@@ -493,15 +499,15 @@
         self.board = Board(self.world)
         self.board.publish(pool=WHOLE_LIST)
 
-    def write(self, number, *upstreams, **more):
-        section = {"listen": "127.0.0.1:0", "upstreams": list(upstreams), **more}
+    def write(self, number, *upstreams, **extra):
+        section = {"listen": "127.0.0.1:0", "upstreams": list(upstreams), **extra}
         path = self.folder / f"{number}.yaml"
-        path.write_text(json.dumps({"name": f"relay-{number}", "relay": section}))  # JSON is YAML too
+        path.write_text(json.dumps({"name": f"relay-{number}", "relay": section}))  # JSON is valid YAML
         return path
 
-    def start(self, *upstreams, **more):
+    def start(self, *upstreams, **extra):
         number = len(self.started)
-        path = self.write(number, *(upstreams or [self.board.address]), **more)
+        path = self.write(number, *(upstreams or [self.board.address]), **extra)
         words = ["serve", "--role", "relay", "--operator", str(path)]
         with self.log(number).open("w") as log:
             self.started.append(
@@ -512,11 +518,11 @@
     def log(self, number):
         return self.folder / f"{number}.log"
 
-    def until(self, what, seconds=20):
+    def until(self, condition, seconds=20):
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             self.world.run(0.005)
-            if found := what():
+            if found := condition():
                 return found
         raise AssertionError([self.log(n).read_text() for n in range(len(self.started))])
 
@@ -550,7 +556,7 @@
     made.close()
 
 
-def test_a_relays_process_reloads_and_ends_within_a_second_with_its_polls_answered(processes):
+def test_a_relay_process_reloads_and_ends_soon_with_its_polls_answered(processes):
     relay = processes.start()
     watchers = [Watcher(processes.port(relay)) for _ in range(20)]
     for watcher in watchers:
@@ -573,7 +579,7 @@
         watcher.sock.close()
 
 
-def test_operators_ask_who_is_behind(processes):
+def test_operators_can_list_the_lagging_watchers(processes):
     relay = processes.start(lease_s=3, longest_wait_ms=1000)
     port = processes.port(relay)
     watcher = Watcher(port)
@@ -609,7 +615,7 @@
         "relay: [\n",
     ],
 )
-def test_a_bad_configuration_is_one_line_and_exit_2(tmp_path, text):
+def test_a_bad_configuration_gives_one_line_and_exit_code_2(tmp_path, text):
     path = tmp_path / "relay.yaml"
     with socket.create_server(("127.0.0.1", 0)) as taken:
         path.write_text(text.replace("TAKEN", str(taken.getsockname()[1])))
@@ -619,13 +625,13 @@
     assert done.stderr.count("\n") == 1
 
 
-def test_the_example_can_be_read():
+def test_the_example_configuration_can_be_read():
     config = read_relay(str(ROOT / "deploy" / "relay.yaml"))
     assert config.section.upstreams == ["127.0.0.1:7000", "127.0.0.1:7001"]
 
 
 class RelayedGateway(gateways.Stage):
-    """A real gateway whose notice board is a relay."""
+    """A real gateway that polls a relay in place of the notice board."""
 
     def __init__(self, address):
         self.relay_address = address
@@ -639,20 +645,20 @@
     return f"127.0.0.1:{relay.server.port}"
 
 
-def test_a_purge_comes_through_two_levels_to_a_real_gateway_and_the_mark_proves_it(stage):
+def test_a_purge_reaches_a_real_gateway_through_two_levels_and_the_mark_confirms_it(stage):
     limits = {"lease_s": 3.0, "longest_wait_ms": 1_000}
     top = stage.relay(**limits)
     middle = stage.relay(address_of(top), report_upstream=True, **limits)
-    stage.known(middle)
+    stage.wait_until_current(middle)
     gateway = RelayedGateway(address_of(middle))
     try:
         client = gateway.client()
 
-        def turned(what):
-            return lambda: gateway.turn() or what()
+        def turned(condition):
+            return lambda: gateway.turn() or condition()
 
         def fetched(number, key):
-            """What the gateway writes to the stand-in of a store for a read."""
+            """Returns the line that the gateway sends to the stand-in store to fetch `key`."""
 
             def line():
                 found = gateway.cache.line()
@@ -666,9 +672,9 @@
         assert "newer=" in fetched(1, gateways.OBJECT) and "newer=" not in fetched(2, "00000000000000aa")
         now = top.loop.clock.now
         stage.until(turned(lambda: top.marks.mark(now()) == 2))
-        assert top.marks.counted(now()) == 1  # the gateway, and not the relay between
+        assert top.marks.counted(now()) == 1  # counts the gateway but not the relay in between
         assert middle.marks.counted(now()) == 1
-        gateway.gateway.discovery.stop()  # the gateway is cut off, and after its lease nobody is counted
+        gateway.gateway.discovery.stop()  # the gateway is cut off; after its lease no gateway is counted
         stage.board.publish(flush={"collection": 3, "ms": 5})
         stage.until(lambda: top.marks.behind(3, now()))
         assert top.marks.mark(now()) == 2
@@ -679,23 +685,23 @@
         gateway.close()
 
 
-class CutOff:
-    """An upstream that gives each who connects the same bytes, whatever is asked, and then ends."""
+class ClosingUpstream:
+    """An upstream that sends the same bytes on each connection, whatever the request, and then closes it."""
 
     def __init__(self, response):
         self.response, self.sock, self.served = response, socket.create_server(("127.0.0.1", 0)), 0
         self.sock.setblocking(False)
         self.address = f"127.0.0.1:{self.sock.getsockname()[1]}"
-        self.asked = []
+        self.connections = []
 
-    def look(self):
-        """Serves who has come; True once anybody was served."""
+    def receive(self):
+        """Serves pending connections; returns how many have been served so far."""
         try:
-            self.asked.append(self.sock.accept()[0])
-            self.asked[-1].setblocking(False)
+            self.connections.append(self.sock.accept()[0])
+            self.connections[-1].setblocking(False)
         except BlockingIOError:
             pass
-        for conn in list(self.asked):
+        for conn in list(self.connections):
             try:
                 conn.recv(65_536)
             except BlockingIOError:
@@ -703,12 +709,12 @@
             conn.setblocking(True)
             conn.sendall(self.response)
             conn.close()
-            self.asked.remove(conn)
+            self.connections.remove(conn)
             self.served += 1
         return self.served
 
     def close(self):
-        for sock in (self.sock, *self.asked):
+        for sock in (self.sock, *self.connections):
             sock.close()
 
 
@@ -718,7 +724,7 @@
 
 
 class Gateways:
-    """Polls of many gateways, by the class that gateways run, on one loop; all prefer the first address."""
+    """Many discovery clients, of the class that gateways use, on one loop; all prefer the first address."""
 
     def __init__(self, stage, count, *addresses, rev=1, grace_ms=250):
         self.stage, self.loop, self.logged = stage, Loop(), []
@@ -740,8 +746,8 @@
                 )
             )
 
-    def until(self, what):
-        return self.stage.until(lambda: self.loop.turn(1_000_000) or what())
+    def until(self, condition):
+        return self.stage.until(lambda: self.loop.turn(1_000_000) or condition())
 
     def close(self):
         for client in self.clients:
@@ -749,10 +755,10 @@
         self.loop.close()
 
 
-def test_the_polls_of_a_dead_relay_come_to_another_spread_in_time_and_miss_nothing(stage, monkeypatch):
+def test_the_polls_of_a_failed_relay_move_to_another_spread_in_time_and_miss_nothing(stage, monkeypatch):
     first, second = stage.relay(), stage.relay()
-    stage.known(first)
-    stage.known(second)
+    stage.wait_until_current(first)
+    stage.wait_until_current(second)
     fleet = Gateways(stage, 300, address_of(first), address_of(second))
     fleet.until(lambda: first.server.waiting == 300)
     stage.kill(first)
@@ -767,7 +773,7 @@
     monkeypatch.setattr(fleet.loop, "after", recorded)
     fleet.until(lambda: all(client.rev == 2 for client in fleet.clients))
     first_tries = sorted(delays_ms[:300])
-    assert first_tries[0] >= 20 and first_tries[-1] <= 125 + 40  # half of the grace, and the backoff
+    assert first_tries[0] >= 20 and first_tries[-1] <= 125 + 40  # half of the grace plus the backoff
     assert first_tries[-1] - first_tries[0] >= 80
     assert max(first_tries.count(delay_ms) for delay_ms in first_tries) <= 10
     assert all(numbers({"notices": taken}) == [2] for taken in fleet.taken)
@@ -775,23 +781,23 @@
     fleet.close()
 
 
-def test_a_gateway_that_moves_in_the_middle_of_an_answer_misses_nothing_and_takes_nothing_twice(stage):
-    """The relays differ by some events: the second has not heard of the last ones yet."""
+def test_a_gateway_that_changes_relays_within_an_answer_misses_nothing_and_applies_nothing_twice(stage):
+    """The second relay does not have the last 40 events yet."""
     first, second = stage.relay(history_events=64), stage.relay(history_events=500)
-    stage.known(second)
+    stage.wait_until_current(second)
     now = second.loop.clock.now()
     made_ms = now // 1_000_000
     moved = MEMBER | {"host_port": "127.0.0.1:10"}
     events = [{"rev": 2, "pool": {"revision": 2, "complete": False, "members": [moved]}}]
     events += [{"rev": n, "flush": {"asset": f"{n:016x}", "ms": made_ms}} for n in range(3, 2_001)]
-    stage.known(first)
+    stage.wait_until_current(first)
     first.history.append(events, now)
     second.history.append(events[:-40], now)
     body = first.history.since(1, now)
-    cut = CutOff(response(body[:80_000], len(body)))
+    cut = ClosingUpstream(response(body[:80_000], len(body)))
     fleet = Gateways(stage, 1, cut.address, address_of(second))
     (client,), (taken,) = fleet.clients, fleet.taken
-    fleet.until(lambda: cut.look() and client.rev > 1)
+    fleet.until(lambda: cut.receive() and client.rev > 1)
     assert 500 < client.rev < 1_960
     fleet.until(lambda: client.rev == 1_960)
     second.history.append(events, now)
@@ -815,35 +821,35 @@
         b"\xff\xfe",
     ],
 )
-def test_of_an_upstream_that_cannot_be_read_nothing_is_taken_and_another_is_asked(stage, body):
-    broken = CutOff(response(body))
+def test_nothing_is_applied_from_an_unreadable_upstream_and_another_is_polled(stage, body):
+    broken = ClosingUpstream(response(body))
     relay = stage.relay(broken.address, stage.board.address)
-    stage.until(lambda: broken.look() and relay.history.ready)
+    stage.until(lambda: broken.receive() and relay.history.ready)
     assert relay.history.revision == 1 and relay.history.counters.taken == 1
     assert "discovery_response_invalid" in stage.names() and "relay_list_known" in stage.names()
     assert relay.upstream == parse_address(stage.board.address)
     broken.close()
 
 
-def test_a_relay_turns_to_another_upstream_and_back_by_a_reload(stage):
+def test_a_relay_fails_over_to_another_upstream_and_a_reload_changes_it_again(stage):
     other = stage.relay()
-    stage.known(other)
+    stage.wait_until_current(other)
     relay = stage.relay(address_of(other), stage.board.address)
-    stage.known(relay)
+    stage.wait_until_current(relay)
     assert relay.upstream == parse_address(address_of(other))
     stage.kill(other)
     stage.board.publish(flush={"collection": 3, "ms": 5})
-    stage.known(relay)
+    stage.wait_until_current(relay)
     assert relay.upstream == parse_address(stage.board.address)
     third = stage.relay()
     section = RelaySection(listen="127.0.0.1:0", upstreams=[address_of(third)])
     relay.reload(RelayConfig("relay", section))
     stage.board.publish(flush={"collection": 4, "ms": 5})
-    stage.known(relay)
+    stage.wait_until_current(relay)
     assert relay.upstream == parse_address(address_of(third))
 
 
-def test_an_operators_file_may_name_further_addresses_for_a_gateway(tmp_path):
+def test_an_operators_file_may_name_further_relay_addresses_for_a_gateway(tmp_path):
     (tmp_path / "settings.json").write_text(json.dumps(gateways.SETTINGS))
     (tmp_path / "stores.csv").write_text("name,address,zone,kind\ns-00000001,127.0.0.1:9,edge-1,petit\n")
     lines = "name: n0\nlisten: 127.0.0.1:0\nsettings: settings.json\ninventory: stores.csv\n"
--- a/tests/test_relay_decisions.py
+++ b/tests/test_relay_decisions.py
@@ -1,4 +1,4 @@
-"""What relays and discovery clients decide: history, folding, low-water marks and failover; without I/O."""
+"""Decisions of relays and discovery clients, without I/O: history, folding, low-water marks and failover."""
 
 import json
 import random
@@ -39,7 +39,7 @@
 
 
 class Client:
-    """A gateway that takes an answer event by event, as a stream, and counts what it took event by event."""
+    """A stand-in for a gateway: applies an answer event by event and may be cut off in the middle."""
 
     def __init__(self):
         self.rev, self.stores, self.purges = 0, {}, {}
@@ -72,6 +72,7 @@
 
 
 def caught_up(upstream, client=None):
+    """Returns the client after a poll that leaves it with nothing more to get."""
     client = client or Client()
     client.poll(upstream)
     assert not client.poll(upstream)
@@ -82,7 +83,7 @@
 
 
 @pytest.mark.parametrize("raw", [None, [], {}, {"rev": "1"}, {"rev": True}, {"rev": 0}, {"rev": 2**63}])
-def test_what_has_no_number_is_no_event(raw):
+def test_a_value_without_a_valid_number_is_not_an_event(raw):
     with pytest.raises(InvalidRelayEvent):
         parse_event(raw)
 
@@ -98,13 +99,13 @@
         {"flush": {"collection": float("inf"), "ms": 1}},
     ],
 )
-def test_parts_that_cannot_be_used_are_passed_on_and_counted(part):
+def test_unusable_parts_are_passed_on_and_counted(part):
     made = history(pool(1, complete=True), {"rev": 2, **part})
     assert json.loads(made.since(1, NOW))["notices"] == [{"rev": 2, **part}]
     assert made.counters.unusable == 1
 
 
-def test_one_bad_member_does_not_hide_the_others():
+def test_an_invalid_member_does_not_hide_the_others():
     event = parse_event(pool(1, store("a"), {"id": "b"}, 7, store("c", "Paused"), store("d", "Gone")))
     assert [member.name for member in event.pool.members] == ["a", "d"]
     assert event.unusable == 3 and not event.has_unknown
@@ -120,10 +121,10 @@
 # History
 
 
-def test_answers_are_slices_that_all_who_wait_at_a_number_share():
+def test_answers_are_slices_shared_by_all_watchers_that_lack_the_same_events():
     made = history(pool(3, store("a"), complete=True), purge(7), purge(12, 17))
     assert json.loads(made.since(3, NOW)) == {"rev": 12, "notices": [purge(7), purge(12, 17)]}
-    assert made.since(7, NOW) is made.since(11, NOW)  # numbers jump
+    assert made.since(7, NOW) is made.since(11, NOW)  # event numbers may jump
     assert made.since(12, NOW) is None and made.since(40, NOW) is None
     assert json.loads(made.empty_answer()) == {"rev": 12, "notices": []}
     before = made.since(7, NOW)
@@ -132,14 +133,14 @@
     assert made.counters.answers_shared == 2 and made.counters.answers_encoded == 3
 
 
-def test_nobody_is_answered_before_a_whole_list():
+def test_no_poll_is_answered_before_a_complete_list():
     made = history(purge(5), pool(6, store("a")))
     assert not made.ready and made.since(0, NOW) is None and made.revision == 6
     made.append([pool(9, store("b"), complete=True)], NOW)
     assert made.ready and caught_up(made).stores.keys() == {"b"}
 
 
-def test_an_upstream_with_older_numbers_or_none_changes_nothing():
+def test_an_upstream_with_lower_numbers_or_no_events_changes_nothing():
     made = history(pool(10, store("a"), complete=True), purge(11))
     result = made.append([pool(2, store("a", "Gone")), purge(11), 5, {"rev": None}], NOW)
     assert (result.taken, result.known, result.invalid) == (0, 2, 2)
@@ -161,7 +162,7 @@
     assert made.counters.invalid == 1 and made.revision == 3
 
 
-def test_a_store_that_went_and_came_during_the_gap_has_its_latest_data():
+def test_a_store_that_left_and_returned_while_a_watcher_was_away_has_its_latest_entry():
     made = history(
         pool(1, store("a", size=1), store("b"), complete=True),
         purge(2),
@@ -178,12 +179,12 @@
     assert caught_up(made, client).stores.keys() == {"a", "b"}
 
 
-def test_a_watcher_that_has_the_newest_change_is_sent_no_list():
+def test_a_watcher_that_has_the_newest_list_change_gets_no_list():
     made = history(pool(1, store("a"), complete=True), purge(2), purge(3, 1), purge(4, 2), most_events=1)
     assert json.loads(made.since(1, NOW))["notices"] == [purge(2), purge(3, 1), purge(4, 2)]
 
 
-def test_a_folded_list_is_encoded_again_only_where_it_has_changed(monkeypatch):
+def test_only_the_changed_entries_of_a_folded_list_are_encoded_again(monkeypatch):
     made = history(pool(1, *(store(f"s{i}") for i in range(50)), complete=True), purge(2), most_events=1)
     caught_up(made)
     encoded = []
@@ -198,7 +199,7 @@
     assert [value.get("id", "pool") for value in encoded] == ["s7", "pool"]
 
 
-def test_a_groups_purge_replaces_no_objects_and_the_reverse():
+def test_a_groups_purge_does_not_replace_an_objects_purge_nor_the_reverse():
     made = history(
         pool(1, complete=True),
         purge(2, KEY),
@@ -212,14 +213,14 @@
     assert made.counters.purges_superseded == 2
 
 
-def test_a_later_event_of_an_older_purge_hides_no_newer_one():
+def test_a_later_event_with_an_older_purge_does_not_replace_a_newer_purge():
     made = history(
         pool(1, complete=True), purge(2, ms=NOW_MS), purge(3, ms=NOW_MS - 500), purge(4, 1), most_events=1
     )
     assert caught_up(made).purges[KEY] == NOW_MS
 
 
-def test_purges_are_kept_for_their_retention_and_no_longer():
+def test_purges_are_retained_for_their_retention_time_and_no_longer():
     made = history(
         pool(1, complete=True),
         purge(2),
@@ -230,12 +231,14 @@
     )
     made.append([purge(5, 3, ms=NOW_MS - 9_000)], NOW + 9 * S)
     assert caught_up(made).purges.keys() == {KEY, 1, 2, 3}
-    made.append([purge(6, 4)], NOW + 10 * S)  # of clocks that differ, the moment of its folding counts
+    made.append(
+        [purge(6, 4)], NOW + 10 * S
+    )  # the clock of purge 1 is ahead, so the time of its folding counts
     assert caught_up(made).purges.keys() == {4}
     assert made.counters.purges_settled == 4
 
 
-def test_purges_over_the_limit_are_refused_to_those_they_concern_and_to_nobody_else():
+def test_above_the_limit_on_purges_only_watchers_that_lack_an_evicted_purge_are_refused():
     made = history(
         pool(1, complete=True), *(purge(2 + i, i) for i in range(10)), most_events=1, most_purges=4
     )
@@ -243,12 +246,12 @@
     with pytest.raises(WatcherTooOld):
         made.since(5, NOW)
     assert [event["rev"] for event in json.loads(made.since(6, NOW))["notices"]] == [7, 8, 9, 10, 11]
-    later = NOW + 60 * S  # what was evicted is settled
+    later = NOW + 60 * S  # the evicted purges have settled
     assert json.loads(made.since(0, later))["rev"] == 11
     assert made.counters.watchers_too_old == 1
 
 
-def test_a_list_over_the_limit_never_passes_for_a_whole_one():
+def test_a_list_above_the_limit_on_members_is_never_served_as_complete():
     made = history(
         pool(1, *map(store, "abc"), complete=True), purge(2), purge(3), most_events=1, most_members=2
     )
@@ -270,14 +273,16 @@
         assert made._answers_size <= 8_000
     assert len(made._run._numbers) < 2_100 and len(made._purges) == 0
     assert len(made.since(1, NOW)) < 2_100
-    made.append([pool(5_000, store("a", note="x" * 9_000))], NOW)  # one event is kept whatever its length
+    made.append(
+        [pool(5_000, store("a", note="x" * 9_000))], NOW
+    )  # the newest event is kept whatever its length
     assert caught_up(made).stores.keys() == {"a"}
 
 
-def backlog(count, made_over_s, most_events=4_096):
-    """An hour's purges on their way: the history, and the processor time that it took."""
+def backlog(count, issued_over_s, most_events=4_096):
+    """Returns a history of a list and `count` purges issued over `issued_over_s` seconds, and its CPU time."""
     events = [pool(1, *(store(f"s-{i:08x}") for i in range(1_100)), complete=True)]
-    step_ms = made_over_s * 1_000 / count
+    step_ms = issued_over_s * 1_000 / count
     events += [purge(2 + i, f"{i:016x}", ms=NOW_MS - int((count - i) * step_ms)) for i in range(count)]
     made = EventHistory(HistoryLimits(most_events=most_events))
     begun = time.process_time()
@@ -286,16 +291,18 @@
     return made, time.process_time() - begun
 
 
-def test_an_hours_backlog_costs_time_by_its_number_and_leaves_what_is_live():
+def test_an_hours_backlog_takes_linear_time_and_leaves_only_unsettled_purges():
     small, small_time = backlog(135_000, 900)
     large, large_time = backlog(540_000, 3_600)
     assert large.revision == 540_001
-    assert large_time < 8 * small_time  # 4 by their number; something rebuilt for each would cost 16 or more
+    assert large_time < 8 * small_time  # 4 if linear; 16 or more if each event caused a rebuild
     body = large.since(0, NOW)
-    told = [event["flush"]["ms"] for event in json.loads(body)["notices"] if "flush" in event]
-    assert len(told) in (8_999, 9_000) and min(told) > NOW_MS - 60_000  # what is live: a minute's
+    purge_times = [event["flush"]["ms"] for event in json.loads(body)["notices"] if "flush" in event]
+    assert (
+        len(purge_times) in (8_999, 9_000) and min(purge_times) > NOW_MS - 60_000
+    )  # unsettled: those of the last minute
     assert large.since(10_000, NOW) is large.since(400_000, NOW) and large.since(0, NOW) is body
-    assert len(large._purges) + len(large._run) == len(told)
+    assert len(large._purges) + len(large._run) == len(purge_times)
 
 
 def test_two_hundred_thousand_unsettled_purges_stay_bounded():
@@ -306,7 +313,7 @@
     assert made.since(made.revision - 5_000, NOW) is not None
 
 
-# Watchers that move
+# Watchers that change relays
 
 
 def test_a_watcher_ahead_of_its_relay_waits():
@@ -318,7 +325,7 @@
     assert client.poll(behind) and client.rev == 4 and client.stores == {}
 
 
-def test_an_answer_cut_off_before_its_list_is_taken_up_at_another_relay():
+def test_an_answer_cut_off_before_its_list_can_be_continued_at_another_relay():
     events = [
         pool(10, store("a"), store("b"), complete=True),
         pool(20, store("b", "Gone")),
@@ -338,7 +345,7 @@
         assert client.purges.keys() == {KEY, 1, 2}
 
 
-def test_a_relay_that_took_a_folded_list_tells_it_to_those_between():
+def test_a_relay_that_got_a_folded_list_sends_it_to_watchers_within_its_range():
     upper = history(
         pool(10, store("a"), complete=True),
         purge(12),
@@ -354,7 +361,7 @@
     assert caught_up(lower, client).stores["a"]["phase"] == "Terminating"
 
 
-def test_a_relay_with_a_short_run_tells_a_folded_list_to_those_between():
+def test_a_relay_with_a_short_run_sends_a_folded_list_to_watchers_within_its_range():
     upper = history(
         pool(1, store("a"), complete=True), purge(2), pool(4, store("a", size=9)), pool(7), most_events=1
     )
@@ -365,7 +372,7 @@
         assert caught_up(lower, client).stores["a"]["size"] == 9
 
 
-def test_a_list_whose_numbers_are_all_taken_shares_the_last_ones_event():
+def test_a_list_without_a_free_number_is_merged_into_the_last_purges_event():
     both = pool(3, store("a", "Gone"), flush={"collection": 3, "ms": NOW_MS})
     made = history(pool(1, store("a"), store("b"), complete=True), purge(2), both, purge(4, 4), most_events=1)
     client = Client()
@@ -378,10 +385,11 @@
 PHASES = st.sampled_from(["Ready", "Terminating", "Gone"])
 MEMBERS = st.lists(st.builds(store, NAMES, PHASES, size=st.integers(1, 9)), max_size=3)
 PURGES = st.tuples(st.sampled_from([KEY, "0" * 16, 17, 18]), st.integers(NOW_MS - 900, NOW_MS))
-BODIES = st.one_of(PURGES, PURGES, MEMBERS, st.tuples(MEMBERS))  # a tuple of members is a whole list
+BODIES = st.one_of(PURGES, PURGES, MEMBERS, st.tuples(MEMBERS))  # a tuple of members is a complete list
 
 
 def numbered(bodies, jumps):
+    """Returns a complete list followed by the bodies as events, each number above the last by a jump."""
     rev, events = 1, [pool(1, store("a"), store("b"), complete=True)]
     for body, jump in zip(bodies, jumps, strict=True):
         rev += jump
@@ -394,7 +402,8 @@
     return events
 
 
-def truth_at(events, rev):
+def state_at(events, rev):
+    """Returns a client that has applied every event up to `rev`."""
     client = Client()
     for event in events:
         if event["rev"] <= rev:
@@ -404,22 +413,22 @@
 
 @settings(max_examples=300)
 @given(st.data())
-def test_an_answer_takes_any_watcher_from_its_number_to_the_last_one(data):
-    """Of a relay that saw every event, and of one below it that was given folded and cut answers."""
+def test_an_answer_brings_a_watcher_from_any_number_to_the_newest_state(data):
+    """Checks a relay that got every event, and one that polls it and got folded and truncated answers."""
     bodies = data.draw(st.lists(BODIES, min_size=1, max_size=30))
     events = numbered(bodies, [1 + i % 3 for i in range(len(bodies))])
     upper, lower = (EventHistory(HistoryLimits(most_events=data.draw(st.integers(1, 9)))) for _ in range(2))
-    given = 0
-    while given < len(events):
-        more = given + data.draw(st.integers(1, 12))
-        upper.append(events[given:more], NOW)
-        given = more
+    fed_count = 0
+    while fed_count < len(events):
+        more = fed_count + data.draw(st.integers(1, 12))
+        upper.append(events[fed_count:more], NOW)
+        fed_count = more
         feed_from(lower, upper, data.draw(st.integers(0, 12)))
     feed_from(lower, upper, None)
-    last = truth_at(events, events[-1]["rev"])
+    last = state_at(events, events[-1]["rev"])
     for relay in (upper, lower):
         for rev in range(last.rev):
-            client = truth_at(events, rev)
+            client = state_at(events, rev)
             client.rev = rev
             assert client.poll(relay)
             assert (client.rev, client.stores, client.purges) == (last.rev, last.stores, last.purges)
@@ -427,8 +436,8 @@
 
 @settings(max_examples=300)
 @given(st.data())
-def test_a_client_that_moves_between_relays_ends_like_one_that_saw_every_event(data):
-    """Two relays of different limits, fed at different paces, a third below one of them; answers are cut."""
+def test_a_client_that_changes_relays_ends_in_the_state_of_one_that_got_every_event(data):
+    """Two relays have different limits and paces, a third polls one of them, and answers are truncated."""
     bodies = data.draw(st.lists(BODIES, min_size=1, max_size=40))
     count = len(bodies)
     jumps = data.draw(st.lists(st.sampled_from([1, 1, 1, 2, 7]), min_size=count, max_size=count))
@@ -449,19 +458,20 @@
     for i in (0, 1):
         relays[i].append(events[fed[i] :], NOW)
     feed_from(relays[2], relays[data.draw(st.integers(0, 1))], None)
-    saw_all = Client()
+    reference = Client()
     for event in events:
-        saw_all.take(event)
+        reference.take(event)
     for client in clients:
         caught_up(relays[data.draw(st.integers(0, 2))], client)
         assert (client.rev, client.stores, client.purges) == (
             events[-1]["rev"],
-            saw_all.stores,
-            saw_all.purges,
+            reference.stores,
+            reference.purges,
         )
 
 
 def feed_from(lower, upper, cut_after):
+    """Appends an answer of `upper`, truncated after `cut_after` events, to `lower`."""
     body = upper.since(lower.revision, NOW)
     if body is not None:
         lower.append(json.loads(body)["notices"][:cut_after], NOW)
@@ -470,7 +480,7 @@
 # Low-water mark
 
 
-def test_the_mark_is_what_every_live_watcher_has_taken():
+def test_the_mark_is_the_lowest_number_of_the_live_watchers():
     marks = LowWaterMark(lease_ns=10 * S)
     assert marks.mark(0) is None
     for name, revision in (("a", 5), ("b", 7), ("c", 7)):
@@ -478,7 +488,7 @@
     assert marks.mark(0) == 5 and marks.counted(0) == 3
     marks.report("a", 9, 1 * S)
     assert marks.mark(1 * S) == 7
-    marks.report("a", 3, 2 * S)  # started again, from an older number
+    marks.report("a", 3, 2 * S)  # the watcher has restarted from a lower number
     assert marks.mark(2 * S) == 3
     assert marks.behind(8, 2 * S) == [
         LaggingWatcher("a", 3, 2 * S, False),
@@ -487,53 +497,53 @@
     ]
 
 
-def test_a_dead_watcher_holds_the_mark_for_a_lease_and_is_listed_after_it():
-    marks = LowWaterMark(lease_ns=10 * S, lapsed_kept_ns=100 * S)
+def test_a_dead_watcher_holds_the_mark_back_for_a_lease_and_is_then_listed_as_lapsed():
+    marks = LowWaterMark(lease_ns=10 * S, lapsed_retention_ns=100 * S)
     marks.report("dead", 5, 0)
     marks.report("live", 9, 0)
-    marks.disconnected("dead", 4 * S)  # it may still serve: its lease counts from here
+    marks.disconnected("dead", 4 * S)  # renews the lease, as the watcher may still serve
     marks.disconnected("never seen", 4 * S)
     marks.report("live", 9, 13 * S)
     assert marks.mark(13 * S) == 5
     assert marks.mark(14 * S) == 9 and marks.counted(14 * S) == 1
     assert marks.behind(9, 14 * S) == [LaggingWatcher("dead", 5, 0, True)]
     assert marks.behind(5, 14 * S) == []
-    marks.report("dead", 6, 20 * S)  # back again
+    marks.report("dead", 6, 20 * S)  # the watcher has returned
     assert marks.mark(20 * S) == 6 and marks.counters.returned == 1
     assert marks.mark(200 * S) is None
     assert marks.behind(10, 200 * S) == [] and marks.counters.lapsed_forgotten == 2
 
 
-def test_a_relay_below_tells_its_own_mark_and_how_many_it_stands_for():
+def test_a_relay_that_polls_reports_its_own_mark_and_its_number_of_gateways():
     marks = LowWaterMark(lease_ns=10 * S)
     marks.report("relay", 50, 0, low=30, count=500)
     marks.report("gateway", 40, 0)
     assert marks.mark(0) == 30 and marks.counted(0) == 501
-    marks.report("relay", 50, 1, low=60, count=480)  # never more than it has itself
+    marks.report("relay", 50, 1, low=60, count=480)  # the mark never exceeds the relay's own number
     assert marks.mark(1) == 40 and marks.counted(1) == 481
     assert marks.counted(10 * S) == 480
 
 
-def test_there_is_no_mark_before_those_of_an_earlier_life_have_had_their_lease():
+def test_there_is_no_mark_in_the_first_lease_after_a_start():
     marks = LowWaterMark(lease_ns=10 * S, started_ns=100 * S)
     marks.report("early", 9, 101 * S)
     assert marks.mark(109 * S) is None and marks.counted(109 * S) == 1
     assert marks.subtree_low(12, 109 * S) == 0
     assert marks.mark(110 * S) == 9
     assert marks.subtree_low(12, 110 * S) == 9 and marks.subtree_low(7, 110 * S) == 7
-    assert marks.subtree_low(12, 200 * S) == 12  # nobody is left
+    assert marks.subtree_low(12, 200 * S) == 12  # no watcher is left
 
 
-def test_watchers_and_lapsed_ones_are_bounded():
+def test_the_numbers_of_live_and_lapsed_watchers_are_bounded():
     marks = LowWaterMark(lease_ns=10 * S, most_watchers=5, most_lapsed=3)
     assert [marks.report(str(i), i, 0) for i in range(6)] == [True] * 5 + [False]
     assert marks.counters.refused == 1
-    assert marks.report("6", 6, 10 * S)  # the others' leases are over
+    assert marks.report("6", 6, 10 * S)  # the other watchers' leases have expired
     assert [entry.name for entry in marks.behind(9, 10 * S)] == ["2", "3", "4", "6"]
     assert marks.counters.lapsed == 5 and marks.counters.lapsed_dropped == 2
 
 
-def test_a_watcher_that_stays_behind_lets_no_heap_grow():
+def test_a_watcher_that_stays_behind_does_not_make_the_heap_grow():
     marks = LowWaterMark(lease_ns=10 * S)
     for number in range(1, 20_000):
         marks.report("slow", 1, number)
@@ -543,7 +553,7 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from("abcde"), st.integers(0, 9), st.integers(0, 4)), max_size=60))
-def test_the_mark_agrees_with_a_walk_over_all_watchers(reports):
+def test_the_mark_agrees_with_the_minimum_over_all_watchers(reports):
     marks, now, heard = LowWaterMark(lease_ns=5), 0, {}
     for name, revision, after in reports:
         now += after
@@ -556,20 +566,20 @@
 # Failover
 
 
-def test_one_address_is_tried_again_within_twice_the_shortest_and_backs_off_to_the_longest():
-    drawn = random.Random(1)
-    selector = UpstreamSelector([("a", 1)], drawn.random)
+def test_a_single_address_is_retried_within_twice_the_shortest_delay_and_backs_off_to_the_longest():
+    generator = random.Random(1)
+    selector = UpstreamSelector([("a", 1)], generator.random)
     for _ in range(100):
         delays = [selector.failed().delay_ns for _ in range(8)]
         for failures, delay in enumerate(delays):
             assert 20 * MS <= delay <= min(40 * MS * 2**failures, 320 * MS)
         selector.succeeded()
     late = [selector.failed().delay_ns for _ in range(300)]
-    assert min(late[8:]) < 50 * MS and max(late) > 290 * MS  # over the whole span
+    assert min(late[8:]) < 50 * MS and max(late) > 290 * MS  # delays cover the whole range
     assert selector.current == ("a", 1)
 
 
-def test_every_other_address_is_tried_before_one_is_tried_again():
+def test_every_other_address_is_tried_before_an_address_is_retried():
     addresses = [("a", 1), ("b", 1), ("c", 1), ("b", 1)]
     selector = UpstreamSelector(addresses, random.Random(2).random)
     assert selector.current == ("a", 1)
@@ -577,10 +587,10 @@
     held = selector.current
     assert selector.failed().address != held
     first = [UpstreamSelector(addresses, random.Random(seed).random).failed().address for seed in range(100)]
-    assert 25 < first.count(("b", 1)) < 75  # those of a dead relay spread over the others
+    assert 25 < first.count(("b", 1)) < 75  # the watchers of a failed relay spread over the others
 
 
-def test_another_configuration_keeps_an_upstream_that_it_names():
+def test_a_new_configuration_keeps_the_current_upstream_if_it_names_it():
     selector = UpstreamSelector([("a", 1), ("b", 1)], random.Random(3).random)
     selector.failed()
     selector.replace([("c", 1), ("b", 1)])
@@ -594,10 +604,10 @@
         UpstreamSelector([("a", 1)], random.random, 30, 20)
 
 
-def test_the_polls_of_a_dead_relay_spread_over_half_the_grace():
-    drawn = random.Random(4)
-    delays = [spread_ns(drawn.random, 300 * MS) for _ in range(7_500)]
+def test_the_polls_of_a_failed_relay_spread_over_half_the_grace():
+    generator = random.Random(4)
+    delays = [spread_ns(generator.random, 300 * MS) for _ in range(7_500)]
     assert 0 <= min(delays) and max(delays) < 150 * MS
     by_10_ms = [sum(1 for delay in delays if delay // (10 * MS) == i) for i in range(15)]
     assert max(by_10_ms) < 1.25 * 7_500 / 15
-    assert spread_ns(drawn.random, 0) == 0
+    assert spread_ns(generator.random, 0) == 0
