--- a/olivecourse/ops/succession.py
+++ b/olivecourse/ops/succession.py
@@ -1,7 +1,7 @@
 """Hot restart of a gateway: finds other processes, shares manual drains, transfers client connections.
 
-Connects `standing`, `presence`, `handover` and a front. `docs/design/daily.md`, section D, describes the
-whole procedure.
+Connects `standing`, `presence`, `handover` and a front.
+`docs/design/daily.md`, section D, describes the whole procedure.
 """
 
 from __future__ import annotations
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -111,7 +111,7 @@
     assert b"\r\nAllow: PUT\r\n" in stage.until(made)[2]
     stage.gateway.stop()
     assert call(stage, "GET /ops/readiness")[0] == 503
-    assert stage.gateway.directory.ready(1), "no call that got a no has changed anything"
+    assert stage.gateway.directory.ready(1), "a refused call must not change anything"
 
 
 def test_calls_are_answered_while_silent_clients_hold_connections(stage):
@@ -206,7 +206,7 @@
     assert down(stage, "s-00000009") == down(stage, "s-00000008") == 200
     client.call(2, i="66" * 8, c="commande")
     last = stage.until(lambda: len(client.answers()) == 2 and client.answers()[1])
-    assert last[1:3] == ("refused", {"w": "1000"}), "with all out: told honestly, and when to return"
+    assert last[1:3] == ("refused", {"w": "1000"}), "with all stores drained, the refusal says when to retry"
     assert down(stage, "s-00000009", "up") == down(stage, "s-00000008", "up") == 200
     assert not stage.cache.poll() and down(stage, "s-00000001", "up") == 200
     client = stage.client()
@@ -238,7 +238,7 @@
         client = stage.client()
         client.call(1, i=f"{number:016x}")
         stage.until(lambda c=client: stage.cache.poll() or c.answers())
-    assert stage.cache.data and number > 1, "within 5 s, and not before it can bear it"
+    assert stage.cache.data and number > 1, "the store must get requests within 5 s, but not at once"
 
 
 def test_a_manually_drained_parent_is_no_fill_source_for_waiting_or_new_requests(stage):
@@ -285,7 +285,7 @@
 
 
 def test_a_partial_list_at_the_start_does_not_remove_stores_that_it_does_not_name():
-    """A start must apply all events in order: it once kept only the last store of a change after the list."""
+    """A gateway started during a release once knew only the last store that it had been sent."""
     stage = Stage()
     try:
         more = member("s-00000002", stage.cache.address)
@@ -346,7 +346,7 @@
     stage = Stage(board=True, mgmt="127.0.0.1:0")
     try:
         stage.until(lambda: b"watch=1&linger=0" in stage.board.poll())
-        assert call(stage, "GET /ops/readiness")[0] == 503, "the board has not answered yet"
+        assert call(stage, "GET /ops/readiness")[0] == 503, "not ready before the notice board has answered"
         body = json.dumps({"rev": 2, "notices": [{"rev": 2, "flush": {"collection": 3, "ms": 5}}]}).encode()
         for byte in b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body):
             stage.board.say(bytes([byte]))
@@ -384,7 +384,9 @@
     assert DOOR >= MAX_CONNECTIONS + 2
     for sockets, before in ((256, (96, 24, 112)), (384, (160, 24, 176)), (1024, (480, 24, 496))):
         room = split(sockets, 0)
-        assert (room.stores, room.per_store, room.clients) == before, "without a door as it was"
+        assert (room.stores, room.per_store, room.clients) == before, (
+            "without an admin server the budget is unchanged"
+        )
 
 
 class StoppedTimers:
@@ -455,5 +457,7 @@
             ledger.turned_away(n % 2)
             answers.refused(0)
         ended = [sum(counts[i] for counts in ledger.outcomes) for i in range(3)]
-        assert ended == [answers.count(i) for i in range(3)], "each answer counts once, as what it was"
+        assert ended == [answers.count(i) for i in range(3)], (
+            "each answer must count once, under its own kind"
+        )
         assert ledger.taken == sum(ended) + ledger.left + ledger.open
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -183,10 +183,14 @@
     old.stop()
     upgrade.until(lambda: new.front.clients)
     upgrade.kill(old)
-    assert upgrade.until(client.answers) == [(1, "failed", {}, b"")], "never refused: it may have run"
+    assert upgrade.until(client.answers) == [(1, "failed", {}, b"")], (
+        "must not be refused, as the order may have been executed"
+    )
     client.call(2, i="66" * 8)
     upgrade.until(lambda: b"66" * 8 in upgrade.cache.poll())
-    assert new.pool.limits.total == split(new.config.sockets, True).stores, "all of the limits again"
+    assert new.pool.limits.total == split(new.config.sockets, True).stores, (
+        "the successor must get all of the limits back"
+    )
 
 
 def test_a_successor_that_dies_before_it_is_ready_changes_nothing(upgrade):
@@ -212,7 +216,7 @@
     old = upgrade.stage.gateway
     assert down(upgrade, "s-00000008") == 200
     new = upgrade.follow()
-    assert not new.directory.ready(8), "held before the first request"
+    assert not new.directory.ready(8), "the drain must hold before the first request"
     assert figures(upgrade)["app_cluster_unhealthy"] == 1
     # These calls go to the successor.
     assert down(upgrade, "s-00000008", "up") == down(upgrade, "s-00000001") == 200
@@ -225,7 +229,7 @@
     assert not again.gateway.directory.ready(1) and again.gateway.directory.ready(8)
     assert "record_unusable" in again.names() and "handover_unanswered" not in again.names()
     left = sorted(p.suffix for p in (tmp_path / "olivecourse-n0").iterdir())
-    assert left == [".json", ".lock", ".sock"], "what the dead left is cleared away"
+    assert left == [".json", ".lock", ".sock"], "the files of dead processes must be removed"
     again.gateway.part(UpgradePart).succession.close()
     again.close()
 
@@ -297,7 +301,7 @@
     sock.sendall(b"here")
     assert kind is Kind.LISTENER and right.recv(9) == b"here"
     sock.close()
-    assert right.recv(9) == b"", "no other copy is left open"
+    assert right.recv(9) == b"", "no other copy of the descriptor may be open"
     ours.close()
     right.close()
     loop.close()
@@ -468,7 +472,7 @@
     lineage.add_predecessor("old")
     assert lineage.take_ready_notification() == "old" and lineage.take_ready_notification() is None
     lineage.successor_ready("stranger")
-    assert lineage.successor() is None, "who never asked gets no clients"
+    assert lineage.successor() is None, "a process that never asked must not get clients"
 
 
 def test_a_gateway_drain_holds_in_both_processes_until_it_is_ended_in_either(upgrade):
