--- a/olivecourse/rollout/budgets.py
+++ b/olivecourse/rollout/budgets.py
@@ -10,13 +10,13 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass
 
-SHARE_TOLERANCE = 1e-9  # absorbs rounding errors of the floating-point shares
+SHARE_TOLERANCE = 1e-9  # absorbs rounding errors when a sum of capacities is compared with the budget's share
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """Limit on what may be out of service at once: at most `number` items, which together have at most
-    `share` of the capacity of the group."""
+    """Limit on what may be out of service at once in a group: at most `number` items, which together have at
+    most `share` (0 to 1) of the capacity of the group."""
 
     number: int = 1
     share: float = 0.34
@@ -24,7 +24,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Group:
-    """A group of items with the capacity of each, and the disruption budget of the group."""
+    """A group of stores or gateways: the capacity of each listed item by its number, in any one unit, and the
+    disruption budget of the group. `key` names the register that holds the group's leases."""
 
     key: str
     capacity: Mapping[int, float]
@@ -32,8 +33,9 @@
 
     def denial_reason(self, out: Collection[int], item: int, forced: bool = False) -> str:
         """Returns why `item` may not go out of service in addition to the items in `out`, or an empty string
-        if it may. Items in `out` that are no longer listed count towards the number. An operator's `forced`
-        request bypasses the budget, but never takes out the last item of a group."""
+        if it may. Items in `out` that are no longer listed in the group count towards the budget's number,
+        but not towards its share. An operator's `forced` request bypasses the budget, but never takes out the
+        last item of a group that is in service."""
         if item not in self.capacity:
             return "not listed"
         after = set(out) | {item}
@@ -50,6 +52,6 @@
         return ""
 
     def over_budget(self, out: Collection[int]) -> bool:
-        """Returns whether more items are out of service than allowed, as after a failure during a drain. No
-        further lease is granted then."""
+        """Returns whether more items are out of service than the budget's number, as after a failure during a
+        drain. No further lease is granted then."""
         return len(out) > self.budget.number
--- a/olivecourse/rollout/hearing.py
+++ b/olivecourse/rollout/hearing.py
@@ -1,8 +1,8 @@
 """Failure detection among the gateways of the fleet, by heartbeats. No I/O.
 
 A heartbeat carries the start time of the sender's process, whether the gateway serves, its version, and the
-counts of its requests. The receiver measures silence on its own clock; clocks of two hosts are never
-compared.
+counts of its requests. The receiver measures on its own clock how long a gateway has sent no heartbeat;
+clocks of two hosts are never compared.
 """
 
 from __future__ import annotations
@@ -14,11 +14,12 @@
 import msgspec
 
 MS = 1_000_000
-# Heartbeat interval in a fleet of up to BASE_FLEET_SIZE gateways; it grows in proportion to larger fleets.
+# Heartbeat interval in a fleet of up to BASE_FLEET_SIZE gateways. In larger fleets the interval grows in
+# proportion to the number of gateways.
 HEARTBEAT_NS = 200 * MS
 BASE_FLEET_SIZE = 16
-# Missed heartbeats after which a gateway counts as silent: with 10 % datagram loss, a false detection has a
-# probability of 1 in 10^8.
+# A gateway counts as silent after this many heartbeat periods without a heartbeat. With 10 % datagram loss,
+# all of 8 heartbeats of a running gateway are lost with a probability of 1 in 10^8.
 DEAD_BEATS = 8
 
 
@@ -31,9 +32,10 @@
 
 
 class Beat(msgspec.Struct, frozen=True, array_like=True):
-    """A heartbeat. `incarnation` is the Unix time of the process start in milliseconds. `ended` and `bad`
-    count all requests and the badly ended ones. `learned_checksum` covers the register values that the sender
-    has learned; `halted_term` is the term of the release that the sender knows to be halted, or 0."""
+    """A heartbeat. `incarnation` is the Unix time at which the sender's process started, in milliseconds.
+    `ended` and `bad` count all client requests that have ended in this process, and those that ended badly.
+    `learned_checksum` covers the register values that the sender has learned; `halted_term` is the term of
+    the release that the sender knows to be halted, or 0."""
 
     incarnation: int
     service: Service
@@ -46,16 +48,18 @@
 
 @dataclass(slots=True)
 class PeerRecord:
-    """The last heartbeat of one gateway, and the request counts from which its counts are measured."""
+    """The last heartbeat of one gateway, the local time of its arrival in nanoseconds, and the values of its
+    request counters that later values are measured from."""
 
     heartbeat: Beat
     received_at: int
-    ended: int  # at the first heartbeat of this process, or at the last reset of the counts
+    ended: int  # counter values to measure from: at the last `reset_counts`, or as set in `heard`
     bad: int
 
 
 class Hearing:
-    """Heartbeat records of all gateways of the fleet, kept by one of them."""
+    """The heartbeats received from all gateways of the fleet, as kept by gateway `me`. `fleet` has the
+    numbers of all gateways, and `now` is the time of the local clock in nanoseconds."""
 
     def __init__(self, me: int, fleet: Iterable[int], now: int) -> None:
         self.me, self.fleet = me, tuple(fleet)
@@ -64,13 +68,13 @@
         self._records: dict[int, PeerRecord] = {}
 
     def heard(self, sender: int, heartbeat: Beat, now: int) -> None:
-        """Records a received heartbeat."""
+        """Records a received heartbeat; one of an earlier process of the sender is ignored."""
         record = self._records.get(sender)
         if record is not None and heartbeat.incarnation < record.heartbeat.incarnation:
             return  # a delayed heartbeat of an earlier process
         if record is None or heartbeat.incarnation > record.heartbeat.incarnation:
-            # The requests of a restarted process count from its start, those of a process heard for the first
-            # time only from now on.
+            # A restarted process began at zero, so all its requests count. Of a gateway heard for the first
+            # time, only the requests from now on count.
             restarted = record is not None
             self._records[sender] = PeerRecord(
                 heartbeat, now, 0 if restarted else heartbeat.ended, 0 if restarted else heartbeat.bad
@@ -79,13 +83,14 @@
         record.heartbeat, record.received_at = heartbeat, now
 
     def reset_counts(self) -> None:
-        """Restarts the request counts of all gateways, as a release begins."""
+        """Restarts the request counts of all gateways at zero; called when the gate of a release starts to
+        compare versions."""
         for record in self._records.values():
             record.ended, record.bad = record.heartbeat.ended, record.heartbeat.bad
 
     def counts(self, node: int) -> tuple[int, int]:
-        """Requests of `node` that have ended since `reset_counts` or since its process started, and the
-        number of them that ended badly."""
+        """Client requests of `node` that have ended since `reset_counts` or since its process started,
+        whichever is later, and the number of them that ended badly."""
         record = self._records.get(node)
         return (
             (0, 0)
@@ -99,15 +104,16 @@
         return None if record is None else record.heartbeat
 
     def silent(self, node: int, now: int) -> bool:
-        """Returns whether the heartbeats of `node` have stopped. For a gateway that was never heard, the time
-        counts from the start of this process."""
+        """Returns whether the last heartbeat of `node` arrived more than DEAD_BEATS heartbeat periods ago.
+        For a gateway that was never heard, the time counts from the start of this process. The local gateway
+        is never silent."""
         record = self._records.get(node)
         since = self._since if record is None else record.received_at
         return node != self.me and now - since > DEAD_BEATS * self.period_ns
 
     def unavailable(self, node: int, now: int) -> bool:
-        """Returns whether `node` is silent, draining or cold; for this gateway itself, its own last heartbeat
-        decides."""
+        """Returns whether `node` is silent (see `silent`), draining or cold, or has never sent a heartbeat;
+        for this gateway itself, its own last heartbeat decides."""
         heartbeat = self.heartbeat(node)
         if heartbeat is None:
             return True
--- a/olivecourse/rollout/places.py
+++ b/olivecourse/rollout/places.py
@@ -1,10 +1,11 @@
 """Disruption leases: permissions to be out of service, as the value of one register. No I/O.
 
-A lease names one item (a store or a gateway) and carries a fencing token. Phase `GRANTED`: the item may go
-out of service but still serves. `OUT`: the item is going out of service or is out. `BACK`: the item receives
-requests again but may still be cold. A lease that was used ends only when the voting members see its item in
-service and warm, never because time has passed. A lease that is merely granted is reclaimed when its holder
-sends no heartbeats.
+A lease names one item (a store or a gateway) and carries a fencing token: a number that grows with each
+grant, so that operations of an earlier holder are recognized. Phase `GRANTED`: the item may go out of service
+but still serves. `OUT`: the item is going out of service or is out. `BACK`: the item receives requests again
+but may still be cold. A lease in phase `OUT` or `BACK` ends only when the voting members see its item in
+service and warm, or when an operator forces it, and never because time has passed. A lease in phase `GRANTED`
+is reclaimed when the heartbeats of its holder have stopped.
 """
 
 from __future__ import annotations
@@ -18,11 +19,12 @@
 from olivecourse.rollout.budgets import Group
 
 MAX_LEASES, MAX_QUEUED = 6, 4  # per group: an encoded table must fit into one datagram
-MAX_VALUE_BYTES = 160
+MAX_VALUE_BYTES = 160  # of an encoded table, for the same reason
 
 
 class Phase(IntEnum):
-    """How far the holder of a lease has come; see the head of this module."""
+    """How far the work under a lease has come: granted, item out of service, or item receiving requests
+    again. The head of this module says what each phase means."""
 
     GRANTED = 0
     OUT = 1
@@ -38,8 +40,9 @@
 
 
 class Lease(msgspec.Struct, frozen=True, array_like=True):
-    """A granted lease. `holder` is the number of the gateway that uses it, `since` the Unix time of the grant
-    in seconds."""
+    """A granted lease. `item` is the number of the store or gateway that may go out of service, `holder` the
+    number of the gateway that requested it, `token` the fencing token, and `since` the Unix time, in seconds,
+    of the request that was granted."""
 
     item: int
     holder: int
@@ -50,7 +53,8 @@
 
 
 class QueuedRequest(msgspec.Struct, frozen=True, array_like=True):
-    """A lease request that waits for the budget; `since` is the Unix time of the request in seconds."""
+    """A lease request of gateway `holder` that waits in the queue of the group until the budget allows it;
+    `since` is the Unix time of the request in seconds."""
 
     item: int
     holder: int
@@ -60,8 +64,8 @@
 
 class Table(msgspec.Struct, frozen=True, array_like=True):
     """The leases of one group, and the requests that wait for one in order of arrival. `token` is the last
-    fencing token issued. `release_term` is the newest release term known to the member that made any change;
-    `member.is_fenced` compares it with the term that a voter knows."""
+    fencing token issued. `release_term` is the newest term of the release known to any member that has
+    changed the table; `member.is_fenced` compares it with the term that a voter knows."""
 
     token: int = 0
     release_term: int = 0
@@ -69,24 +73,25 @@
     queue: tuple[QueuedRequest, ...] = ()
 
     def lease_of(self, item: int) -> Lease | None:
-        """The lease of `item`, or None."""
+        """The lease of `item`, or None if it has no lease."""
         return next((p for p in self.leases if p.item == item), None)
 
 
 class LeaseAction(IntEnum):
-    """Operations on leases."""
+    """Operations on the lease of one item."""
 
     ACQUIRE = 0  # requests a lease, or a position in the queue
-    ACTIVATE = 1  # the holder is about to take the item out of service
-    FREE = 2  # ends the lease; refused until the item is in service and warm
-    CANCEL = 3  # withdraws a queued request, or a lease that is granted and not activated
-    RECLAIM = 4  # by any gateway: withdraws requests and granted leases of a holder without heartbeats
-    RESTORE = 5  # the work is done: the item receives requests again
+    ACTIVATE = 1  # to phase OUT: the holder is about to take the item out of service
+    FREE = 2  # ends the lease; unless forced, refused until the item is in service and warm
+    CANCEL = 3  # withdraws a queued request, or a lease in phase GRANTED
+    RECLAIM = 4  # by any gateway: does the same for a holder whose heartbeats have stopped
+    RESTORE = 5  # to phase BACK: the work is done and the item receives requests again
 
 
 class LeaseOperation(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """One operation on the lease of `item`. `forced` is set by an operator to bypass the budget and the
-    queue; `release_term` is the term of the release on whose behalf the requester acts."""
+    """One operation on the lease of `item` by or for gateway `holder`. `token` is the fencing token of the
+    lease as known to the sender. `forced` is set by an operator to bypass the budget and the queue, or to end
+    a lease early; `release_term` is the term of the release on whose behalf the requester acts."""
 
     action: LeaseAction
     item: int
@@ -108,8 +113,9 @@
 
 
 class Answer(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Answer to a lease operation: the `token` of the lease, the number of queued requests `ahead`, and on a
-    refusal the `holder` and grant time `since` of the oldest lease of the group."""
+    """Answer to a lease operation: the `token` of the lease, the number of queued requests `ahead`, the
+    `reason` of a refusal or of waiting, and on a refusal the `holder` and request time `since` of the lease
+    in the way, if there is one."""
 
     outcome: Outcome
     token: int = 0
@@ -121,8 +127,9 @@
 
 @dataclass(frozen=True)
 class View:
-    """Knowledge of the member that runs the ballot: the group, the items out of service as the voters see
-    them, the term of the release and whether it is halted, and which holders send no heartbeats."""
+    """What the member that runs the ballot knows at that moment: the group, the items out of service as the
+    voters see them, the term of the release and whether it is halted, and, by `silent(holder)`, whether the
+    heartbeats of a holder have stopped for longer than the detection time (`Hearing.silent`)."""
 
     group: Group
     out: Collection[int]
@@ -132,12 +139,12 @@
 
 
 def encode(table: Table) -> bytes:
-    """Encodes a table as a register value."""
+    """Encodes a lease table as a register value."""
     return msgspec.msgpack.encode(table)
 
 
 def decode(value: bytes) -> Table:
-    """Decodes a register value; an empty value is an empty table. Raises ValueError."""
+    """Decodes a register value into a lease table; an empty value is an empty table. Raises ValueError."""
     if not value:
         return Table()
     try:
@@ -147,7 +154,8 @@
 
 
 def apply_operation(table: Table, op: LeaseOperation, view: View) -> tuple[Table, Answer]:
-    """Returns the table after one operation, and the answer to it. Operations are idempotent."""
+    """Returns the table after one operation, and the answer to it. A change that makes the encoded table
+    larger than MAX_VALUE_BYTES is refused. Operations are idempotent."""
     after, answer = HANDLERS[op.action](table, op, view)
     if after is not table and len(encode(after)) > MAX_VALUE_BYTES:
         return table, Answer(Outcome.REFUSED, reason="the table is full")
@@ -155,7 +163,8 @@
 
 
 def apply_batch(value: bytes, ops: Sequence[LeaseOperation], view: View) -> tuple[bytes, list[Answer]]:
-    """Applies all operations of one ballot to a register value, in order of arrival."""
+    """Applies all operations of one ballot to a register value, in order of arrival. Returns the new register
+    value and one answer for each operation."""
     before, answers = decode(value), list[Answer]()
     table = before
     for op in ops:
@@ -167,7 +176,8 @@
 
 
 def starts_release_work(new: Table, old: Table) -> bool:
-    """Returns whether `new` has a release lease that was granted or activated since `old`."""
+    """Returns whether `new` has a lease for a release that was granted, or moved from GRANTED to OUT, since
+    the table `old`."""
     for lease in new.leases:
         current = old.lease_of(lease.item)
         new_lease = current is None or current.token != lease.token
@@ -179,12 +189,14 @@
 
 
 def items_out(table: Table, view: View) -> set[int]:
-    """All items that are out of service, or hold a lease and may go out of service at any moment."""
+    """All items of the group that are out of service, or hold a lease and may go out of service at any
+    moment. The budget counts these."""
     return {p.item for p in table.leases} | set(view.out)
 
 
 def _refusal(table: Table, reason: str) -> Answer:
-    """A refusal that names the holder of the oldest lease, if there is a lease."""
+    """A refusal for this reason. It names the holder of the oldest lease of the group, if there is one, for
+    the operator to see who is in the way."""
     oldest = min(table.leases, key=lambda p: p.since, default=None)
     if oldest is None:
         return Answer(Outcome.REFUSED, reason=reason)
@@ -192,7 +204,8 @@
 
 
 def _acquire(table: Table, op: LeaseOperation, view: View) -> tuple[Table, Answer]:
-    """Grants a lease if the budget and the queue allow it; otherwise queues or refuses the request."""
+    """Grants a lease to the holder if the group's budget and the requests queued before allow it; otherwise
+    queues or refuses the request."""
     current = table.lease_of(op.item)
     if current is not None:
         if current.holder == op.holder and current.why == op.why:
@@ -208,8 +221,8 @@
     ahead = len(table.queue) if position is None else position
     out = items_out(table, view)
     reason = view.group.denial_reason(out, op.item, op.forced)
-    # Requests are served in order of arrival. Forced requests, and requests for an item that is out of
-    # service anyway, do not delay the requests before them and skip the queue.
+    # Requests are served in order of arrival. Forced requests skip the queue. So do requests for an item that
+    # is out of service anyway, since they do not delay the requests before them.
     if not reason and (op.forced or not ahead or op.item in view.out):
         reason = "" if len(table.leases) < MAX_LEASES else "the table is full"
         if not reason:
@@ -232,7 +245,9 @@
 
 
 def _activate(table: Table, op: LeaseOperation, view: View) -> tuple[Table, Answer]:
-    """Moves a granted lease to phase OUT, after checking the token, the release and the budget again."""
+    """Moves a granted lease to phase OUT, after checking again that the token is current, that the release is
+    not halted, and that the budget still allows it. The holder takes the item out of service only after
+    this."""
     current = table.lease_of(op.item)
     if current is None or current.token != op.token or current.holder != op.holder:
         return table, Answer(Outcome.FENCED, reason="the place was given to another or taken back")
@@ -241,8 +256,8 @@
     if current.why is Why.RELEASE and (view.halted or op.release_term < view.release_term):
         return _without(table, current), Answer(Outcome.REFUSED, reason="the release is halted")
     others = {p.item for p in table.leases if p is not current} | set(view.out)
-    # Other items may have failed since the grant and used up the budget: an item that still serves then
-    # loses its lease and waits.
+    # Other items may have failed since the grant and used up the budget. An item that still serves then loses
+    # its lease, and its holder must request a new one.
     if op.item not in view.out and not op.forced and (reason := view.group.denial_reason(others, op.item)):
         return _without(table, current), Answer(Outcome.REFUSED, reason=reason)
     activated = msgspec.structs.replace(current, phase=Phase.OUT)
@@ -256,7 +271,8 @@
 
 
 def _free(table: Table, op: LeaseOperation, view: View) -> tuple[Table, Answer]:
-    """Ends a lease, unless its item is still out of service or cold and the operation is not forced."""
+    """Ends a lease. Refused while its item is still out of service or cold, unless the item has not gone out
+    under this lease (phase GRANTED) or an operator forces it."""
     current = table.lease_of(op.item)
     if current is None:
         return table, Answer(Outcome.DONE)
@@ -268,7 +284,8 @@
 
 
 def _restore(table: Table, op: LeaseOperation, view: View) -> tuple[Table, Answer]:
-    """Moves a lease to phase BACK."""
+    """Moves a lease to phase BACK, since the work on its item is done and the item receives requests
+    again."""
     current = table.lease_of(op.item)
     if current is None or current.token != op.token:
         return table, Answer(Outcome.FENCED, reason="the place was given to another or given back")
@@ -280,7 +297,8 @@
 
 
 def _cancel(table: Table, op: LeaseOperation, view: View) -> tuple[Table, Answer]:
-    """Withdraws the holder's queued request and its granted lease, if any."""
+    """Withdraws the holder's queued request for the item, and its lease if that is in phase GRANTED. A lease
+    in phase OUT or BACK stays."""
     current = table.lease_of(op.item)
     queue = tuple(w for w in table.queue if not (w.item == op.item and w.holder == op.holder))
     if len(queue) != len(table.queue):
@@ -291,14 +309,16 @@
 
 
 def _reclaim(table: Table, op: LeaseOperation, view: View) -> tuple[Table, Answer]:
-    """Removes the queued requests of a silent holder, and its lease if that is merely granted."""
+    """Cleans up after a holder whose heartbeats have stopped (`view.silent`): removes all its queued
+    requests, and its lease of the item if that is in phase GRANTED, in which the item still serves. A lease
+    in phase OUT or BACK stays, since work on the item may be in progress."""
     queue = tuple(w for w in table.queue if not (w.holder == op.holder and view.silent(w.holder)))
     if len(queue) != len(table.queue):
         table = msgspec.structs.replace(table, queue=queue)
     current = table.lease_of(op.item)
     if current is None or current.token != op.token:
         return table, Answer(Outcome.DONE)
-    if current.phase is not Phase.GRANTED:  # work may be in progress although the holder is silent
+    if current.phase is not Phase.GRANTED:  # the item may be worked on although the holder is silent
         return table, Answer(Outcome.REFUSED, reason="it is out")
     if not view.silent(current.holder):
         return table, Answer(Outcome.REFUSED, reason="its holder is heard")
@@ -318,9 +338,10 @@
 def cleanup_operations(
     table: Table, silent: Callable[[int], bool], out: Collection[int]
 ) -> list[LeaseOperation]:
-    """Operations that any gateway may submit on behalf of failed holders: reclaim granted leases and queued
-    requests of silent holders, and free leases whose item is back in service and warm, since the process that
-    held such a lease may have been replaced."""
+    """Operations that any gateway may submit on behalf of failed holders. They reclaim queued requests and
+    leases in phase GRANTED of holders whose heartbeats have stopped (`silent`). They free leases in phase
+    BACK whose item is not in `out`, hence in service and warm, since the process that held such a lease may
+    have been replaced."""
     operations = [
         LeaseOperation(LeaseAction.RECLAIM, p.item, p.holder, p.token)
         for p in table.leases
--- a/olivecourse/rollout/register.py
+++ b/olivecourse/rollout/register.py
@@ -3,9 +3,10 @@
 The protocol is CASPaxos (D. Rystsov, "CASPaxos: Replicated State Machines without logs", 2018): a change is a
 function of the current value, run in two phases under one ballot. The names are those of the paper: ballot,
 prepare, promise, accept. The caller must write `Step.durable` to disk before it sends `Step.sends`; a member
-that cannot guarantee this does not vote. A member that has lost its disk waits until no ballot that counted
-one of its earlier promises can still be open. It then adopts the newest state reported by a majority of
-members other than itself, or by all other members.
+that cannot guarantee this does not vote, that is, it neither starts ballots nor answers `Prepare` and
+`Accept`. A member that has lost its disk waits until no ballot that counted one of its earlier promises can
+still be open. It then adopts the newest state reported by a majority of members other than itself, or by all
+other members, and votes from then on.
 """
 
 from __future__ import annotations
@@ -18,24 +19,27 @@
 import msgspec
 
 MS = 1_000_000
-AGAIN_NS = 60 * MS  # for unanswered messages; more than twice the longest transit time of a datagram
-BALLOT_TIMEOUT_NS = 600 * MS  # a ballot is abandoned after this time, even if replies may still arrive
-PROPOSAL_TIMEOUT_NS = 2_000 * MS  # after this time the outcome of a proposal is reported as unknown
-MAX_BACKOFF_NS = 80 * MS  # upper bound of the random delay after another member's higher ballot
-# Waiting time after a lost disk, after which every ballot that counted an earlier promise has ended.
+# Interval at which an unanswered message is sent again; over twice the longest transit time of a datagram.
+AGAIN_NS = 60 * MS
+BALLOT_TIMEOUT_NS = 600 * MS  # age at which a member abandons its ballot, even if replies may still arrive
+PROPOSAL_TIMEOUT_NS = 2_000 * MS  # age at which a proposal without an answer is reported as unknown
+MAX_BACKOFF_NS = 80 * MS  # upper bound of the random delay between an abandoned ballot and the next
+# Time that a member with a lost disk waits before it recovers. By then every ballot that counted a promise
+# which this member made before the loss has ended.
 QUARANTINE_NS = 3 * BALLOT_TIMEOUT_NS
 
 
 class Ballot(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """A ballot number: a counter, made unique by the number of the proposing member."""
+    """A ballot number: a counter, made unique by the number of the member that started the ballot. Ballots
+    are compared by counter first, then by member number."""
 
     count: int = 0
     member: int = -1
 
 
 class Slot(msgspec.Struct, frozen=True, array_like=True):
-    """The durable acceptor state of one register: the promised ballot, and the last accepted ballot and
-    value."""
+    """The acceptor state of one register, as written to disk: the highest ballot that this member has
+    promised, and the ballot and value that it accepted last."""
 
     promised: Ballot = Ballot()
     accepted: Ballot = Ballot()
@@ -43,15 +47,16 @@
 
 
 class Prepare(msgspec.Struct, frozen=True, array_like=True):
-    """Phase 1 request: asks an acceptor to reject all lower ballots for register `key`."""
+    """Phase 1 request of a ballot: asks an acceptor to reject all lower ballots for register `key` from now
+    on."""
 
     key: str
     ballot: Ballot
 
 
 class Promise(msgspec.Struct, frozen=True, array_like=True):
-    """Phase 1 reply: the acceptor's last accepted ballot and value, and the items that it considers out of
-    service."""
+    """Phase 1 reply: the ballot and value that the acceptor accepted last, and in `out` the numbers of the
+    stores or gateways that the acceptor considers out of service."""
 
     key: str
     ballot: Ballot
@@ -76,8 +81,9 @@
 
 
 class Reject(msgspec.Struct, frozen=True, array_like=True):
-    """Refusal of `ballot`: the acceptor has promised the higher ballot `seen`. With `fenced` set, the reason
-    is instead that the proposed value is based on an outdated release term."""
+    """Refusal of a `Prepare` or `Accept` with this `ballot`: the acceptor has promised the higher ballot
+    `seen`. With `fenced` set, the reason is instead that the proposed value is based on an outdated term of
+    the release."""
 
     key: str
     ballot: Ballot
@@ -86,7 +92,8 @@
 
 
 class Learn(msgspec.Struct, frozen=True, array_like=True):
-    """A value chosen by a majority. With `rumor` set, a receiver that did not know the value forwards it."""
+    """A register value that a majority has accepted. With `rumor` set, a receiver that did not know the value
+    forwards it to other gateways."""
 
     key: str
     ballot: Ballot
@@ -95,15 +102,16 @@
 
 
 class Recall(msgspec.Struct, frozen=True, array_like=True):
-    """Sent by a member that has lost its disk: asks another member for all register states that it holds."""
+    """Sent by a member that has lost its disk: asks another member for the acceptor state of all registers.
+    The reply repeats the `nonce`."""
 
     nonce: int
 
 
 class RecoveryReply(msgspec.Struct, frozen=True, array_like=True):
-    """Reply to `Recall` with the state of one of `total` registers; a `total` of 0 means that the sender
-    holds none. `authoritative` is true if the sender votes, and false if its folder may be an outdated
-    copy."""
+    """Reply to `Recall` with the state of one register, out of `total` registers that the sender holds and
+    sends one by one; a `total` of 0 means that it holds none. `authoritative` is true if the sender votes,
+    and false if its folder may be an outdated copy."""
 
     nonce: int
     total: int
@@ -119,7 +127,7 @@
 
     durable: dict[str, Slot] = field(default_factory=dict)
     sends: list[tuple[int, Any]] = field(default_factory=list)  # (target member, message)
-    done: list[tuple[int, Any]] = field(default_factory=list)  # (handle, answer); None: outcome unknown
+    done: list[tuple[int, Any]] = field(default_factory=list)  # (handle, answer); answer None: unknown
 
 
 ApplyOperations = Callable[[str, bytes, Sequence[Any], frozenset[int]], tuple[bytes, list[Any]]]
@@ -128,14 +136,14 @@
 
 @dataclass
 class BallotRound:
-    """State of one ballot that this member has proposed and that is still open."""
+    """State of one ballot that this member has started and that is neither chosen nor abandoned yet."""
 
     ballot: Ballot
     started_at: int
     sent_at: int
     proposals: list[tuple[int, Any, int]]  # (handle, operation, time of the proposal)
     promises: dict[int, Promise] = field(default_factory=dict)
-    value: bytes | None = None  # proposed in the second phase
+    value: bytes | None = None  # proposed in phase 2; None during phase 1
     answers: list[Any] = field(default_factory=list)
     accepted: set[int] = field(default_factory=set)
 
@@ -143,9 +151,11 @@
 class QuorumRegisters:
     """Proposer and acceptor of one member, for all registers.
 
-    `apply_operations` computes the next value and one answer for each operation. `fence` returns whether a
-    value that is to be accepted is based on an outdated release term. `out` lists the items of a register
-    that this member considers out of service; promises carry that list.
+    `apply_operations(key, value, operations, out)` computes the next value of a register and one answer for
+    each operation; `out` has the items that the promises list as out of service. `fence` returns whether a
+    value that is to be accepted is based on an outdated term of the release. The constructor argument `out`
+    returns the items of a register's group that this member itself considers out of service; its promises
+    carry them.
     """
 
     def __init__(
@@ -159,12 +169,13 @@
         out: Callable[[str], tuple[int, ...]] = lambda key: (),
         votes: bool = True,
     ) -> None:
-        """`votes` is False for a member whose disk was found empty, until that member has recovered the state
-        of the other members."""
+        """`votes` says whether this member takes part in ballots. It is False for a gateway that is not one
+        of `members`. It is False also for a member that has no folder open, or an empty or outdated one,
+        until that member has recovered the state of the other members."""
         self.me, self.members, self.slots = me, tuple(members), dict(slots)
         self._apply_operations, self._fence, self._out, self._random = apply_operations, fence, out, random
         self.votes = votes
-        # Called for each value that was chosen in one of this member's ballots.
+        # Called for each value that a majority accepted in a ballot of this member.
         self.on_chosen: Callable[[Learn], None] = lambda message: None
         self.step = Step()
         self.learned: dict[str, tuple[Ballot, bytes]] = {}
@@ -174,29 +185,31 @@
         self._highest_counts: dict[str, int] = {}
         self._recovery: tuple[int, int, dict[int, dict[str, Slot]], dict[int, int]] | None = None
         self._recovery_sent_at = 0
-        self._authoritative_members: set[int] = set()  # members that answered a recovery request and vote
+        self._authoritative_members: set[int] = set()  # voting members that answered a `Recall`
 
     @property
     def majority(self) -> int:
-        """The number of members that form a quorum."""
+        """The number of members whose promises or acceptances a ballot needs: more than half of all
+        members."""
         return len(self.members) // 2 + 1
 
     def taken(self) -> Step:
-        """Returns the effects collected so far and starts a new, empty step."""
+        """Returns the disk writes, messages and answers collected since the last call, for the caller to
+        carry out, and starts a new, empty step."""
         step, self.step = self.step, Step()
         return step
 
     def propose(self, key: str, handle: int, operation: Any, now: int) -> None:
-        """Proposes an operation on a register; its answer appears in `Step.done` under `handle`. Operations
-        proposed while a ballot is open are batched into the next ballot."""
+        """Proposes an operation on register `key`; its answer appears in `Step.done` under `handle`.
+        Operations proposed while a ballot for the register is open are batched into the next ballot."""
         self._pending.setdefault(key, []).append((handle, operation, now))
         self._start(key, now)
 
     # Proposer -----------------------------------------------------------------------------------------
 
     def _start(self, key: str, now: int) -> None:
-        """Starts a ballot for the pending proposals of `key`, unless a ballot is open or backoff is in
-        effect."""
+        """Starts a ballot for the pending proposals of register `key`, unless a ballot for it is open, this
+        member does not vote, or the random delay after an abandoned ballot has not passed."""
         if key in self.rounds or not self.votes or now < self._not_before.get(key, 0):
             return
         proposals = self._pending.pop(key, [])
@@ -216,8 +229,8 @@
         self.heard(self.me, own_reply, now)
 
     def _on_promise(self, sender: int, message: Promise, now: int) -> None:
-        """Counts a promise; with a majority, applies the operations to the newest value and starts phase
-        2."""
+        """Counts a promise. Once a majority has promised, applies the operations to the value with the
+        highest accepted ballot, and starts phase 2."""
         ballot_round = self.rounds.get(message.key)
         if ballot_round is None or ballot_round.ballot != message.ballot or ballot_round.value is not None:
             return
@@ -238,8 +251,8 @@
         self.heard(self.me, own_reply, now)
 
     def _on_accepted(self, sender: int, message: Accepted, now: int) -> None:
-        """Counts an acceptance; with a majority, the value is chosen, announced, and its proposers
-        answered."""
+        """Counts an acceptance. Once a majority has accepted, the value is chosen: this member announces it
+        to the others, and reports the answers to the operations of the ballot."""
         ballot_round = self.rounds.get(message.key)
         if ballot_round is None or ballot_round.ballot != message.ballot or ballot_round.value is None:
             return
@@ -258,15 +271,17 @@
         self._start(message.key, now)
 
     def _on_reject(self, message: Reject, now: int) -> None:
-        """Abandons a rejected ballot and remembers the higher ballot number."""
+        """Abandons this member's open ballot if it was rejected, and remembers the higher ballot's counter,
+        which the next ballot exceeds."""
         self._highest_counts[message.key] = max(self._highest_counts.get(message.key, 0), message.seen.count)
         ballot_round = self.rounds.get(message.key)
         if ballot_round is not None and ballot_round.ballot == message.ballot:
             self._abandon(message.key, ballot_round, now)
 
     def _abandon(self, key: str, ballot_round: BallotRound, now: int) -> None:
-        """Gives up a ballot and queues its operations for the next one. Their changes may or may not have
-        been chosen; operations are idempotent, so that they can be applied again."""
+        """Gives up a ballot and queues its operations for the next ballot, which starts after a random delay
+        of up to MAX_BACKOFF_NS. Their changes may or may not have been chosen; operations are idempotent, so
+        that they can be applied again."""
         del self.rounds[key]
         self._pending[key] = ballot_round.proposals + self._pending.get(key, [])
         self._not_before[key] = now + int(MAX_BACKOFF_NS * self._random.random())
@@ -274,11 +289,13 @@
     # Acceptor -----------------------------------------------------------------------------------------
 
     def _store_slot(self, key: str, slot: Slot) -> None:
-        """Changes the acceptor state of a register, and adds it to the state that must be written to disk."""
+        """Changes the acceptor state of register `key`, and adds it to the state that the caller must write
+        to disk."""
         self.slots[key] = self.step.durable[key] = slot
 
     def _handle_prepare(self, message: Prepare) -> Promise | Reject:
-        """Promises the ballot unless a higher one was promised."""
+        """Promises the ballot of a phase 1 request, unless this acceptor has already promised a higher one
+        for the same register."""
         slot = self.slots.get(message.key, Slot())
         if message.ballot < slot.promised:
             return Reject(message.key, message.ballot, slot.promised)
@@ -287,7 +304,8 @@
         return Promise(message.key, message.ballot, slot.accepted, slot.value, self._out(message.key))
 
     def _handle_accept(self, message: Accept) -> Accepted | Reject:
-        """Accepts the value unless a higher ballot was promised or the value is fenced."""
+        """Accepts the value of a phase 2 request, unless this acceptor has promised a higher ballot or
+        `fence` finds the value based on an outdated term of the release."""
         slot = self.slots.get(message.key, Slot())
         if message.ballot < slot.promised:
             return Reject(message.key, message.ballot, slot.promised)
@@ -303,7 +321,8 @@
         self.step.sends.append((member, message))
 
     def heard(self, sender: int, message: Any, now: int) -> None:
-        """Handles a message from a member; messages from other senders are ignored."""
+        """Handles a protocol message from one of the voting members; messages from other senders are
+        ignored."""
         if sender not in self.members:
             return
         if isinstance(message, Prepare) and self.votes:
@@ -324,7 +343,8 @@
             self._on_recovery_reply(sender, message)
 
     def learn(self, message: Learn) -> bool:
-        """Records a chosen value; returns whether its ballot is newer than that of the known value."""
+        """Records a register value that a majority has accepted; returns whether its ballot is newer than
+        that of the value known before."""
         known = self.learned.get(message.key)
         if known is not None and message.ballot <= known[0]:
             return False
@@ -335,8 +355,10 @@
         return True
 
     def tick(self, now: int) -> None:
-        """Resends and times out messages; must be called every few tens of milliseconds."""
-        if not self.votes and self.me in self.members:  # a node outside the members has no vote to recover
+        """Sends unanswered messages again, abandons ballots and proposals that have timed out, and requests
+        recovery if this member has no right to vote; must be called every few tens of milliseconds."""
+        # A gateway that is not one of the members never has the right to vote and recovers nothing.
+        if not self.votes and self.me in self.members:
             self._request_recovery(now)
         for key, ballot_round in list(self.rounds.items()):
             if now - ballot_round.started_at > BALLOT_TIMEOUT_NS:
@@ -361,8 +383,8 @@
             self._start(key, now)
 
     def load_slots(self, slots: dict[str, Slot], votes: bool) -> None:
-        """Adopts the state read from a disk that became available after the start. `votes` says whether this
-        member may vote with that state."""
+        """Replaces the register states by those read from a folder that could be opened only after the start
+        of the process. `votes` says whether this member may vote with them."""
         self.slots, self.votes = dict(slots), votes
         for key, slot in slots.items():
             if slot.value:
@@ -371,7 +393,8 @@
     # Recovery after a lost disk -----------------------------------------------------------------------
 
     def _request_recovery(self, now: int) -> None:
-        """Asks the other members for their register states, once the quarantine is over."""
+        """Asks the other members for their register states, every 4 * AGAIN_NS from the end of the waiting
+        time QUARANTINE_NS until enough members have answered."""
         if self._recovery is None:
             self._recovery = (self._random.getrandbits(31), now, {}, {})
         nonce, started_at, _, _ = self._recovery
@@ -382,14 +405,16 @@
                     self._send(member, Recall(nonce))
 
     def _answer_recovery(self, sender: int, message: Recall) -> None:
-        """Sends all register states to a member that has lost its disk."""
+        """Sends the state of every register, one message each, to a member that has lost its disk."""
         if not self.slots:
             self._send(sender, RecoveryReply(message.nonce, 0, "", Slot()))
         for key, slot in self.slots.items():
             self._send(sender, RecoveryReply(message.nonce, len(self.slots), key, slot, self.votes))
 
     def _on_recovery_reply(self, sender: int, message: RecoveryReply) -> None:
-        """Collects register states; once enough members have sent all of theirs, adopts the newest ones."""
+        """Collects register states of other members. Adopts the newest state of each register, and the right
+        to vote, once a majority of voting members, or all members except this one, have sent all of
+        theirs."""
         if self.votes or self._recovery is None or message.nonce != self._recovery[0]:
             return
         _, _, found, totals = self._recovery
@@ -400,9 +425,9 @@
         if message.total:
             found.setdefault(sender, {})[message.key] = message.slot
         complete = [m for m, total in totals.items() if len(found.get(m, {})) >= total]
-        # A majority without this member shares a member with every majority that this member may have been
-        # part of. If all folders are outdated, as after a long power cut, all other members together hold
-        # every value that was chosen.
+        # Any majority made up of other members shares a member with every majority that this member may have
+        # been part of, and so knows its outcome. If all folders are outdated, as after a long power cut, all
+        # other members together hold every value that was chosen.
         if (
             len(self._authoritative_members.intersection(complete)) < self.majority
             and len(complete) < len(self.members) - 1
