--- a/olivecourse/rollout/agent.py
+++ b/olivecourse/rollout/agent.py
@@ -1,5 +1,5 @@
 """Holder of disruption leases: for stores that operators take out of service at this gateway, and for this
-gateway itself in a release. No I/O.
+gateway itself in a drain or a release. No I/O.
 
     wanted -> granted -> activated -> out ... -> back -> (lease freed)
 
@@ -21,13 +21,13 @@
 from olivecourse.rollout.releases import CommandReply, CommandRequest, Release, State
 
 MS, S = 1_000_000, 1_000_000_000
-ACTIVATION_VALID_NS = 1 * S  # time for which a confirmed activation is valid
-RETRY_NS = 500 * MS  # retry interval for an item that is queued, refused, or not warm yet
-RELEASE_JITTER_NS = 300 * MS  # upper bound of the random delay of a gateway's own request in a release
+ACTIVATION_VALID_NS = 1 * S  # an item goes out at most this long after its activation was requested
+RETRY_NS = 500 * MS  # until a request is repeated whose item is queued, refused, or not warm yet
+RELEASE_JITTER_NS = 300 * MS  # upper bound of the random delay before a gateway's own lease request
 
 
 class AgreementClient(Protocol):
-    """The interface of `Member` that the agent uses."""
+    """The interface of `Member` that the agent uses; `Member` explains the methods."""
 
     version: str
 
@@ -45,7 +45,8 @@
 
 
 class Stage(Enum):
-    """Progress of one item: lease wanted, lease granted, item out of service, or item back in service."""
+    """Progress of this gateway's work on one item: lease wanted, lease granted, item out of service, or item
+    receiving requests again with the lease not freed yet."""
 
     WANTED = "wanted"
     GRANTED = "granted"
@@ -55,9 +56,10 @@
 
 @dataclass
 class Work:
-    """One item for which this gateway holds or wants a lease. `next_attempt_at` is the time of the next
-    request; `handle` and `requested_at` belong to the open request, and `handle` is 0 if there is none.
-    `status_text` is the last answer in words."""
+    """One item for which this gateway holds or wants a lease. `token` is the fencing token of the lease.
+    `next_attempt_at` is the local time of the next request, in nanoseconds; `action`, `handle` and
+    `requested_at` belong to the last request, and `handle` is 0 if none is open. `release_term` is the term
+    of the release when the work began. `status_text` is the last answer in words, for operators."""
 
     key: str
     item: int
@@ -70,14 +72,14 @@
     requested_at: int = 0
     action: LeaseAction = LeaseAction.ACQUIRE
     status_text: str = ""
-    activation_confirmed: bool = False  # the activation was confirmed in time
+    activation_confirmed: bool = False  # within ACTIVATION_VALID_NS of its request
     release_term: int = 0
 
 
 class Agent:
-    """Requests, uses and frees the leases of one gateway. `me` is the gateway's own item in group `key`. The
-    callbacks `take_out(item)` and `bring_back(item)` take an item out of service and back; the item is this
-    gateway itself or a store."""
+    """Requests, uses and frees the leases of one gateway. `me` is the gateway's own number as an item of
+    group `key`, and `fleet` has the numbers of all gateways. The callbacks `take_out(item)` and
+    `bring_back(item)` take an item out of service and back; the item is this gateway itself or a store."""
 
     def __init__(
         self,
@@ -91,8 +93,8 @@
         now: int,
         skip_activation: bool = False,
     ) -> None:
-        """`skip_activation`: acts on a granted lease without activating it first. Tests use this to show the
-        fault that activation prevents."""
+        """`skip_activation` makes the agent act on a granted lease without activating it first. Tests use
+        this to show the fault that activation prevents."""
         self.me, self.key, self._fleet, self._member, self._random = me, key, fleet, member, random
         self._take_out, self._bring_back, self._skip_activation = take_out, bring_back, skip_activation
         self.works: dict[int, Work] = {}
@@ -101,8 +103,8 @@
     # Requests -----------------------------------------------------------------------------------------
 
     def want(self, key: str, item: int, why: Why, now: int, forced: bool = False) -> Work:
-        """Starts to request a lease for an item; a repeated call for the same item returns the same
-        `Work`."""
+        """Starts to request a lease for an item of group `key`, and returns its `Work`. A repeated call for
+        the same item returns the same `Work`, until the item is on its way back."""
         work = self.works.get(item)
         if work is None or work.stage is Stage.BACK:
             work = self.works[item] = Work(
@@ -112,8 +114,9 @@
         return work
 
     def release_item(self, key: str, item: int, now: int) -> bool:
-        """Brings an item back after the work on it, or withdraws a request. Returns False if the item has no
-        lease and no request."""
+        """Ends this gateway's work on an item: brings the item back into service if it is out, or withdraws
+        the request or the unused lease. A lease left by an earlier process is taken over first. Returns False
+        if the item has no lease and no request."""
         work = self.works.get(item)
         if work is None:
             lease = self._member.table(key).lease_of(item)
@@ -128,19 +131,20 @@
         return True
 
     def _adopt(self, key: str, lease: Lease) -> Work:
-        """Creates the work item for an existing lease that this process has not requested."""
+        """Creates the `Work` for an existing lease that this process has not requested, as after a restart;
+        its stage follows from the phase of the lease."""
         stage = {Phase.GRANTED: Stage.GRANTED, Phase.OUT: Stage.OUT, Phase.BACK: Stage.BACK}[lease.phase]
         return Work(key, lease.item, lease.why, stage=stage, token=lease.token)
 
     def _forget(self, work: Work, now: int) -> None:
-        """Drops a work item that has not gone out, and cancels its request or lease."""
+        """Drops the work on an item that has not gone out of service, and cancels its request or lease."""
         self.works.pop(work.item, None)
         self._member.submit(work.key, LeaseOperation(LeaseAction.CANCEL, work.item, self.me, work.token), now)
 
     # Timer and answers --------------------------------------------------------------------------------
 
     def tick(self, now: int) -> None:
-        """Sends the requests that are due; must be called every few tens of milliseconds."""
+        """Sends the lease requests that are due; must be called every few tens of milliseconds."""
         self._tick_own_item(now)
         if now >= self._next_orphan_check_at:
             self._next_orphan_check_at = now + RETRY_NS
@@ -150,8 +154,8 @@
                 self._advance(work, now)
 
     def _cancel_orphans(self, now: int) -> None:
-        """Cancels granted leases and queued requests of this gateway that it no longer wants: their answer
-        came too late, or an earlier process requested them."""
+        """Cancels queued requests and leases in phase GRANTED that name this gateway as holder but for which
+        it has no `Work`: their answer came too late, or an earlier process requested them."""
         for key, table in self._member.tables().items():
             unwanted = [p.item for p in table.leases if p.phase is Phase.GRANTED and p.holder == self.me]
             unwanted += [queued.item for queued in table.queue if queued.holder == self.me]
@@ -160,13 +164,14 @@
                     self._member.submit(key, LeaseOperation(LeaseAction.CANCEL, item, self.me), now)
 
     def _tick_own_item(self, now: int) -> None:
-        """Handles this gateway's own item: a lease left over from an earlier process, and the release."""
+        """Handles the lease of this gateway itself: takes over one left by an earlier process, requests one
+        when the release reaches this gateway, and gives it up when the release is halted."""
         work, release = self.works.get(self.me), self._member.release
         if work is None:
             leftover = self._member.table(self.key).lease_of(self.me)
             if leftover is not None and leftover.holder == self.me and leftover.why is not Why.DRAIN:
                 work = self.works[self.me] = self._adopt(self.key, leftover)
-                if work.stage is Stage.GRANTED:  # the earlier process ended before it went out
+                if work.stage is Stage.GRANTED:  # the earlier process ended before the gateway went out
                     self._forget(work, now)
                 else:
                     work.stage = Stage.BACK
@@ -180,13 +185,14 @@
                 work = self.want(self.key, self.me, why, now)
                 work.next_attempt_at = now + int(RELEASE_JITTER_NS * self._random.random())
         elif work is not None and work.why is not Why.DRAIN and work.stage is not Stage.BACK and not allowed:
-            # The release was halted or no longer concerns this gateway, which has not been replaced yet: it
-            # stays in service, or returns to service with its current version.
+            # The release was halted or no longer concerns this gateway, and its process has not been replaced
+            # yet: the gateway stays in service, or returns to service with its current version.
             self._next_own_request_at = now + RETRY_NS
             self.release_item(self.key, self.me, now)
 
     def _advance(self, work: Work, now: int) -> None:
-        """Submits the next operation for a work item, according to its stage."""
+        """Submits the next lease operation for an item according to its stage: acquire, activate, or restore
+        and then free. An item that is out waits for `release_item`."""
         if work.stage is Stage.WANTED:
             self._submit(work, LeaseAction.ACQUIRE, now)
         elif work.stage is Stage.GRANTED:
@@ -205,7 +211,7 @@
             )
 
     def _submit(self, work: Work, action: LeaseAction, now: int) -> None:
-        """Submits a lease operation and records it as the open request of the work item."""
+        """Submits a lease operation and records it as the open request of this `Work`."""
         work.action, work.requested_at = action, now
         operation = LeaseOperation(
             action, work.item, self.me, work.token, work.why, work.forced, work.release_term, now // S
@@ -213,8 +219,8 @@
         work.handle = self._member.submit(work.key, operation, now)
 
     def told(self, handle: int, answer: Answer | CommandReply | None, now: int) -> bool:
-        """Handles the answer to a request; returns whether `handle` belongs to one of this agent's
-        requests."""
+        """Handles the answer to a submitted operation (None: outcome unknown); returns whether `handle`
+        belongs to the open request of one of this agent's items."""
         work = next((w for w in self.works.values() if w.handle == handle), None)
         if work is None:
             return False
@@ -239,7 +245,8 @@
         return True
 
     def _on_activation_reply(self, work: Work, answer: Answer, now: int) -> None:
-        """Takes the item out of service if its activation was confirmed in time."""
+        """Takes the item out of service if the activation of its lease was confirmed within
+        ACTIVATION_VALID_NS; otherwise requests the activation, or after a refusal a new lease, again."""
         if answer.outcome is not Outcome.DONE:  # fenced, halted, or budget used up by a failure: start over
             work.stage, work.token = Stage.WANTED, 0
         elif now - work.requested_at > ACTIVATION_VALID_NS:
@@ -250,7 +257,9 @@
 
     @property
     def replaceable(self) -> str:
-        """The version that may replace this process now, or an empty string if none may."""
+        """The program version that may replace this process now, or an empty string if none may: this gateway
+        must be out of service with an activated lease for the release or its rollback, and the release not be
+        halted."""
         work = self.works.get(self.me)
         if (
             work is None
--- a/olivecourse/rollout/member.py
+++ b/olivecourse/rollout/member.py
@@ -1,7 +1,8 @@
 """One gateway's state machine of the agreement: it takes messages and time, and returns effects. No I/O.
 
 Clock and randomness are passed in. A gateway that does not vote sends its operations to a voting member: to
-the first one that sends heartbeats, and to the next one if no answer arrives. Operations are idempotent.
+the one with the lowest number whose heartbeats arrive, and to the next one if no answer arrives. Operations
+are idempotent, so that it does no harm if two members run the same one.
 """
 
 from __future__ import annotations
@@ -22,21 +23,27 @@
 from olivecourse.rollout.releases import Command, CommandReply, CommandRequest, Release, State
 
 MS, S = 1_000_000, 1_000_000_000
-RESEND_NS, FAILOVER_NS = 150 * MS, 450 * MS  # until a request is sent again, and then to another member
-REQUEST_TIMEOUT_NS = 3 * S
-SUPERVISION_NS = 250 * MS  # interval at which the coordinator reclaims leases and advances the release
+RESEND_NS, FAILOVER_NS = 150 * MS, 450 * MS  # until a request is sent again, and until to another member
+REQUEST_TIMEOUT_NS = 3 * S  # age at which a request without an answer is reported as unknown
+SUPERVISION_NS = 250 * MS  # interval at which the coordinating member runs `_supervise`
 ANTI_ENTROPY_NS = 200 * MS  # shortest interval between two transfers of all learned values to one peer
-MAX_REPORTED_OUT = 8  # items of a group that a promise lists as out of service: more than any budget allows
-HALT_FANOUT = 6  # peers to which each gateway forwards a halt, in a fleet of more than twice as many
-RUMOR_FANOUT = 12  # peers to which a learned value is forwarded: on average n / e^12 of n nodes miss it
-MAX_PENDING_REQUESTS = 64
-# A gate needs at least MIN_GATE_REQUESTS requests to the new version. A wave with fewer requests soaks
-# MAX_SOAK_PERIODS times as long.
+MAX_REPORTED_OUT = 8  # items that a promise lists as out of service at most: more than any budget allows
+# Each gateway forwards a halt once, to this many random peers; in a fleet where it has at most
+# 2 * HALT_FANOUT peers, to all of them.
+HALT_FANOUT = 6
+# Random peers to which a gateway forwards a newly learned register value once (all peers, if it has no more).
+# On average n / e^12 of n gateways miss a value.
+RUMOR_FANOUT = 12
+MAX_PENDING_REQUESTS = 64  # operations of this gateway that wait for an answer; more are answered as unknown
+# With gates on, the next wave starts `soak_s` after a wave is complete, provided that gateways with the new
+# version have ended MIN_GATE_REQUESTS requests since the gate started. If not, it starts as soon as that
+# number is reached, and after MAX_SOAK_PERIODS times `soak_s` even with fewer requests.
 MIN_GATE_REQUESTS, MAX_SOAK_PERIODS = 50, 10
 
 
 class OperationRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Asks a voting member to run a ballot for an operation on register `key`."""
+    """Asks a voting member to run a ballot that applies an operation to register `key`. The reply repeats the
+    `nonce`."""
 
     nonce: int
     key: str
@@ -44,7 +51,8 @@
 
 
 class OperationReply(msgspec.Struct, frozen=True, array_like=True):
-    """The answer of a voting member to the request with the same nonce."""
+    """A voting member's answer to the `OperationRequest` with the same nonce, sent after the ballot was
+    won."""
 
     nonce: int
     answer: Answer | CommandReply
@@ -52,7 +60,8 @@
 
 class HaltNotice(msgspec.Struct, frozen=True, array_like=True):
     """Halt of a release, forwarded at once by every gateway that receives it. The halt is binding for the
-    receiver, whether or not a majority has accepted it yet. `term` is the term of the release when it ran."""
+    receiver, whether or not a majority has accepted it yet. `term` is the term of the release when it ran;
+    `by` is the gateway that halted it, `at` the Unix time in seconds (0 if unknown), and `why` the reason."""
 
     term: int
     by: int
@@ -61,18 +70,20 @@
 
 
 class ReleaseGate(Protocol):
-    """Compares the new version of a release with the old one."""
+    """Canary check of a release: compares the new version with the old one by their rates of bad requests."""
 
     def update(self, new: tuple[int, int], old: tuple[int, int]) -> str:
-        """Takes the total counts (ended, bad) of the gateways with the new version and of the others; returns
-        the reason to halt, or an empty string."""
+        """Takes the request counts (ended, badly ended) of the gateways with the new version and of all
+        others, in total since the gate started; returns the reason to halt the release, or an empty
+        string."""
         ...
 
 
 @dataclass(frozen=True)
 class Setup:
-    """Static configuration of a member. `fleet` has the numbers of all gateways, and `members` of those that
-    vote. `offices` maps each gateway to the register of its group."""
+    """Static configuration of one gateway's member. `fleet` has the numbers of all gateways, and `members`
+    the numbers of those that vote. `offices` maps each gateway to the key of its office's register,
+    `capacities` to its relative capacity; `budget` is the disruption budget of the gateways of an office."""
 
     me: int
     fleet: tuple[int, ...]
@@ -81,12 +92,13 @@
     capacities: Mapping[int, float]
     budget: Budget
     make_gate: Callable[[releases.Plan], ReleaseGate] | None = None
-    fences: bool = True  # tests set False to show the fault that fencing prevents
+    fences: bool = True  # tests set False to show the fault that `is_fenced` prevents
 
 
 @dataclass
 class PendingRequest:
-    """An operation request that has not been answered yet."""
+    """An operation of this gateway that has not been answered yet. `started_at` and `sent_at` are local times
+    in nanoseconds; `attempts` counts the voting members passed over because they did not answer."""
 
     handle: int
     request: OperationRequest
@@ -97,8 +109,9 @@
 
 @dataclass
 class ObservedStores:
-    """What this gateway observes of the stores, by group: the group as listed, the items that are out of
-    service for any reason other than a lease, and the longest time for which an item can be cold."""
+    """What this gateway observes of the stores, by group key: the group as listed, the items that are out of
+    service for any reason other than a lease, and the longest time, in nanoseconds, for which an item can be
+    cold after a start."""
 
     groups: dict[str, Group] = field(default_factory=dict)
     out: dict[str, set[int]] = field(default_factory=dict)
@@ -106,8 +119,8 @@
 
 
 class Member:
-    """Agreement state of one gateway: heartbeats, registers, open requests, and the supervision of
-    releases."""
+    """Agreement state of one gateway: heartbeats, registers, its own operations that wait for an answer, and,
+    if it coordinates, the supervision of releases."""
 
     def __init__(
         self,
@@ -119,7 +132,8 @@
         now: int,
         votes: bool = True,
     ) -> None:
-        """`incarnation` is the Unix time of the process start in milliseconds; `votes` is explained at
+        """`incarnation` is the Unix time of the process start in milliseconds. `version` is the program
+        version that this process runs. `votes` says whether the slots may be trusted for voting; see
         `QuorumRegisters`."""
         self.setup, self.incarnation, self.version, self._random = setup, incarnation, version, random
         self.hearing = Hearing(setup.me, setup.fleet, now)
@@ -139,12 +153,13 @@
             self._reported_out,
             votes and setup.me in setup.members,
         )
-        # By key, item and token of a lease: the time since when the item is known to receive requests again.
+        # By group key, item and token of a lease: the local time at which this gateway learned that the item
+        # receives requests again (phase BACK).
         self._restored_since: dict[tuple[str, int, int], int] = {}
-        self.halted_term = 0  # the highest release term for which a halt is known
+        self.halted_term = 0  # the highest release term for which a halt is known, or 0
         self._now = now
         self._pending: dict[int, PendingRequest] = {}
-        self._coordinated: dict[int, tuple[int, int]] = {}  # handle -> (requesting gateway, nonce)
+        self._coordinated: dict[int, tuple[int, int]] = {}  # ballot's handle -> (requesting gateway, nonce)
         self._last_handle = 0
         self._next_heartbeat_at = self._next_supervision_at = now
         self._synced_at: dict[int, int] = {}
@@ -156,38 +171,40 @@
     # Known values -------------------------------------------------------------------------------------
 
     def _learn_accepted_values(self) -> None:
-        """Treats values that this member has accepted as learned at the start. They may not have been chosen,
-        but taking them into account can only make this gateway more cautious."""
+        """At the start, treats values that this member has accepted as learned. A majority may not have
+        accepted them, but taking them into account can only make this gateway more cautious."""
         for key, slot in self.register.slots.items():
             if slot.value:
                 self.register.learn(Learn(key, slot.accepted, slot.value))
 
     def _learned_value(self, key: str) -> bytes:
-        """The newest known value of a register; empty if there is none."""
+        """The newest value of register `key` known to this gateway; empty if there is none."""
         known = self.register.learned.get(key)
         return b"" if known is None else known[1]
 
     @property
     def release(self) -> Release:
-        """The newest release known to this gateway."""
+        """The newest state of the release known to this gateway."""
         return releases.decode(self._learned_value(releases.KEY))
 
     @property
     def halted(self) -> bool:
-        """Whether the release is paused or halted, or a halt of it has been received."""
+        """Whether no gateway may go out of service for the release: it is paused or halted in the newest
+        known state, or a halt notice for it has been received."""
         release = self.release
         return release.halted or 0 < release.term <= self.halted_term
 
     def table(self, key: str) -> places.Table:
-        """The newest lease table of a group known to this gateway."""
+        """The newest lease table known to this gateway for the group with this key."""
         return places.decode(self._learned_value(key))
 
     def tables(self) -> dict[str, places.Table]:
-        """The newest known lease tables of all groups."""
+        """The newest lease tables known to this gateway, by group key."""
         return {key: self.table(key) for key in self.register.learned if key != releases.KEY}
 
     def group(self, key: str) -> Group:
-        """The group of that key: stores as observed, or the gateways of an office."""
+        """The group with this key, with capacities and budget: stores as this gateway observes them, or the
+        gateways of an office."""
         store_group = self.world.groups.get(key)
         if store_group is not None:
             return store_group
@@ -195,8 +212,8 @@
         return Group(key, office_nodes, self.setup.budget)
 
     def out(self, key: str) -> set[int]:
-        """The items of a group that this gateway considers out of service for any reason other than a
-        lease."""
+        """The items of a group that this gateway considers out of service for any reason other than a lease,
+        including items that may still be cold after a lease."""
         office_nodes = self._office_nodes.get(key, ())
         out = set(self.world.out.get(key, ())) | {
             n for n in office_nodes if self.hearing.unavailable(n, self._now)
@@ -204,9 +221,10 @@
         return out | self._possibly_cold(key)
 
     def _possibly_cold(self, key: str) -> set[int]:
-        """Items that receive requests again and may still be cold. The list may show the restart of an item
-        later than its holder does, and a voter that has just started does not know when the item came back.
-        Each voter therefore counts the cold period from the time at which it learned of the return."""
+        """Items whose lease is in phase BACK for less than the cold period: they receive requests again and
+        may still be cold. The store list may show the restart of an item later than its holder does, and a
+        voter that has just started does not know when the item came back. Each voter therefore counts the
+        cold period from the time at which it learned of the return."""
         cold = self.world.cold_ns.get(key, 0)
         restored = {(key, p.item, p.token) for p in self.table(key).leases if p.phase is places.Phase.BACK}
         for entry in [known for known in self._restored_since if known[0] == key and known not in restored]:
@@ -218,8 +236,9 @@
         }
 
     def _reported_out(self, key: str) -> tuple[int, ...]:
-        """The items to list in a promise. Items with a lease are counted anyway, so they come last and are
-        the first to be omitted from a full list."""
+        """The items that this member's promises list as out of service, at most MAX_REPORTED_OUT. The budget
+        counts items with a lease anyway, so they come last and are the first to be omitted from a full
+        list."""
         if key == releases.KEY:
             return ()
         leased = {p.item for p in self.table(key).leases}
@@ -230,8 +249,8 @@
     def _apply_operations(
         self, key: str, value: bytes, operations: Sequence[Any], voted: frozenset[int]
     ) -> tuple[bytes, list[Any]]:
-        """Applies operations to the value of a register. `voted` has the items that the promises list as out
-        of service."""
+        """Applies the operations of one ballot to the value of register `key`; returns the new value and one
+        answer for each operation. `voted` has the items that the promises list as out of service."""
         if key == releases.KEY:
             after, answers = releases.apply_batch(value, operations)
             return after, list(answers)
@@ -247,14 +266,16 @@
         return after, list(replies)
 
     def _fenced(self, key: str, value: bytes) -> bool:
-        """Whether this member must refuse to accept `value`, unless fencing is switched off."""
+        """Whether this member must refuse to accept `value` because of an outdated release term (see
+        `is_fenced`); always False if fencing is switched off."""
         return self.setup.fences and is_fenced(self.register.slots, key, value)
 
     # Requests -----------------------------------------------------------------------------------------
 
     def submit(self, key: str, operation: LeaseOperation | CommandRequest, now: int) -> int:
-        """Submits an operation and returns its handle. The answer appears under that handle in a later step;
-        an answer of None means that the outcome is unknown."""
+        """Submits an operation on register `key` and returns its handle. The answer appears under that handle
+        in `Step.done` of a later step; an answer of None means that the outcome is unknown. A halt takes
+        effect at this gateway at once."""
         self._now = now
         self._last_handle += 1
         handle = self._last_handle
@@ -272,16 +293,19 @@
         return handle
 
     def _coordinators(self) -> list[int]:
-        """Voting members in the order in which requests go to them; silent members come last."""
+        """All voting members in the order in which requests are sent to them: by number, and those whose
+        heartbeats have stopped come last."""
         return sorted(self.setup.members, key=lambda m: (self.hearing.silent(m, self._now), m))
 
     @property
     def coordinates(self) -> bool:
-        """Whether this gateway votes and is the first voting member that is not silent."""
+        """Whether this gateway votes and is the voting member with the lowest number among those that send
+        heartbeats. That member reclaims leases and advances the release."""
         return self.register.votes and self._coordinators()[0] == self.setup.me
 
     def _dispatch(self, pending: PendingRequest, now: int) -> None:
-        """Sends a request to the voting member whose turn it is, or runs its ballot here."""
+        """Sends a pending request to the voting member whose turn it is by the number of attempts; if that is
+        this gateway, runs the ballot here."""
         members = self._coordinators()
         target = members[pending.attempts % len(members)]
         pending.sent_at = now
@@ -291,7 +315,8 @@
             self._send(target, pending.request)
 
     def _coordinate(self, sender: int, request: OperationRequest, now: int) -> None:
-        """Runs a ballot for a request. A repeated request is ignored while the first one is open."""
+        """Runs a ballot for the request of gateway `sender`. A repeated request is ignored while the first
+        one is open, and so is any request while 4 * MAX_PENDING_REQUESTS are open."""
         if (sender, request.nonce) in self._coordinated.values() or len(
             self._coordinated
         ) >= 4 * MAX_PENDING_REQUESTS:
@@ -301,7 +326,8 @@
         self.register.propose(request.key, self._last_handle, request.operation, now)
 
     def _on_reply(self, sender: int, reply: OperationReply) -> None:
-        """Reports the answer to one of this gateway's requests."""
+        """Reports a voting member's answer to one of this gateway's own requests; a second answer is
+        ignored."""
         pending = self._pending.pop(reply.nonce, None)
         if pending is not None:
             self.register.step.done.append((pending.handle, reply.answer))
@@ -341,19 +367,22 @@
             self.register.heard(sender, message, now)
 
     def _gossip(self, message: Learn) -> None:
-        """Rumor mongering (Demers et al., 1987, section 1.4): a gateway that learns a rumor forwards it once.
+        """Forwards a newly learned register value, by rumor mongering (Demers et al., 1987, section 1.4): a
+        gateway that learns a rumor forwards it once, to all peers or to RUMOR_FANOUT random ones.
 
-        All gateways know the value within a few hops. Gateways that the rumor misses learn the value by
-        anti-entropy, which compares the checksums of heartbeats. Values transferred by anti-entropy are not
-        rumors; otherwise each process start would flood the fleet with all known values.
+        All gateways that the rumor reaches know the value within a few hops. The others learn the value by
+        anti-entropy: a gateway that receives a heartbeat with another checksum sends all its learned values
+        to the sender. Values transferred by anti-entropy are not rumors; otherwise each process start would
+        flood the fleet with all known values.
         """
         small_fleet = len(self._peers) <= RUMOR_FANOUT
         for peer in self._peers if small_fleet else self._random.sample(self._peers, RUMOR_FANOUT):
             self._send(peer, message)
 
     def _on_halt(self, message: HaltNotice, now: int) -> None:
-        """Stops this gateway from going out of service for the halted release, forwards the halt at once, and
-        proposes it so that it becomes durable."""
+        """Stops this gateway from going out of service for the halted release, and forwards the halt at once.
+        A voting member also proposes the halt, so that it becomes durable. A halt of an older term, or one
+        already known, is ignored."""
         release = self.release
         if message.term <= self.halted_term or message.term < release.term:
             return
@@ -367,20 +396,23 @@
             self.register.propose(releases.KEY, self._last_handle, command, now)
 
     def _refresh_halt(self) -> None:
-        """Clears a received halt when a release of a newer term is known that is not halted."""
+        """Forgets a received halt notice once a release state of a newer term is known; if that state is
+        itself halted, its term takes the place of the notice's."""
         release = self.release
         if release.term > self.halted_term:
             self.halted_term = release.term if release.state is State.HALTED else 0
 
     def _checksum(self) -> int:
-        """A checksum over the ballots of all learned values; heartbeats carry it."""
+        """A checksum over the ballots of all learned register values. Heartbeats carry it, so that gateways
+        notice when they know different values."""
         entries = sorted((key, b.count, b.member) for key, (b, _) in self.register.learned.items())
         return zlib.crc32(repr(entries).encode())
 
     # Timer --------------------------------------------------------------------------------------------
 
     def tick(self, now: int) -> None:
-        """Handles time-outs and periodic work; must be called every few tens of milliseconds."""
+        """Times out and resends requests, and runs the periodic work: heartbeats and, on the coordinating
+        member, supervision. Must be called every few tens of milliseconds."""
         self._now = now
         self.register.tick(now)
         for pending in list(self._pending.values()):
@@ -399,7 +431,8 @@
                 self._supervise(now)
 
     def _send_heartbeat(self, now: int) -> None:
-        """Sends a heartbeat to the voting members and to two other gateways chosen at random."""
+        """Sends a heartbeat to the other voting members and to two gateways, chosen at random, that do not
+        vote."""
         heartbeat = Beat(
             self.incarnation,
             self.service,
@@ -416,7 +449,9 @@
             self._send(target, heartbeat)
 
     def _supervise(self, now: int) -> None:
-        """Run by the coordinating member: reclaims leases of silent holders and advances the release."""
+        """Run by the coordinating member every SUPERVISION_NS: submits the cleanup of leases whose holders
+        have failed, evaluates the gate, and starts the next wave or ends the release when a wave is complete
+        and has soaked."""
         for key, table in self.tables().items():
             for op in places.cleanup_operations(
                 table, lambda holder: self.hearing.silent(holder, now), self.out(key)
@@ -449,7 +484,8 @@
             self.submit(releases.KEY, CommandRequest(command, release.term, self.setup.me, now // S), now)
 
     def _has_too_few_requests(self, release: Release) -> bool:
-        """Returns whether gates are on and the new version has had too few requests to be judged."""
+        """Returns whether gates are on and gateways with the new version have ended fewer than
+        MIN_GATE_REQUESTS requests in total since the gate started."""
         if self._gate is None:
             return False
         requests = sum(
@@ -460,8 +496,9 @@
         return requests < MIN_GATE_REQUESTS
 
     def _halted_by_gate(self, release: Release, now: int) -> bool:
-        """Evaluates the gate of the release; returns True, after submitting a halt, if the new version serves
-        worse."""
+        """Evaluates the gate of the release; returns True, after submitting a halt, if the gate finds the new
+        version worse. A gate keeps its counts over all waves and is replaced when an operator's command has
+        raised the term of the release."""
         if release.state is not State.RUNNING or self.setup.make_gate is None or not release.plan.gates:
             self._gate = None
             return False
@@ -484,7 +521,8 @@
         return bool(why)
 
     def _gateway_statuses(self, now: int) -> dict[int, releases.Seen]:
-        """Version and service state of each gateway that has sent a heartbeat."""
+        """Version of each gateway that has sent a heartbeat, and whether it is in service and warm, by
+        gateway number."""
         return {
             n: releases.Seen(heartbeat.version, not self.hearing.unavailable(n, now))
             for n in self.setup.fleet
@@ -494,7 +532,8 @@
     # Effects ------------------------------------------------------------------------------------------
 
     def taken(self) -> Step:
-        """Returns the effects collected so far. Answers to other gateways are among the messages to send."""
+        """Returns the effects collected since the last call: disk writes, messages, and answers to this
+        gateway's own operations. Answers to operations of other gateways are among the messages."""
         step = self.register.taken()
         done: list[tuple[int, Any]] = []
         for handle, answer in step.done:
@@ -514,9 +553,10 @@
 
 
 def is_fenced(slots: Mapping[str, Slot], key: str, value: bytes) -> bool:
-    """Returns whether a voter must refuse `value`: it grants or activates a release lease, and its proposer
-    knew an older release term than this voter does. After a majority has accepted a halt, no majority accepts
-    such a change by a proposer that does not know the halt."""
+    """Returns whether a voter must refuse to accept `value` for register `key`: it grants or activates a
+    lease for a release, and its proposer knew an older release term than this voter does. After a majority
+    has accepted a halt, no majority therefore accepts such a change by a proposer that does not know the
+    halt. `slots` is the acceptor state of the voter."""
     if key == releases.KEY:
         return False
     release_value, lease_value = (slots.get(k, Slot()).value for k in (releases.KEY, key))
@@ -527,7 +567,8 @@
 
 
 def failure_reason(answer: Answer | CommandReply | None) -> str:
-    """Returns why an operation failed, or an empty string if it was done or is queued."""
+    """Returns why an operation failed, or an empty string if it was done, accepted or queued. An `answer` of
+    None means that no majority answered in time."""
     if answer is None:
         return "no majority answered"
     if isinstance(answer, CommandReply):
--- a/olivecourse/rollout/releases.py
+++ b/olivecourse/rollout/releases.py
@@ -2,9 +2,10 @@
 
     planned -> running <-> paused;  running, paused -> halted -> running (resume) | rolling_back -> done
 
-Every command raises the term. Only a resume or a rollback with a higher term ends a halt. A command that was
-issued under an older term than that of the register is refused, so that a resume that crosses a halt in
-flight does not undo the halt.
+The term numbers the states of the release: every command that takes effect raises it. Only a resume or a
+rollback with a higher term ends a halt. A command other than pause and halt that was issued under an older
+term than that of the register is refused, so that a resume that crosses a halt in flight does not undo the
+halt.
 """
 
 from __future__ import annotations
@@ -18,8 +19,8 @@
 import msgspec
 
 KEY = "release"  # key of the register that holds the release
-MAX_VERSION_LENGTH = 24  # characters
-MAX_WAVES = 6
+MAX_VERSION_LENGTH = 24  # characters of a version's name
+MAX_WAVES = 6  # waves in a plan
 
 
 class State(IntEnum):
@@ -35,10 +36,11 @@
 
 
 class Plan(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """The plan of a release. `waves` lists the shares of the fleet, in percent, that have the version after
-    each wave; the first wave is the canary, the last share is 100. `soak_s` is the waiting time between two
-    waves, in seconds. `alpha` is the highest acceptable probability that the gates halt a good version.
-    `worse` is the increase of the rate of bad requests, in percentage points, above which a version counts as
+    """The plan of a release to `version` from `before`. `waves` lists the shares of the fleet, in percent,
+    that have the version after each wave; the first wave is the canary, the last share is 100. `soak_s` is
+    the waiting time between two waves, in seconds. `gates` says whether the versions are compared during the
+    release: `alpha` is the highest acceptable probability that this comparison halts a good version, and
+    `worse` the increase of the rate of bad requests, in percentage points, above which a version counts as
     bad."""
 
     version: str
@@ -51,8 +53,9 @@
 
 
 class Release(msgspec.Struct, frozen=True, array_like=True):
-    """The value of the release register. `wave` counts from 0. `at` is the Unix time of the last command in
-    seconds, `by` the gateway that issued it, and `why` the reason given with it."""
+    """The value of the release register. `term` grows with every command that takes effect; `wave` is the
+    wave in progress and counts from 0. `at` is the Unix time of the last command in seconds, `by` the number
+    of the gateway that issued it, and `why` the reason given with it."""
 
     term: int = 0
     state: State = State.NONE
@@ -64,17 +67,20 @@
 
     @property
     def version(self) -> str:
-        """The version that all gateways of the released waves should run now."""
+        """The version that gateways should run: the previous version in a rollback, otherwise the new one,
+        which applies to the gateways of the waves that have started."""
         return self.plan.before if self.state is State.ROLLING_BACK else self.plan.version
 
     @property
     def halted(self) -> bool:
-        """Whether no further gateway may go out of service for this release."""
+        """Whether the release is paused or halted, so that no further gateway may go out of service for
+        it."""
         return self.state in (State.PAUSED, State.HALTED)
 
 
 class Command(IntEnum):
-    """Commands that change the state of a release."""
+    """Commands that change the state of a release. Operators give all except NEXT and END, which the
+    coordinating member submits; it also submits HALT."""
 
     PLAN = 0
     START = 1
@@ -82,13 +88,14 @@
     HALT = 3
     RESUME = 4
     ROLLBACK = 5
-    NEXT = 6  # the current wave is complete
-    END = 7  # all gateways run the wanted version
+    NEXT = 6  # the current wave is complete: start the next one
+    END = 7  # all gateways run the wanted version: the release or its rollback is done
 
 
 class CommandRequest(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """One command on the release. `term` is the release term known to the sender; commands other than pause
-    and halt are refused unless it is the newest."""
+    """One command on the release, issued by gateway `by` at Unix time `at` in seconds. `term` is the release
+    term known to the sender; commands other than pause and halt are refused unless it is the newest. `plan`
+    is set with PLAN only."""
 
     command: Command
     term: int
@@ -119,12 +126,12 @@
     Command.NEXT: State.RUNNING,
     Command.END: State.DONE,
 }
-STOPPING_COMMANDS = (Command.PAUSE, Command.HALT)  # accepted under any term: stopping is always safe
+STOPPING_COMMANDS = (Command.PAUSE, Command.HALT)  # accepted under any term: a stop is always safe
 
 
 class CommandReply(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Answer to a command: whether it was accepted, the resulting term and state, and the reason for a
-    refusal."""
+    """Answer to a command: whether it was accepted, the term and state of the release after it, and the
+    reason for a refusal."""
 
     accepted: bool
     term: int
@@ -133,7 +140,8 @@
 
 
 def decode(value: bytes) -> Release:
-    """Decodes a register value; an empty value is the initial release. Raises ValueError."""
+    """Decodes the value of the release register; an empty value means that there was no release yet. Raises
+    ValueError."""
     if not value:
         return Release()
     try:
@@ -143,12 +151,12 @@
 
 
 def encode(release: Release) -> bytes:
-    """Encodes a release as a register value."""
+    """Encodes a release as the value of the release register."""
     return msgspec.msgpack.encode(release)
 
 
 def plan_error(plan: Plan) -> str:
-    """Returns what is wrong with a plan, or an empty string if the plan is valid."""
+    """Returns what is wrong with a release plan, or an empty string if the plan is valid."""
     if not plan.version or len(plan.version) > MAX_VERSION_LENGTH or len(plan.before) > MAX_VERSION_LENGTH:
         return f"version and before have 1 to {MAX_VERSION_LENGTH} characters"
     if plan.version == plan.before:
@@ -163,8 +171,8 @@
 
 
 def apply_command(release: Release, request: CommandRequest) -> tuple[Release, CommandReply]:
-    """Returns the release after one command, and the answer to it. A repeated command has no further
-    effect."""
+    """Returns the release after one command, and the answer to it. A repeated command is reported as accepted
+    and has no further effect."""
     if request.command in STOPPING_COMMANDS and release.state is TARGET_STATES[request.command]:
         return release, CommandReply(True, release.term, release.state)
     if request.command not in STOPPING_COMMANDS and request.term != release.term:
@@ -199,7 +207,8 @@
 
 
 def apply_batch(value: bytes, requests: Sequence[CommandRequest]) -> tuple[bytes, list[CommandReply]]:
-    """Applies all commands of one ballot to a register value, in order of arrival."""
+    """Applies all commands of one ballot to the value of the release register, in order of arrival. Returns
+    the new value and one answer for each command."""
     release, answers = decode(value), list[CommandReply]()
     for request in requests:
         release, answer = apply_command(release, request)
@@ -211,8 +220,8 @@
 
 
 def order(version: str, gateways: Sequence[int]) -> list[int]:
-    """Orders the gateways pseudo-randomly by version: all gateways compute the same order, and different
-    versions start at different gateways."""
+    """The order in which gateways get a version: pseudo-random by the version's name. All gateways compute
+    the same order, and different versions start at different gateways."""
 
     def sort_key(item: int) -> bytes:
         return blake2b(f"{version}/{item}".encode(), digest_size=8).digest()
@@ -220,10 +229,10 @@
     return sorted(gateways, key=sort_key)
 
 
-@lru_cache(maxsize=2)  # one release is active at a time, and its waves are needed many times a second
+@lru_cache(maxsize=2)  # one release is active at a time, and its waves are looked up many times a second
 def waves(version: str, shares: tuple[int, ...], gateways: tuple[int, ...]) -> Mapping[int, int]:
-    """Returns the wave number of each gateway, by growing shares in percent. The first wave has at least one
-    gateway."""
+    """Returns the wave number, from 0, of each gateway. `shares` has the share of the fleet in percent that
+    is done after each wave. The first wave has at least one gateway."""
     last_ranks = [max(len(gateways) * share // 100, 1) for share in shares]
     wave_numbers, number = dict[int, int](), 0
     for rank, item in enumerate(order(version, gateways)):
@@ -234,14 +243,15 @@
 
 
 def wave_of(plan: Plan, gateways: Sequence[int], item: int) -> int:
-    """Returns the wave number of a gateway. Raises KeyError for a gateway that is not in the fleet."""
+    """Returns the wave number, from 0, of gateway `item` under this plan. Raises KeyError for a gateway that
+    is not in the fleet."""
     return waves(plan.version, tuple(plan.waves), tuple(gateways))[item]
 
 
 def may_go(release: Release, gateways: Sequence[int], item: int, version: str) -> bool:
-    """Returns whether gateway `item`, which runs `version`, should request a lease for the release now: it
-    does not run the wanted version, and its wave has started. In a rollback every gateway with the new
-    version may request a lease at once; only the budget limits how many go at a time."""
+    """Returns whether gateway `item`, which runs `version`, should request a lease for the release now. In a
+    running release it must run the previous version, and its wave must have started. In a rollback every
+    gateway with the new version may request a lease at once; only the budget limits how many go at a time."""
     if version == release.version or release.state not in (State.RUNNING, State.ROLLING_BACK):
         return False
     wave = waves(release.plan.version, tuple(release.plan.waves), tuple(gateways)).get(item)
@@ -254,15 +264,15 @@
 
 @dataclass(frozen=True)
 class Seen:
-    """Version of a gateway that sends heartbeats, and whether it serves and is warm."""
+    """What the heartbeats of a gateway say: its version, and whether it serves and is warm."""
 
     version: str
     warm: bool
 
 
 def through(release: Release, gateways: Sequence[int], seen: Mapping[int, Seen]) -> bool:
-    """Returns whether all gateways of the waves so far run the wanted version and serve. A silent gateway
-    delays its wave."""
+    """Returns whether the waves started so far are complete: all their gateways run the wanted version, serve
+    and are warm; in a rollback this holds for all gateways. A gateway without heartbeats delays its wave."""
 
     def ready(item: int) -> bool:
         return item in seen and seen[item].version == release.version and seen[item].warm
--- a/olivecourse/rollout/section.py
+++ b/olivecourse/rollout/section.py
@@ -1,4 +1,5 @@
-"""The `rollout:` section of an operator's file, its key file and the release plan file, validated by type."""
+"""The `rollout:` section of an operator's file, the file with the datagram keys, and the release plan file;
+all are checked as they are read."""
 
 from __future__ import annotations
 
@@ -27,7 +28,7 @@
     share: Share = 0.34
 
     def budget(self) -> Budget:
-        """The same limit as a `Budget`."""
+        """The same limit as the `Budget` that leases are checked against."""
         return Budget(self.number, self.share)
 
 
@@ -40,7 +41,8 @@
 
 
 class GatewayEntry(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One gateway of the fleet, with its office and relative capacity."""
+    """One gateway of the fleet: its name, the HOST:PORT address of its datagram socket, its office, and its
+    capacity relative to the other gateways of the office."""
 
     name: str
     address: str
@@ -49,8 +51,10 @@
 
 
 class RolloutSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The `rollout:` section. `gateways` must be in the same order on all gateways. Without a `folder` this
-    gateway submits requests and does not vote."""
+    """The `rollout:` section. `gateways` must be in the same order on all gateways, since datagrams carry
+    positions in this list. `members` names the gateways that vote; `keys` is the path of the key file, and
+    `folder` that of the voter's folder. Without a `folder` this gateway starts without the right to vote.
+    `warm_s` is the time in seconds for which a gateway still counts as cold after it is ready."""
 
     keys: str
     gateways: Annotated[list[GatewayEntry], msgspec.Meta(min_length=1, max_length=MAX_GATEWAYS)]
@@ -74,7 +78,8 @@
 
 
 class KeyFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The key file: `{"current": 1, "keys": {"1": "64 hex digits"}}`."""
+    """The file with the keys that authenticate datagrams: `{"current": 1, "keys": {"1": "64 hex digits"}}`.
+    Datagrams are sent under the key with the number `current`."""
 
     current: int
     keys: dict[str, str]
@@ -89,9 +94,9 @@
     key_file: Path
 
     def read_keys(self) -> tuple[Keys, bytes]:
-        """Returns the datagram keys, and the key for the records of the folder. The latter is the key with
-        the lowest number, so that the folder stays readable when the other keys are rotated. Raises
-        BadSection."""
+        """Returns the datagram keys, and the key for the MACs of the records in the voter's folder. The
+        latter is the key with the lowest number, so that the folder stays readable while keys with higher
+        numbers are added and removed. Raises BadSection."""
         try:
             contents = msgspec.convert(json.loads(self.key_file.read_text("utf-8")), KeyFile)
             keys = {int(number): bytes.fromhex(text) for number, text in contents.keys.items()}
@@ -101,13 +106,14 @@
             raise BadSection(f"{self.key_file}: {cause}") from None
 
     def addresses(self) -> list[Address]:
-        """The datagram addresses of all gateways, in the order of the section."""
+        """The datagram addresses of all gateways, in the order of the `rollout:` section; the position of a
+        gateway is its number."""
         return [parse_address(g.address) for g in self.section.gateways]
 
 
 def read_rollout(path: str) -> RolloutConfig | None:
-    """Reads the `rollout:` section of the operator's file at `path`; None if there is none. Raises
-    BadSection."""
+    """Reads the `rollout:` section of the operator's file at `path`, and checks that the key file is
+    readable; returns None if there is no section. Raises BadSection."""
     section = read_section(path, "rollout", RolloutSection)
     if section is None:
         return None
@@ -135,5 +141,5 @@
             raise ValueError(why)
 
     def plan(self) -> Plan:
-        """The same plan as a `releases.Plan`."""
+        """The same plan as the `releases.Plan` that the release register holds."""
         return Plan(self.version, self.before, self.waves, self.soak_s, self.gates, self.alpha, self.worse)
