--- a/olivecourse/rollout/commands.py
+++ b/olivecourse/rollout/commands.py
@@ -1,5 +1,5 @@
-"""The commands `olivecourse rollout`, `drain` and `undrain`, which call the management address of a
-gateway."""
+"""The commands `olivecourse rollout`, `drain` and `undrain`, which call the management address of a gateway
+over HTTP."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 from olivecourse.config.address import parse_address
 
-REQUEST_TIMEOUT_S = 5.0  # a gateway answers management calls within one second
-TICKET_TIMEOUT_S = 6.0  # a command without an answer by then may still take effect; the status shows it
-POLL_INTERVAL_S = 0.2
+REQUEST_TIMEOUT_S = 5.0  # of one HTTP call; a gateway answers management calls within one second
+TICKET_TIMEOUT_S = 6.0  # until a command counts as unanswered; it may still take effect, as the status shows
+POLL_INTERVAL_S = 0.2  # between two requests for the status
 ADDRESS = click.option(
     "--address",
     envvar=["EDGE_MGMT", "EDGE_ADMIN"],
@@ -29,8 +29,8 @@
 
 
 def call(address: str, method: str, path: str, body: dict[str, Any] | None = None) -> dict[str, Any]:
-    """Calls a gateway and returns the JSON object of its reply. Exits with code 3 if no gateway answers, and
-    with code 1 if the gateway refuses the call."""
+    """Calls the management address of a gateway and returns the JSON object of its reply. Exits with code 3
+    if the gateway does not answer, and with code 1 if it refuses the call."""
     try:
         host, port = parse_address(address)
     except ValueError as error:
@@ -54,7 +54,8 @@
 
 
 def send_command(address: str, do: str, **arguments: Any) -> None:
-    """Sends one command on the release, and waits until a majority of the members has answered it."""
+    """Sends the release command `do`, and waits until its outcome is known. Exits with code 1 if it was
+    refused, and with code 4 if no majority of the voting members has answered within TICKET_TIMEOUT_S."""
     ticket = call(address, "POST", "/rollout/ask", {"do": do, **arguments})["ticket"]
     end = time.monotonic() + TICKET_TIMEOUT_S
     while time.monotonic() < end:
@@ -71,12 +72,13 @@
 
 
 def since(unix_s: int) -> str:
-    """Formats a Unix time in seconds as the time of day; 0 stands for an unknown time."""
+    """Formats a Unix time in seconds as the time of day in UTC; 0 stands for an unknown time."""
     return datetime.fromtimestamp(unix_s, UTC).strftime("%H:%M:%S UTC") if unix_s else "unknown"
 
 
 def lines(status: dict[str, Any]) -> list[str]:
-    """Formats the status as text, with one fact on each line."""
+    """Formats the reply of `/rollout/status` as text, with one fact on each line; the first line is the
+    release."""
     release = status["release"]
     text = [
         f"release: {release['state']} (term {release['term']})"
@@ -110,8 +112,8 @@
 
 
 def table(status: dict[str, Any]) -> None:
-    """Prints the status as a table of groups, followed by one line for each gateway and each item worked
-    on."""
+    """Prints the reply of `/rollout/status` as a table of groups with their leases and queued requests,
+    followed by one line for each gateway and each item that this gateway works on."""
     from rich.console import Console
     from rich.table import Table
 
@@ -186,7 +188,8 @@
 
 
 def _add_command(name: str, text: str) -> None:
-    """Adds the subcommand for one release command."""
+    """Adds the subcommand `rollout NAME` that sends the release command of that name; `text` is its help
+    text."""
 
     @rollout.command(name, help=text)
     @ADDRESS
--- a/olivecourse/rollout/part.py
+++ b/olivecourse/rollout/part.py
@@ -1,7 +1,8 @@
 """Runtime of the rollout agreement in a gateway: sockets, disk, the drains of stores and of this gateway.
 
-A worker thread writes the durable part of each step. No message or answer of a step, or of a later one,
-leaves the process before that part is on disk.
+A step is what the agreement's state machine asks for: disk writes, messages and answers. A worker thread does
+the disk writes of each step. No message or answer of a step, or of a later one, leaves the process before
+those writes are on disk.
 """
 
 from __future__ import annotations
@@ -39,14 +40,14 @@
 from olivecourse.rollout.wire import MAX_DATAGRAM_BYTES, BadDatagram, Wire
 
 MS, S = 1_000_000, 1_000_000_000
-TICK_NS = 20 * MS
+TICK_NS = 20 * MS  # interval of the periodic timer
 FOLDER_RETRY_NS = 1 * S  # interval between attempts to open the folder
-REFRESH_NS = 100 * MS  # interval at which the observed stores and the leases are re-evaluated
-MAX_DATAGRAMS_PER_TURN = 256  # read in one turn of the event loop
+REFRESH_NS = 100 * MS  # interval at which the state of the stores is read again and the leases are applied
+MAX_DATAGRAMS_PER_TURN = 256  # datagrams read from the socket in one turn of the event loop
 MAX_QUEUED_STEPS = 1024  # steps that wait for the disk; further steps are dropped, like lost datagrams
-MAX_TICKETS = 64
-LEARN_TIMEOUT_NS = 2 * S  # for this gateway to learn a change that a majority has accepted
-STOP_TIMEOUT_S = 1.0
+MAX_TICKETS = 64  # newest release commands whose outcome can be fetched by ticket number
+LEARN_TIMEOUT_NS = 2 * S  # for this gateway to learn the result of its command, which a majority has accepted
+STOP_TIMEOUT_S = 1.0  # for the disk worker to end when the gateway stops
 VERSION_VARIABLE = "OLIVECOURSE_VERSION"  # environment variable with the version of this build
 
 
@@ -58,7 +59,8 @@
 
 
 class CanaryGate:
-    """Gate of a release that compares the versions with a sequential test."""
+    """Gate of a release that compares the old and the new version with a sequential test of their rates of
+    bad requests."""
 
     def __init__(self, plan: Plan) -> None:
         # Imports scipy, so it is loaded only if a release with gates runs.
@@ -73,16 +75,17 @@
 
 @dataclass(frozen=True)
 class CommandAnswer:
-    """The answer to an operator's command, and the time of its arrival. `answer` is None if the outcome is
-    unknown."""
+    """The answer to an operator's command on the release, and the local time of its arrival in nanoseconds.
+    `answer` is None if the outcome is unknown."""
 
     answer: CommandReply | None
     at: int
 
 
 class RolloutPart(Part):
-    """The rollout part of a gateway. The constructor raises ValueError if the gateway is not in the fleet,
-    and OSError if the socket cannot be bound."""
+    """The rollout part of a gateway, used if its configuration has a `rollout:` section. The constructor
+    raises ValueError if the gateway is not listed under `gateways`, and OSError if the datagram socket cannot
+    be bound."""
 
     def __init__(self, host: Host) -> None:
         super().__init__(host)
@@ -97,7 +100,7 @@
         keys, self._secret = self.config.read_keys()
         self.incarnation = time.time_ns() // MS
         self.wire = Wire(self.me, self.incarnation, keys)
-        self._random = Random()  # seeded by the system: equal seeds would make ballots collide
+        self._random = Random()  # seeded by the system: equal seeds would make members retry ballots together
         self._disk, slots, votes = self._open_folder()
         self._worker = Worker(host.loop, "rollout", most=MAX_QUEUED_STEPS)
         version = section.version or os.environ.get(VERSION_VARIABLE, "")
@@ -122,14 +125,14 @@
         self._tickets: deque[int] = deque()
         self._planner: Planner | None = None
         self._draining = False  # this gateway is out of service with a lease
-        # Stores that are out of service with a lease and get no requests from this gateway.
+        # Numbers of the stores that get no requests from this gateway because of a lease in phase OUT.
         self._left: set[int] = set()
         self._next_refresh_at = self._next_alive_at = now
         self._logged_state: tuple[Any, ...] = ()
         self._ready_since: int | None = None
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
-            if host.config.doors:  # an earlier process of this gateway may run, in an upgrade
+            if host.config.doors:  # in an upgrade, an earlier process of this gateway may still be bound
                 self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
             self._sock.bind(self.addresses[self.me])
         except OSError:
@@ -141,14 +144,14 @@
             door.desk.others.append(self.call)
 
     def _open_folder(self) -> tuple[Disk | None, dict[str, Any], bool]:
-        """Opens the folder; returns it, the register states in it, and whether this member may vote with
-        them."""
+        """Opens the folder of this voting member. Returns the folder (None if it cannot be opened), the
+        acceptor state in it by register key, and whether this member may vote with that state."""
         if self.config.folder is None:
             return None, {}, False
         try:
             disk = Disk(str(self.config.folder), self.host.config.name, self._secret)
         except FolderLocked:
-            return None, {}, False  # tried again every second: the earlier process is about to end
+            return None, {}, False  # `_record_alive` retries every second until the earlier process ends
         except FolderUnusable as error:
             self.host.log("rollout_folder_unusable", why=str(error))
             return None, {}, False
@@ -167,26 +170,27 @@
     # Interface of parts -------------------------------------------------------------------------------
 
     def teach(self, planner: Planner) -> None:
-        """Receives the gateway's planner."""
+        """Receives the gateway's planner, before the planner's first event."""
         self._planner = planner
 
     def start(self, front: Listener) -> None:
-        """Starts the timer, once the gateway accepts clients."""
+        """Starts the periodic timer; called once the gateway accepts clients."""
         self._tick()
 
     def reloaded(self, old: Any) -> None:
-        """Re-reads the datagram keys. Changes of the fleet and of the voting members need a restart."""
+        """Called after the operator's file was read again: re-reads the datagram keys. Changes of the fleet
+        and of the voting members need a restart."""
         try:
             self.wire.keys = self.config.read_keys()[0]
         except BadSection as error:
             self.host.log("file_unusable", why=str(error))
 
     def takes_work(self) -> bool:
-        """Whether this gateway accepts new requests; False while it is out of service with a lease."""
+        """Whether this gateway accepts new client requests; False while it is out of service with a lease."""
         return not self._draining
 
     def stop(self) -> None:
-        """Closes the socket, stops the disk worker and closes the folder."""
+        """Closes the datagram socket, stops the disk worker and closes the folder."""
         self.host.loop.forget(self._sock)
         self._sock.close()
         self._worker.stop(STOP_TIMEOUT_S)
@@ -196,7 +200,7 @@
     # Timer --------------------------------------------------------------------------------------------
 
     def _tick(self) -> None:
-        """Runs the periodic work and schedules the next tick."""
+        """Runs the periodic work of the member and the agent, and schedules itself again in TICK_NS."""
         now = self.host.loop.clock.now()
         if now >= self._next_refresh_at:
             self._next_refresh_at = now + REFRESH_NS
@@ -209,8 +213,8 @@
         self.host.loop.after(TICK_NS, self._tick)
 
     def _record_alive(self, now: int) -> None:
-        """Updates the time stamp of the folder by writing an empty step; if the folder is not open, tries to
-        open it."""
+        """Updates the time stamp of the folder, by writing an empty step, if this member votes. If the folder
+        is configured and not open, tries to open it."""
         if self._disk is None and self.config.folder is not None:
             self._next_alive_at = now + FOLDER_RETRY_NS
             self._disk, slots, votes = self._open_folder()
@@ -223,8 +227,9 @@
             self._write()
 
     def _refresh(self, now: int) -> None:
-        """Updates the member from the store list, the operators' drains, the decision module and the
-        ledger."""
+        """Updates what the member knows of this gateway and its stores: the store list, the operators'
+        drains, the stores that the decision module avoids, and the request counts of the ledger. Then applies
+        the leases."""
         self._see_stores(now)
         ready = not self.host.why_not_ready() or self._draining
         if not ready:
@@ -239,7 +244,8 @@
         self._apply_leases()
 
     def _see_stores(self, now: int) -> None:
-        """Updates the member's store groups, and which of their items are out of service or cold."""
+        """Updates the member's groups of stores and hub caches, and which of their items are out of service
+        or cold, by group key."""
         host, settings = self.host, self.host.config.settings
         limits = self.config.section.budgets
         capacity: dict[str, dict[int, float]] = {}
@@ -253,7 +259,8 @@
             capacity.setdefault(key, {})[store.cache] = store.weight or 1.0
             ramp = settings.parent_cold_ns if at_hub else settings.cold_ns
             cold = store.ready_at_ns and now - store.ready_at_ns < ramp
-            # The decision module avoids such a store because of its lease, which is counted separately.
+            # The decision module avoids a store that is leased out. That alone does not count here, since the
+            # budget counts leases separately.
             leased_out_here = store.cache in self._left
             if (
                 store.state is not interface.State.READY
@@ -273,8 +280,8 @@
         }
 
     def _apply_leases(self) -> None:
-        """Applies the leases in phase OUT: their stores get no requests from here, and this gateway drains if
-        it holds one itself."""
+        """Applies the leases in phase OUT: this gateway sends no requests to the stores that have one, and
+        drains if it has one itself for an operator's drain or as confirmed by its agent."""
         tables = self.member.tables()
         out = {
             p.item
@@ -305,7 +312,8 @@
             self._logged_state = current
 
     def _log_changes(self, release: Release, tables: dict[str, places.Table]) -> None:
-        """Logs one line for every change of the release and of a lease."""
+        """Logs one line if the state of the release has changed since the last log line, and one for each
+        lease that has changed its phase or ended."""
         before = self._logged_state
         if not before or before[:2] != (release.term, release.state):
             self.host.log(
@@ -329,24 +337,28 @@
                 )
 
     def _set_draining(self, draining: bool) -> None:
-        """Starts or ends the drain of this gateway."""
+        """Starts or ends the drain of this gateway, during which it takes no new client requests; no effect
+        if nothing changes."""
         if draining != self._draining:
             self._draining = draining
             self.host.drain(draining)
             self.host.log("rollout_drains" if draining else "rollout_serves", open=self.host.ledger.open)
 
     def _take_out(self, item: int) -> None:
-        """Drains this gateway; stores are taken out by `_apply_leases` on all gateways."""
+        """Called by the agent when an item may go out of service: drains this gateway. Stores are taken out
+        by `_apply_leases` on all gateways."""
         if item == self.me:
             self._set_draining(True)
 
     def _bring_back(self, item: int) -> None:
-        """Ends the drain of this gateway; stores are brought back by `_apply_leases`."""
+        """Called by the agent when an item returns to service: ends the drain of this gateway. Stores are
+        brought back by `_apply_leases` on all gateways."""
         if item == self.me:
             self._set_draining(False)
 
     def name(self, key: str, item: int) -> str:
-        """The name of an item of group `key`, or its number if it is not listed."""
+        """The name of a gateway or store by its number in group `key`, or the number as text if it is not
+        listed."""
         if key.startswith("gateways:"):
             return self.names[item] if item < len(self.names) else str(item)
         return self.host.directory.names.get(item, str(item))
@@ -354,7 +366,8 @@
     # Steps --------------------------------------------------------------------------------------------
 
     def _flush(self) -> None:
-        """Carries out the member's effects, through the disk queue if anything must be durable first."""
+        """Carries out what the member asks for. Messages and answers wait in a queue for the disk if this or
+        an earlier step must be written first."""
         step = self.member.taken()
         if not (step.durable or step.sends or step.done):
             return
@@ -365,7 +378,8 @@
             self._write()
 
     def _write(self) -> None:
-        """Writes all queued steps with one sync."""
+        """Hands all queued steps to the disk worker, to be written with one sync, unless a write is in
+        progress. A member that has just recovered writes its complete state."""
         if self._writing or not self._steps or self._disk is None:
             return
         steps, self._steps = list(self._steps), deque()
@@ -380,14 +394,16 @@
         )
 
     def _on_written(self, steps: list[Step], recovering: bool, error: Exception | None) -> None:
-        """Carries out steps after their write; after a failed write, drops them and stops voting."""
+        """Called when the disk worker has finished: carries out the written steps. After a failed write,
+        drops them and stops voting."""
         self._writing = False
         if error is not None:
             self.host.log(
                 "rollout_disk_failed",
                 why=str(error) if isinstance(error, OSError | lmdb.Error) else repr(error),
             )
-            self.member.register.votes = False  # promises would not be durable; a restart retries
+            # Promises would not be durable: no vote until a restart, or the recovery from the other members.
+            self.member.register.votes = False
             self.member.register.rounds.clear()
             return
         self._caught_up = self._caught_up or recovering
@@ -396,7 +412,8 @@
         self._write()
 
     def _carry_out(self, step: Step) -> None:
-        """Sends the messages of a step and passes on its answers; its durable part is already on disk."""
+        """Sends the messages of a step and passes on its answers to the agent or to a waiting command; the
+        disk writes of the step are already done."""
         for target, message in step.sends:
             try:
                 self._sock.sendto(self.wire.encode(target, message), self.addresses[target])
@@ -409,7 +426,7 @@
                 self._answers[handle] = CommandAnswer(answer, self.host.loop.clock.now())
 
     def _on_readable(self, mask: int) -> None:
-        """Reads and handles the datagrams that have arrived."""
+        """Reads and handles the datagrams that have arrived at the socket, at most MAX_DATAGRAMS_PER_TURN."""
         now = self.host.loop.clock.now()
         for _ in range(MAX_DATAGRAMS_PER_TURN):
             try:
@@ -446,7 +463,8 @@
             return _reply(400, {"ok": False, "why": f"{type(error).__name__}: {error}"})
 
     def _handle_ask(self, do: str, arguments: dict[str, Any]) -> Reply:
-        """Starts a drain, an undrain, or a command on the release; the last returns a ticket number."""
+        """Starts what `do` names: a drain, an undrain, or a command on the release. For a command the reply
+        has the number of a ticket, under which the outcome can be fetched."""
         now = self.host.loop.clock.now()
         if do in ("drain", "undrain"):
             found = self._find_item(str(arguments["item"]))
@@ -475,7 +493,8 @@
         return _reply(202, {"ok": True, "ticket": ticket})
 
     def _force_return(self, key: str, item: int, now: int) -> None:
-        """Frees the lease of an item on behalf of its holder, without waiting for the item to be warm."""
+        """Submits the end of an item's lease on behalf of its holder, without waiting for the item to be
+        warm."""
         lease = self.member.table(key).lease_of(item)
         if lease is not None:
             op = places.LeaseOperation(
@@ -485,7 +504,8 @@
             self.host.log("rollout_forced", group=key, item=self.name(key, item))
 
     def _ticket_reply(self, text: str) -> Reply:
-        """The outcome of the command with this ticket number, or that it is pending."""
+        """The outcome of the release command with this ticket number, or that it is pending. It stays pending
+        after a success until this gateway knows the new term, or for LEARN_TIMEOUT_NS at most."""
         ticket = int(text) if text.isdecimal() else -1
         if ticket not in self._tickets:
             return _reply(404, {"ok": False, "why": "no such ticket"})
@@ -495,11 +515,11 @@
         answer, waited = answered.answer, self.host.loop.clock.now() - answered.at
         why, term = failure_reason(answer), 0 if answer is None else answer.term
         if not why and term > self.member.release.term and waited < LEARN_TIMEOUT_NS:
-            return _reply(200, {"pending": True})  # the next command must see the effect of this one
+            return _reply(200, {"pending": True})  # the next command here must know the new term
         return _reply(200, {"pending": False, "ok": not why, "why": why, "term": term})
 
     def _find_item(self, name: str) -> tuple[str, int] | None:
-        """The group key and number of the gateway or store with this name, or None."""
+        """The group key and number of the gateway or store with this name, or None if there is none."""
         if name in self.names:
             item = self.names.index(name)
             return self.member.setup.offices[item], item
@@ -547,11 +567,13 @@
         }
 
     def _replaceable(self) -> str:
-        """The version that may replace this process, or an empty string while requests are open."""
+        """The program version that may replace this process now, or an empty string if none may, or while
+        client requests are open."""
         return "" if self.host.ledger.open else self.agent.replaceable
 
     def _group_status(self, key: str) -> dict[str, Any]:
-        """The status of one group: its budget, and who is out, holds a lease or waits."""
+        """The status of one group as shown to operators: its budget, the items that are out of service, its
+        leases (`places`), and the queued requests (`waiting`)."""
         table, group = self.member.table(key), self.member.group(key)
         return {
             "of": len(group.capacity),
@@ -580,5 +602,5 @@
 
 
 def _reply(status: int, content: dict[str, Any]) -> Reply:
-    """A JSON reply."""
+    """An HTTP reply of the operators' interface with a JSON body."""
     return Reply(status, json.dumps(content).encode() + b"\n", JSON)
--- a/olivecourse/rollout/store.py
+++ b/olivecourse/rollout/store.py
@@ -1,4 +1,5 @@
-"""Durable acceptor state of a member, in an LMDB environment in the operator's folder.
+"""Durable acceptor state of a voting member, in an LMDB environment in the folder that the operator
+configured.
 
 A record is a msgpack value behind a keyed BLAKE3 MAC that also covers the name of the record. A promise is
 synced to disk before it is sent. A folder counts as empty if it lacks the marker that `olivecourse rollout
@@ -20,38 +21,41 @@
 
 from olivecourse.rollout.register import Slot
 
-MAP_BYTES = 16 * 2**20
-MARKER_KEY, LAST_ALIVE_KEY = b"member", b"seen"
+MAP_BYTES = 16 * 2**20  # upper bound of the size of the LMDB environment
+MARKER_KEY, LAST_ALIVE_KEY = b"member", b"seen"  # names of the records of the marker and the time stamp
 FORMAT_VERSION = 1
-ALIVE_INTERVAL_S = 30  # interval at which a running member updates the time stamp of its folder
-STALE_AFTER_S = 3600  # a folder without updates for this long may be an outdated copy
+ALIVE_INTERVAL_S = 30  # interval at which a running, voting member updates the time stamp of its folder
+STALE_AFTER_S = 3600  # a folder whose time stamp is older than this may be an outdated copy
 
 
 class FolderUnusable(OSError):
-    """The folder is unusable: the gateway submits requests and does not vote."""
+    """The folder cannot be opened; the gateway then runs without it and without the right to vote."""
 
 
 class FolderLocked(FolderUnusable):
-    """Another process of this gateway votes with the folder, as during an upgrade. Two voting processes would
-    not know each other's promises."""
+    """Another process of this gateway has the folder open, as during an upgrade. Two processes that vote with
+    one folder would not know each other's promises."""
 
 
 class CorruptRecord(ValueError):
-    """A record with a wrong MAC or an unreadable value, or a folder of another member."""
+    """A record with a wrong MAC or an unreadable value, or a folder that belongs to another member or has
+    another format version."""
 
 
 class FolderMarker(msgspec.Struct, frozen=True, array_like=True):
-    """The record that marks a folder as initialized: the format version and the name of the member."""
+    """The record that marks a folder as initialized: the format version of the folder and the name of the
+    member that it belongs to."""
 
     format: int
     name: str
 
 
 class Disk:
-    """The opened folder of one member."""
+    """The opened folder of one voting member, with its LMDB environment and its lock."""
 
     def __init__(self, folder: str, name: str, secret: bytes) -> None:
-        """Raises FolderUnusable, and its subclass FolderLocked while another process has the folder open."""
+        """Opens the folder of member `name`, and creates it if missing; `secret` is the MAC key. Raises
+        FolderUnusable, and its subclass FolderLocked while another process has the folder open."""
         self._name, self._secret = name, secret
         try:
             Path(folder).mkdir(mode=0o700, parents=True, exist_ok=True)
@@ -68,17 +72,18 @@
             raise FolderUnusable(f"{folder}: {error}") from None
 
     def _seal(self, name: bytes, data: bytes) -> bytes:
-        """Prepends the MAC of a record."""
+        """Returns the data of record `name` with its MAC in front."""
         return blake3(name + b"\0" + data, key=self._secret).digest() + data
 
     def _open(self, name: bytes, data: bytes) -> bytes:
-        """Verifies the MAC of a record and returns its data. Raises CorruptRecord."""
+        """Verifies the MAC of record `name` and returns the data behind it. Raises CorruptRecord."""
         if not hmac.compare_digest(blake3(name + b"\0" + data[32:], key=self._secret).digest(), data[:32]):
             raise CorruptRecord(f"record {name!r}")
         return data[32:]
 
     def init(self, unix_s: int) -> None:
-        """Initializes the folder for this member of a new fleet; existing records are deleted."""
+        """Initializes the folder for a member of a new fleet: deletes existing records, then writes the
+        marker and the time stamp."""
         with self._env.begin(write=True) as txn:
             with txn.cursor() as cursor:
                 while cursor.first():
@@ -91,8 +96,8 @@
         self._env.sync(True)
 
     def load(self) -> dict[str, Slot] | None:
-        """Returns the register states of this member, or None if the folder has no marker. Raises
-        CorruptRecord."""
+        """Returns the acceptor state of this member by register key, or None if the folder has no marker.
+        Raises CorruptRecord."""
         slots: dict[str, Slot] = {}
         try:
             with self._env.begin() as txn:
@@ -111,9 +116,9 @@
         return slots
 
     def is_stale(self, unix_s: int) -> bool:
-        """Returns whether the time stamp of the folder is missing, long past or in the future. Such a folder
-        may be an outdated copy that lacks later promises, so its member recovers from the others before it
-        votes."""
+        """Returns whether the time stamp that a running member keeps in the folder is unreadable or missing,
+        or differs from the time `unix_s` by more than STALE_AFTER_S. Such a folder may be an outdated copy
+        that lacks later promises, so its member recovers from the others before it votes."""
         try:
             with self._env.begin() as txn:
                 data = txn.get(LAST_ALIVE_KEY)
@@ -125,8 +130,8 @@
         return not unix_s - STALE_AFTER_S <= seen <= unix_s + STALE_AFTER_S
 
     def write(self, slots: dict[str, Slot], unix_s: int) -> None:
-        """Writes register states; they are durable on return. Raises OSError or lmdb.Error, after which no
-        message that depends on them may be sent."""
+        """Writes the acceptor state of these registers and the time stamp; both are durable on return. Raises
+        OSError or lmdb.Error, after which no message that depends on them may be sent."""
         with self._env.begin(write=True) as txn:
             txn.put(LAST_ALIVE_KEY, self._seal(LAST_ALIVE_KEY, msgspec.msgpack.encode(unix_s)))
             for key, slot in slots.items():
@@ -134,11 +139,11 @@
                 txn.put(name, self._seal(name, msgspec.msgpack.encode(slot)))
 
     def write_recovered(self, slots: dict[str, Slot], unix_s: int) -> None:
-        """Initializes a folder that was empty and writes the complete recovered state."""
+        """Initializes the folder of a member that has recovered, and writes the complete recovered state."""
         self.init(unix_s)
         self.write(slots, unix_s)
 
     def close(self) -> None:
-        """Closes the environment and releases the lock."""
+        """Closes the LMDB environment and releases the lock."""
         self._env.close()
         os.close(self._lock)
--- a/olivecourse/rollout/wire.py
+++ b/olivecourse/rollout/wire.py
@@ -2,10 +2,10 @@
 
     key id (1) | MAC (16) | msgpack [sender, incarnation, count, target, kind, body]
 
-The MAC is keyed BLAKE3 over all bytes that follow it. `incarnation` is the Unix time in milliseconds at which
-the sender's process started; `count` grows with each datagram. A receiver drops datagrams of earlier
-incarnations of a sender and counts that it has already received. A window tolerates datagrams that arrive out
-of order (as in RFC 4303, 3.4.3).
+The numbers in parentheses are bytes. The MAC is keyed BLAKE3 over all bytes that follow it. `incarnation` is
+the Unix time in milliseconds at which the sender's process started; `count` grows by one with each datagram
+that it sends. A receiver drops datagrams of earlier incarnations of a sender, and datagrams whose count it
+has already received. A window tolerates datagrams that arrive out of order (as in RFC 4303, 3.4.3).
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 from olivecourse.rollout.member import HaltNotice, OperationReply, OperationRequest
 
 MAX_DATAGRAM_BYTES = 256
-MAC_BYTES, HEADER_BYTES = 16, 17
-REPLAY_WINDOW = 256  # a datagram is dropped if its count is this far below the highest one received
-MAX_REASON_CHARS = 40  # longer reasons are cut off before sending
+MAC_BYTES, HEADER_BYTES = 16, 17  # the header is the key id and the MAC
+REPLAY_WINDOW = 256  # a datagram is dropped if its count is this far below the sender's highest one
+MAX_REASON_CHARS = 40  # a halt's reason is cut off here; that of an answer at twice as many
 KINDS: tuple[type[Any], ...] = (
     register.Prepare,
     register.Promise,
@@ -40,17 +40,17 @@
     HaltNotice,
 )
 KIND_NUMBERS = {kind: number for number, kind in enumerate(KINDS)}
-Body = tuple[int, int, int, int, int, msgspec.Raw]
+Body = tuple[int, int, int, int, int, msgspec.Raw]  # the msgpack array shown at the head of this module
 
 
 class BadDatagram(ValueError):
-    """A rejected datagram; the text gives the reason, without the contents of the datagram."""
+    """A received datagram was rejected; the text gives the reason, without the contents of the datagram."""
 
 
 class Keys:
-    """MAC keys by number. Outgoing datagrams are signed with `current`; incoming ones may be signed with any
-    key. To rotate keys, operators first add the new key on all gateways, then make it current, and then
-    remove the old key on all gateways."""
+    """MAC keys by key number. Outgoing datagrams are signed with key `current`; incoming ones may be signed
+    with any of the keys. To rotate keys, operators first add the new key on all gateways, then make it
+    current, and then remove the old key on all gateways."""
 
     def __init__(self, keys: Mapping[int, bytes], current: int) -> None:
         """Raises ValueError if `current` is not among the keys, if a key is not 32 bytes long, or if a number
@@ -60,11 +60,12 @@
         self._keys, self._current = dict(keys), current
 
     def seal(self, data: bytes) -> bytes:
-        """Prepends the number of the current key and the MAC."""
+        """Returns `data` with the number of the current key and the MAC in front."""
         return bytes([self._current]) + self._mac(self._current, data) + data
 
     def open(self, data: bytes) -> bytes:
-        """Verifies the MAC and returns the signed bytes. Raises BadDatagram."""
+        """Verifies the MAC of a received datagram and returns the signed bytes behind it. Raises
+        BadDatagram."""
         if len(data) <= HEADER_BYTES or len(data) > MAX_DATAGRAM_BYTES:
             raise BadDatagram(f"{len(data)} bytes")
         if data[0] not in self._keys:
@@ -78,14 +79,17 @@
 
 
 class ReplayWindow:
-    """Records which datagrams of each sender have been received."""
+    """Records which datagrams of each sender have been received, so that repeated ones are dropped."""
 
     def __init__(self) -> None:
-        # By sender: incarnation, highest count received, and a bit mask of the counts received up to it.
+        # By sender: incarnation, highest count received, and a bit mask of the received counts. Bit i stands
+        # for the highest count minus i.
         self._seen: dict[int, tuple[int, int, int]] = {}
 
     def accept(self, sender: int, incarnation: int, count: int) -> bool:
-        """Records a datagram; returns False if it is a repetition or too old."""
+        """Records a datagram by its sender, incarnation and count. Returns False if the same count was
+        received before, if it is REPLAY_WINDOW or more below the highest, or if an earlier process sent
+        it."""
         known = self._seen.get(sender)
         if known is None or incarnation > known[0]:
             self._seen[sender] = (incarnation, count, 1)
@@ -103,7 +107,8 @@
 
 
 class Wire:
-    """Encodes and decodes the datagrams of one gateway."""
+    """Encodes and decodes the datagrams of gateway `me`. `incarnation` is the Unix time of its process start
+    in milliseconds."""
 
     def __init__(self, me: int, incarnation: int, keys: Keys) -> None:
         self.me, self.incarnation, self.keys = me, incarnation, keys
@@ -111,8 +116,8 @@
         self._replay = ReplayWindow()
 
     def encode(self, target: int, message: Any) -> bytes:
-        """Encodes and signs a message for `target`. Reasons are shortened; raises ValueError if the message
-        is still too large for a datagram."""
+        """Encodes and signs a message for gateway `target`. Reasons in the message are cut off; raises
+        ValueError if it is still larger than MAX_DATAGRAM_BYTES."""
         if isinstance(message, HaltNotice):
             message = msgspec.structs.replace(message, why=message.why[:MAX_REASON_CHARS])
         if isinstance(message, OperationReply):
@@ -130,7 +135,8 @@
         return sealed
 
     def decode(self, data: bytes) -> tuple[int, Any]:
-        """Returns sender and message of a datagram. Raises BadDatagram."""
+        """Returns the sender's number and the message of a datagram. Raises BadDatagram if its signature,
+        target or form is wrong, or if it was received before."""
         body = self.keys.open(data)
         try:
             sender, incarnation, count, target, kind, raw = msgspec.msgpack.decode(body, type=Body)
@@ -141,7 +147,7 @@
             message = msgspec.msgpack.decode(raw, type=KINDS[kind])
         except msgspec.MsgspecError:
             raise BadDatagram("of another form") from None
-        # The replay check comes last, so that an unreadable datagram does not move the window.
+        # The replay check comes last, so that an unreadable datagram does not move the replay window.
         if not self._replay.accept(sender, incarnation, count):
             raise BadDatagram("come before")
         return sender, message
