--- a/olivecourse/modelcheck/__init__.py
+++ b/olivecourse/modelcheck/__init__.py
@@ -1,2 +1,2 @@
-"""Explicit-state model checking of the step functions that gateways run. A gateway does not load this
-package."""
+"""Explicit-state model checking of the code by which gateways agree on leases and halts, used by the tests. A
+gateway does not load this package."""
--- a/olivecourse/modelcheck/explorer.py
+++ b/olivecourse/modelcheck/explorer.py
@@ -1,7 +1,8 @@
-"""Explicit-state search: breadth first over all interleavings within bounds, and seeded random walks.
+"""Explicit-state search for a violated invariant: breadth first over all interleavings of a bounded model,
+and seeded random walks.
 
-Breadth-first search makes the trace of the first violation a shortest one. Random walks reach states beyond
-the bounds. A state is any object with `moves()`, `violation()` and `key()`.
+Breadth-first search makes the trace of the first violation a shortest one. Random walks reach states that are
+too many transitions from the start for it. A state is any object with `moves()`, `violation()` and `key()`.
 """
 
 from __future__ import annotations
@@ -17,26 +18,27 @@
 
 
 class State(Protocol):
-    """One state of a model."""
+    """One state of a model that is searched."""
 
     def moves(self: StateT) -> Iterator[tuple[str, Callable[[], StateT]]]:
-        """Yields every possible transition: its description, and a function that creates the successor
-        state."""
+        """Yields every possible transition from this state: its description for the trace, and a function
+        that creates the successor state."""
         ...
 
     def violation(self) -> str:
-        """Returns the invariant that this state violates, or an empty string."""
+        """Returns the name of the invariant that this state violates, or an empty string."""
         ...
 
     def key(self) -> Hashable:
-        """Returns a value that is equal for states with the same further behaviour."""
+        """Returns a value that is equal for states that have the same successors, by which the search
+        recognizes states that it has visited."""
         ...
 
 
 @dataclass
 class SearchResult(Generic[StateT]):
-    """Result of a search: the number of distinct states, whether the search was exhaustive, and the violated
-    invariant with the transitions that lead to it, if one was found."""
+    """Result of a search: the number of distinct states, whether all reachable states were visited, and, if
+    one was found, the violated invariant with the descriptions of the transitions that lead to it."""
 
     states: int
     complete: bool
@@ -45,7 +47,8 @@
 
 
 def explore(start: StateT, max_states: int, seconds: float = 1e9) -> SearchResult[StateT]:
-    """Searches breadth first, up to a number of states and seconds."""
+    """Searches breadth first from `start` for a violated invariant, until all states are visited or a number
+    of distinct states or seconds is exceeded."""
     deadline = time.monotonic() + seconds
     predecessors: dict[Hashable, tuple[Hashable, str] | None] = {start.key(): None}
     queue: deque[StateT] = deque([start])
@@ -67,7 +70,9 @@
 
 
 def _trace(predecessors: dict[Hashable, tuple[Hashable, str] | None], key: Hashable) -> tuple[str, ...]:
-    """The labels of the transitions from the start state to the state with this key."""
+    """The descriptions of the transitions from the start state to the state with this key. `predecessors`
+    maps the key of each visited state to the state and the transition that it was first reached from; None
+    for the start state."""
     steps: list[str] = []
     while (previous := predecessors[key]) is not None:
         key = previous[0]
@@ -78,8 +83,8 @@
 def random_walks(
     start: StateT, walks: int, depth: int, seed: int, seconds: float = 1e9
 ) -> SearchResult[StateT]:
-    """Follows seeded random walks of up to `depth` transitions. These reach greater depths than an exhaustive
-    search, and the result is never marked complete."""
+    """Follows seeded random walks of up to `depth` transitions from `start` until one violates an invariant.
+    These reach greater depths than an exhaustive search, and the result is never marked complete."""
     deadline, random = time.monotonic() + seconds, Random(seed)
     seen_hashes = set[Hashable]()
     for _ in range(walks):
--- a/olivecourse/modelcheck/places.py
+++ b/olivecourse/modelcheck/places.py
@@ -2,12 +2,12 @@
 
 The model has three members and two items, of which one may be out of service. Messages are lost, duplicated
 and reordered; members crash and restart with their disk; ballots are abandoned. The checked code is the
-register implementation and the operations that gateways run. Time is not modelled: a ballot may end, and a
-holder may be considered silent, at any moment.
+register implementation and the operations that gateways run. Time is not modelled: a ballot may end, and the
+heartbeats of a holder may be considered stopped, at any moment.
 
-Invariants: the budget is never exceeded; no token is granted for two items; a lease request made for a
-release after its halt was acknowledged never takes an item out of service; an acknowledged halt is durable at
-a majority. Five planted faults verify that the check detects violations.
+Invariants: the budget is never exceeded; no fencing token is granted for two items; a lease request made for
+a release after its halt was acknowledged never takes an item out of service; an acknowledged halt is durable
+at a majority. Five planted faults verify that the check detects violations.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 from olivecourse.rollout.releases import Command, CommandReply, CommandRequest, Plan, Release, State
 
 KEY = "gateways"
-ITEMS = (0, 1)  # each item is the gateway of that number, which requests leases for itself
+ITEMS = (0, 1)  # each item is the gateway (and member) of that number, which requests leases for itself
 GROUP = Group(KEY, {0: 1.0, 1: 1.0, 2: 1.0}, Budget(1, 0.5))
 FAULTS = (
     "no fencing",
@@ -42,7 +42,8 @@
 
 
 class NoDelays(Random):
-    """Random source for the backoff, which is always zero because time is not modelled."""
+    """Random source for the delay after an abandoned ballot, which is always zero because time is not
+    modelled."""
 
     def random(self) -> float:
         return 0.0
@@ -50,7 +51,8 @@
 
 class Model:
     """One state of the model. `remaining` says how many crashes, duplicated messages, abandoned ballots,
-    reclaim operations and repeated lease requests may still occur."""
+    reclaim operations and repeated lease requests may still occur on the way from this state, so that the
+    search is finite."""
 
     def __init__(
         self,
@@ -66,9 +68,10 @@
         crashable: tuple[int, ...] = (0, 1, 2),
     ) -> None:
         """Creates a start state. `why` is the purpose of all leases; with `halts` set, member 2 may halt the
-        release; `fault` is one of FAULTS. `crashes`, `twice`, `ends`, `reclaims` and `asks` bound the events
-        of `remaining`. `crashable` lists the members that may crash. With `granted` set, the first item
-        already has a lease."""
+        release; `fault` is one of FAULTS, or empty for the correct code. `crashes`, `twice` (duplicated
+        messages), `ends` (abandoned ballots), `reclaims` and `asks` (repeated lease requests) are the initial
+        values of `remaining`. `crashable` lists the members that may crash. With `granted` set, item 0
+        already has a lease in phase GRANTED."""
         self.why, self.halts, self.fault = why, halts, fault
         self.remaining = {"crash": crashes, "twice": twice, "end": ends, "reclaim": reclaims, "ask": asks}
         release = {releases.KEY: Slot(value=releases.encode(RUNNING))}
@@ -79,23 +82,24 @@
         self.disks: list[dict[str, Slot]] = [dict(release) for _ in range(3)]
         self.nodes = [self._boot(n) for n in range(3)]
         self.net: tuple[tuple[int, int, Any], ...] = ()
-        self.stage = dict.fromkeys(ITEMS, "in")  # then: requesting, granted, activating, confirmed, out, back
+        # Stages of an item: in (service), requesting, granted, activating, confirmed, out, back.
+        self.stage = dict.fromkeys(ITEMS, "in")
         self.token = dict.fromkeys(ITEMS, 0)
         if granted:
             self.stage[0], self.token[0] = "granted", 1
-        self.granted_items: dict[int, int] = {}  # token -> item
+        self.granted_items: dict[int, int] = {}  # fencing token -> item it was granted for
         self.token_reused = False
-        self.halt = "" if halts else "never"  # then: asked, acknowledged
+        self.halt = "" if halts else "never"  # after "": asked, then acknowledged
         # Whether an item went out that requested its lease or activation after the halt was acknowledged.
         self.started_after_halt = False
-        self.asked_after_halt: frozenset[int] = frozenset()  # items with such a request
+        self.asked_after_halt: frozenset[int] = frozenset()  # items that requested either after it
         self.handles: dict[tuple[int, int], str] = {}
         self.count = 0
 
     # Members ------------------------------------------------------------------------------------------
 
     def _boot(self, number: int) -> QuorumRegisters:
-        """Starts the process of a member from its disk."""
+        """Starts the process of member `number` from the acceptor state on its disk."""
         register = QuorumRegisters(
             number,
             (0, 1, 2),
@@ -110,7 +114,7 @@
         return register
 
     def _bind(self, node: QuorumRegisters) -> None:
-        """Binds the callbacks of a copied member to the copy, so that it decides by its own register
+        """Binds the callbacks of a copied member to the copy, so that it decides by the copy's register
         states."""
         node._apply_operations = lambda key, value, ops, out: self._apply_at(node, key, value, ops)
         node._fence = lambda key, value: is_fenced(node.slots, key, value)
@@ -123,8 +127,8 @@
     def _apply_at(
         self, node: QuorumRegisters, key: str, value: bytes, ops: Sequence[Any]
     ) -> tuple[bytes, list[Any]]:
-        """Applies operations with the knowledge of member `node`, and with the planted fault if there is
-        one."""
+        """Applies operations to the value of register `key` with what member `node` knows of the release, and
+        with the planted fault if there is one. Returns the new value and the answers."""
         if key == releases.KEY:
             after, replies = releases.apply_batch(value or releases.encode(RUNNING), ops)
             return after, list(replies)
@@ -142,7 +146,7 @@
         return after, list(answers)
 
     def _copy(self) -> Model:
-        """Copies the state, so that a transition does not change its source."""
+        """Copies the state, so that a transition does not change the state that it starts from."""
         copied = copy(self)
         copied.remaining, copied.stage, copied.token = (
             dict(self.remaining),
@@ -158,7 +162,7 @@
 
     @staticmethod
     def _copy_register(node: QuorumRegisters) -> QuorumRegisters:
-        """Copies the register states of one member, without sharing any mutable part."""
+        """Copies the agreement state of one member, without sharing any mutable part."""
         copied = copy(node)
         copied.step = Step()
         copied.slots, copied.learned, copied._highest_counts = (
@@ -182,7 +186,8 @@
         return copied
 
     def _carry_out(self, number: int) -> None:
-        """Carries out a member's effects: first the disk writes, then the messages, then the answers."""
+        """Carries out the effects of member `number`: first the disk writes, then the messages, then the
+        answers."""
         step = self.nodes[number].taken()
         self.disks[number].update(step.durable)
         sends = [
@@ -195,8 +200,8 @@
             self._on_answer(number, self.handles.pop((number, handle), ""), answer)
 
     def _on_answer(self, number: int, purpose: str, answer: Any) -> None:
-        """Updates the stage of an item, or of the halt, after the answer to an operation of member
-        `number`."""
+        """Updates the stage of item `number`, or of the halt, after the answer to an operation that member
+        `number` proposed; `purpose` is that of `_propose`."""
         if purpose == "halt":
             if isinstance(answer, CommandReply) and answer.accepted:
                 self.halt = "acknowledged"
@@ -212,7 +217,8 @@
                 self.stage[number] = "confirmed" if answer.outcome is Outcome.DONE else "in"
 
     def _propose(self, number: int, key: str, purpose: str, op: Any) -> None:
-        """Member `number` proposes an operation; `purpose` says what its answer is for."""
+        """Member `number` proposes an operation on register `key`; `purpose` says what the answer is for:
+        acquire, activate, free, reclaim or halt."""
         self.count += 1
         self.handles[(number, self.count)] = purpose
         self.nodes[number].propose(key, self.count, op, 0)
@@ -221,7 +227,8 @@
     # Transitions --------------------------------------------------------------------------------------
 
     def moves(self) -> Iterator[tuple[str, Callable[[], Model]]]:
-        """Yields all transitions that are possible in this state."""
+        """Yields all transitions that are possible in this state: a description, and a function that creates
+        the successor. A message that is never delivered counts as lost."""
         for i, (source, target, message) in enumerate(self.net):
             label = f"{type(message).__name__} {getattr(message, 'key', '')} {source}>{target}"
             yield label, partial(self._after_delivery, i)
@@ -248,7 +255,7 @@
             yield "2 proposes a halt", self._after_halt_request
 
     def _after_request(self, item: int) -> Model:
-        """The state after an item has requested a lease."""
+        """The state after an item's gateway has requested a lease for it."""
         successor = self._copy()
         successor.remaining["ask"] -= bool(self.token[item])
         successor.stage[item], successor.token[item] = "requesting", -1
@@ -263,7 +270,8 @@
         return successor
 
     def _after_activation_request(self, item: int) -> Model:
-        """The state after an item has requested the activation of its lease."""
+        """The state after an item's gateway has requested the activation of its lease; with the fault of a
+        lease by the holder's clock alone, the item goes out at once."""
         successor = self._copy()
         if self.fault == FAULTS[2]:
             successor.stage[item] = "out"
@@ -280,7 +288,8 @@
         return successor
 
     def _after_going_out(self, item: int) -> Model:
-        """The state after an item with a confirmed activation has gone out of service."""
+        """The state after an item with a confirmed activation has gone out of service. Records whether the
+        item requested this after the halt of the release was acknowledged."""
         successor = self._copy()
         successor.stage[item] = "out"
         successor.started_after_halt = successor.started_after_halt or (
@@ -289,7 +298,8 @@
         return successor
 
     def _after_return(self, item: int) -> Model:
-        """The state after an item has come back and its lease is being freed."""
+        """The state after an item has come back into service and its gateway has proposed to free its
+        lease."""
         successor = self._copy()
         successor.remaining["ask"] -= 1
         successor.stage[item] = "back"
@@ -299,7 +309,8 @@
         return successor
 
     def _after_reclaim(self, item: int) -> Model:
-        """The state after member 2 has tried to reclaim the lease of an item."""
+        """The state after member 2 has proposed to reclaim the lease of an item, as if the holder's
+        heartbeats had stopped."""
         successor = self._copy()
         successor.remaining["reclaim"] -= 1
         successor._propose(
@@ -315,7 +326,8 @@
         return successor
 
     def _after_delivery(self, i: int, duplicate: bool = False) -> Model:
-        """The state after message `i` was delivered; a duplicated message stays in the network."""
+        """The state after message `i` of the network was delivered; with `duplicate` set, it stays in the
+        network and may be delivered again."""
         successor = self._copy()
         source, target, message = successor.net[i]
         if duplicate:
@@ -327,8 +339,8 @@
         return successor
 
     def _after_crash(self, number: int) -> Model:
-        """The process of a member ends and a new one starts from its disk. The open requests of its item are
-        lost with the process."""
+        """The state after the process of member `number` has ended and a new one has started from its disk.
+        The open requests of its item are lost with the process."""
         successor = self._copy()
         successor.remaining["crash"] -= 1
         if self.fault == FAULTS[1]:
@@ -347,7 +359,8 @@
         return successor
 
     def _after_abandoned_ballot(self, number: int) -> Model:
-        """The state after a member has abandoned its open ballots and started new ones."""
+        """The state after member `number` has abandoned its open ballots and started new ones for the same
+        operations."""
         successor = self._copy()
         successor.remaining["end"] -= 1
         node = successor.nodes[number]
@@ -360,7 +373,7 @@
     # Invariants ---------------------------------------------------------------------------------------
 
     def violation(self) -> str:
-        """Returns the violated invariant of this state, or an empty string."""
+        """Returns the invariant that this state violates, in words, or an empty string."""
         if sum(stage == "out" for stage in self.stage.values()) > GROUP.budget.number:
             return "over budget"
         if self.token_reused:
@@ -426,14 +439,16 @@
 
 
 def find_planted_fault(fault: str, seed: int = 1, seconds: float = 20.0) -> SearchResult[Model]:
-    """Searches for a violation caused by a planted fault, within narrow bounds that allow it to occur."""
+    """Searches by random walks for a violation caused by a planted fault, within NARROW_BOUNDS, which leave
+    room for little else."""
     return random_walks(Model(fault=fault, **NARROW_BOUNDS[fault]), 1_000_000, 40, seed, seconds)
 
 
 def check_all(short: bool = True, seed: int = 1) -> dict[str, int]:
     """Checks the correct code, and searches for each planted fault within bounds in which the correct code is
-    checked too. Returns the number of distinct states of the correct code, and the numbers of planted and
-    found faults. Raises AssertionError with the trace if the correct code violates an invariant."""
+    checked too. `short` limits each search to a few states, for the tests. Returns the number of distinct
+    states of the correct code as `model_states`, and the numbers of planted and found faults as `planted` and
+    `planted_found`. Raises AssertionError with the trace if the correct code violates an invariant."""
     max_states, seconds = (600, 0.5) if short else (60_000, 25.0)
     scenarios: tuple[dict[str, Any], ...] = ({}, {"why": Why.RELEASE, "halts": True}, {"why": Why.ROLLBACK})
     states = 0
@@ -453,6 +468,7 @@
 
 
 def _require_no_violation(found: SearchResult[Model]) -> int:
-    """Returns the number of states; raises AssertionError with the trace of a violation."""
+    """Returns the number of states that a search visited; raises AssertionError with the trace if it found a
+    violation."""
     assert not found.violation, (found.violation, found.trace)
     return found.states
--- a/tests/fleetsim.py
+++ b/tests/fleetsim.py
@@ -1,6 +1,8 @@
-"""Simulates a fleet of rollout members on a virtual network with one clock and one seed.
+"""Simulates a fleet of gateways that agree on leases and releases, on a virtual network with one clock and
+one seed.
 
-The simulation also counts how many stores are really out of service, independently of what members believe.
+The simulation also counts how many stores are really out of service, independently of what the gateways'
+agreement state says.
 """
 
 from dataclasses import dataclass, field
@@ -27,8 +29,9 @@
 
 @dataclass
 class Node:
-    """One gateway. Its disk survives a restart of its process; `up` is false after a kill, and `stopped` is
-    true while the process is suspended."""
+    """One gateway. Its `disk` survives a restart of its process; `up` is false after a kill, and `stopped` is
+    true while the process is suspended. `skew` is the offset of its clock and `warm_at` the time until which
+    it is cold, both in nanoseconds."""
 
     number: int
     disk: dict = field(default_factory=dict)
@@ -49,9 +52,10 @@
 
 class Fleet:
     """All gateways, the network and the stores. `loss` and `twice` are the probabilities that a datagram is
-    lost or duplicated, `slow` is the longest delay, and `cut(a, b)` says whether datagrams from a to b are
-    dropped. Stores are numbered from 100. `over` counts the samples in which more stores were out of service
-    than the budget allows."""
+    lost or duplicated, `slow` is the longest delay of a datagram in nanoseconds, and `cut(a, b)` says whether
+    datagrams from gateway a to gateway b are dropped. Stores are numbered from 100. `over` counts the ticks
+    at whose end more stores were out of service than the budget allows, and `most_out` is the largest number
+    seen."""
 
     def __init__(
         self,
@@ -87,7 +91,9 @@
             self.boot(node, fresh=True)
 
     def boot(self, node, fresh=False, lost_disk=False, version=None, old_disk=False):
-        """Starts the process of a gateway, from its disk unless that is lost or outdated."""
+        """Starts the process of a gateway from its disk. With `fresh` set it is warm at once; with
+        `lost_disk` set its disk is emptied; after `lost_disk` or `old_disk` it does not vote until it has
+        recovered."""
         node.incarnation += 1
         node.up, node.stopped, node.drains = True, False, False
         node.version = version or node.version
@@ -130,11 +136,11 @@
         node.wire = Wire(node.number, node.incarnation, self.keys)
 
     def clock(self, node):
-        """The gateway's own clock."""
+        """The time on the gateway's own clock, in nanoseconds."""
         return self.now + node.skew
 
     def kill(self, node):
-        """Ends the process of a gateway at once."""
+        """Ends the process of a gateway at once, without a message to the others."""
         node.up = False
         node.out.clear()
 
@@ -149,19 +155,20 @@
     # Stores and time --------------------------------------------------------------------------------
 
     def stores_out(self, node):
-        """The number of stores out of service for a gateway's clients: stores that are down or cold, and
-        stores that get no requests from this gateway because of a lease."""
+        """The number of stores out of service for the clients of gateway `node`: stores that are down or
+        cold, and stores that get no requests from this gateway because of a lease."""
         return sum(
             state != "in" or self.store_warm_at[store] > self.now or store in node.out
             for store, state in self.store_state.items()
         )
 
     def gateway_out(self, node):
-        """Whether a gateway is down, draining or cold."""
+        """Whether gateway `node` is down, draining or cold."""
         return not node.up or node.drains or node.warm_at > self.now
 
     def _update_member(self, node):
-        """Passes the state of the stores and of the gateway to its member, and applies the leases."""
+        """Passes the state of the stores and of the gateway to the gateway's member, and applies the leases
+        of stores in phase OUT."""
         capacity = dict.fromkeys(self.store_state, 1.0)
         node.member.world.groups[STORES] = Group(STORES, capacity, Budget(self.budget, 0.75))
         node.member.world.out[STORES] = {
@@ -174,7 +181,8 @@
         node.out = leased
 
     def turn(self):
-        """Advances the clock by one tick: delivers datagrams and runs every gateway."""
+        """Advances the clock by TICK: delivers the datagrams that are due, runs every gateway, and samples
+        the stores out of service."""
         self.now += TICK
         due = [f for f in self.flying if f[0] <= self.now]
         self.flying = [f for f in self.flying if f[0] > self.now]
@@ -206,7 +214,8 @@
     replace = None
 
     def flush(self, node):
-        """Carries out the effects of a gateway's member."""
+        """Carries out the effects of a gateway's member: disk writes, messages and answers. Repeats this,
+        since answers cause further operations."""
         for _ in range(4):
             step = node.member.taken()
             if self.disks:
@@ -218,7 +227,7 @@
                     node.answers[handle] = answer
 
     def send(self, node, target, message):
-        """Sends a datagram through the simulated network."""
+        """Sends a datagram through the simulated network, which may lose, delay or duplicate it."""
         data = node.wire.encode(target, message)
         self.sent += 1
         self.bytes += len(data)
@@ -230,13 +239,14 @@
             self.flying.append((at, self.count, target, data))
 
     def observe(self):
-        """Samples how many stores are out of service."""
+        """Samples how many stores are out of service for the clients of the worst-off running gateway."""
         out = max((self.stores_out(n) for n in self.nodes if n.up and not n.stopped), default=0)
         self.most_out = max(self.most_out, out)
         self.over += out > self.budget
 
     def run(self, seconds, until=None):
-        """Runs for some seconds, or until a condition holds; returns whether it held."""
+        """Runs the simulation for some simulated seconds, or until the condition `until` holds; returns
+        whether it held, or True without a condition."""
         end = self.now + int(seconds * S)
         while self.now < end:
             self.turn()
@@ -245,12 +255,14 @@
         return until is None
 
     def send_command(self, node, command, **more):
-        """Submits a command on the release at this gateway, as its operator would."""
+        """Submits a command on the release at gateway `node`, as its operator would; returns the handle of
+        the answer."""
         known = node.member.release
         what = releases.CommandRequest(command, known.term, node.number, self.clock(node) // S, **more)
         return node.member.submit(releases.KEY, what, self.clock(node))
 
     def answered(self, node, handle, seconds=4):
-        """Waits for the answer to a request; None if there is none in time."""
+        """Runs until the answer with this handle has arrived at gateway `node` and returns it; None if there
+        is none within `seconds`."""
         self.run(seconds, lambda: handle in node.answers)
         return node.answers.get(handle)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -37,13 +37,13 @@
 
 
 def drain(fleet, number, store):
-    """Requests at gateway `number` that a store be drained; returns the agent's work item."""
+    """Requests at gateway `number` that a store be drained; returns the agent's `Work` on that store."""
     node = fleet.nodes[number]
     return node.agent.want(STORES, store, Why.DRAIN, fleet.clock(node))
 
 
 def bring_back(fleet, number, store):
-    """Ends the drain of a store at gateway `number`."""
+    """Ends the drain of a store, by a call at gateway `number`."""
     node = fleet.nodes[number]
     assert node.agent.release_item(STORES, store, fleet.clock(node))
 
@@ -57,8 +57,8 @@
 
 
 def start_release(fleet, plan=PLAN, replaces=True):
-    """Plans and starts a release; with `replaces` set, gateways restart with the new version when they
-    may."""
+    """Plans and starts a release; with `replaces` set, a gateway restarts with the new version once its agent
+    says that it may be replaced."""
 
     def replace(node):
         version = node.agent.replaceable
@@ -348,7 +348,7 @@
 
 def test_a_lease_lasts_for_the_cold_period_if_the_restart_of_its_store_is_unknown():
     """Guards against a fault seen with real processes: voters that had just started did not know of a store's
-    restart, took the store for warm and ended its lease."""
+    restart, took the store for warm and ended its lease too early."""
     fleet = Fleet(13)
     for node in fleet.nodes:
         node.member.world.cold_ns[STORES] = 2 * S
@@ -584,8 +584,8 @@
 
 
 def test_a_ticket_is_pending_until_its_gateway_learns_the_result_or_times_out():
-    """Guards against a fault seen on a busy machine: `halt` was reported as done before its gateway had
-    learned it, so that `start` at the same gateway used the previous term."""
+    """Guards against a fault seen on a busy machine: `halt` was reported as done before the gateway that it
+    was sent to had learned it, so that a `start` at the same gateway used the previous release term."""
     clock = SimpleNamespace(now=lambda: 5 * S)
     part = SimpleNamespace(
         _tickets=[4],
@@ -601,7 +601,7 @@
 
 
 def lone_member(nodes=40):
-    """A member that does not vote, in a fleet of `nodes` gateways."""
+    """The member of gateway 30, which does not vote, in a fleet of `nodes` gateways."""
     setup = Setup(
         30,
         tuple(range(nodes)),
@@ -615,7 +615,8 @@
 
 def test_a_rumor_is_forwarded_once_and_a_value_from_anti_entropy_is_not():
     """Without rumors, half of 7,500 gateways learn of a drain only after 47 s, through heartbeats. If values
-    from anti-entropy were forwarded too, each process start would flood the fleet."""
+    that a peer sends because checksums differ (anti-entropy) were forwarded too, each process start would
+    flood the fleet."""
     member, now = lone_member(), 1_700_000_000 * S
     known, newer = (Learn("stores:praia", Ballot(count, 0), b"", rumor=True) for count in (1, 2))
     member.heard(0, msgspec.structs.replace(known, rumor=False), now)
@@ -644,7 +645,7 @@
 
 
 def test_a_learned_value_in_the_old_format_is_not_a_rumor():
-    """A gateway of the previous version sends three fields, without `rumor`."""
+    """A gateway of the previous version sends `Learn` with three fields, without `rumor`."""
     decoded = msgspec.msgpack.decode(msgspec.msgpack.encode(["stores:praia", [1, 0], b"x"]), type=Learn)
     assert decoded == Learn("stores:praia", Ballot(1, 0), b"x") and not decoded.rumor
 
