--- a/olivecourse/rollout/agent.py
+++ b/olivecourse/rollout/agent.py
@@ -22,8 +22,8 @@
 
 MS, S = 1_000_000, 1_000_000_000
 ACTIVATION_VALID_NS = 1 * S  # an item goes out at most this long after its activation was requested
-RETRY_NS = 500 * MS  # until a request is repeated whose item is queued, refused, or not warm yet
-RELEASE_JITTER_NS = 300 * MS  # upper bound of the random delay before a gateway's own lease request
+RETRY_NS = 500 * MS  # until a queued or refused lease request is repeated, as for an item not warm yet
+RELEASE_JITTER_NS = 300 * MS  # upper bound of a gateway's random delay before it requests its own lease
 
 
 class AgreementClient(Protocol):
@@ -72,7 +72,7 @@
     requested_at: int = 0
     action: LeaseAction = LeaseAction.ACQUIRE
     status_text: str = ""
-    activation_confirmed: bool = False  # within ACTIVATION_VALID_NS of its request
+    activation_confirmed: bool = False  # confirmed within ACTIVATION_VALID_NS of its request
     release_term: int = 0
 
 
@@ -247,7 +247,7 @@
     def _on_activation_reply(self, work: Work, answer: Answer, now: int) -> None:
         """Takes the item out of service if the activation of its lease was confirmed within
         ACTIVATION_VALID_NS; otherwise requests the activation, or after a refusal a new lease, again."""
-        if answer.outcome is not Outcome.DONE:  # fenced, halted, or budget used up by a failure: start over
+        if answer.outcome is not Outcome.DONE:  # lease lost, release halted or budget used up: start over
             work.stage, work.token = Stage.WANTED, 0
         elif now - work.requested_at > ACTIVATION_VALID_NS:
             work.next_attempt_at = now  # confirmed too long ago: the process may have been suspended
--- a/olivecourse/rollout/hearing.py
+++ b/olivecourse/rollout/hearing.py
@@ -24,7 +24,8 @@
 
 
 class Service(IntEnum):
-    """Service state of a gateway: serving and warm, started but still cold, or draining."""
+    """Service state of a gateway: serving and warm; cold, that is not ready or ready for less than the
+    configured `warm_s`; or draining."""
 
     SERVES = 0
     COLD = 1
@@ -53,7 +54,7 @@
 
     heartbeat: Beat
     received_at: int
-    ended: int  # counter values to measure from: at the last `reset_counts`, or as set in `heard`
+    ended: int  # the heartbeat counter's value from which requests are counted; `bad` likewise
     bad: int
 
 
--- a/olivecourse/rollout/member.py
+++ b/olivecourse/rollout/member.py
@@ -23,10 +23,11 @@
 from olivecourse.rollout.releases import Command, CommandReply, CommandRequest, Release, State
 
 MS, S = 1_000_000, 1_000_000_000
-RESEND_NS, FAILOVER_NS = 150 * MS, 450 * MS  # until a request is sent again, and until to another member
+# An unanswered request is sent again every RESEND_NS, and to the next voting member after each FAILOVER_NS.
+RESEND_NS, FAILOVER_NS = 150 * MS, 450 * MS
 REQUEST_TIMEOUT_NS = 3 * S  # age at which a request without an answer is reported as unknown
 SUPERVISION_NS = 250 * MS  # interval at which the coordinating member runs `_supervise`
-ANTI_ENTROPY_NS = 200 * MS  # shortest interval between two transfers of all learned values to one peer
+ANTI_ENTROPY_NS = 200 * MS  # shortest interval between two transfers of all register values to one peer
 MAX_REPORTED_OUT = 8  # items that a promise lists as out of service at most: more than any budget allows
 # Each gateway forwards a halt once, to this many random peers; in a fleet where it has at most
 # 2 * HALT_FANOUT peers, to all of them.
@@ -35,9 +36,10 @@
 # On average n / e^12 of n gateways miss a value.
 RUMOR_FANOUT = 12
 MAX_PENDING_REQUESTS = 64  # operations of this gateway that wait for an answer; more are answered as unknown
-# With gates on, the next wave starts `soak_s` after a wave is complete, provided that gateways with the new
-# version have ended MIN_GATE_REQUESTS requests since the gate started. If not, it starts as soon as that
-# number is reached, and after MAX_SOAK_PERIODS times `soak_s` even with fewer requests.
+# Time from a complete wave to the next, in a release with a canary gate: the plan's `soak_s` if gateways with
+# the new version have ended MIN_GATE_REQUESTS requests since the gate started. Otherwise the wave soaks
+# longer, until that number is reached or MAX_SOAK_PERIODS times `soak_s` have passed, and then ends in any
+# case.
 MIN_GATE_REQUESTS, MAX_SOAK_PERIODS = 50, 10
 
 
@@ -120,7 +122,7 @@
 
 class Member:
     """Agreement state of one gateway: heartbeats, registers, its own operations that wait for an answer, and,
-    if it coordinates, the supervision of releases."""
+    on the coordinating member, the cleanup of leases and the progress of the release."""
 
     def __init__(
         self,
@@ -412,7 +414,7 @@
 
     def tick(self, now: int) -> None:
         """Times out and resends requests, and runs the periodic work: heartbeats and, on the coordinating
-        member, supervision. Must be called every few tens of milliseconds."""
+        member, `_supervise`. Must be called every few tens of milliseconds."""
         self._now = now
         self.register.tick(now)
         for pending in list(self._pending.values()):
@@ -450,8 +452,8 @@
 
     def _supervise(self, now: int) -> None:
         """Run by the coordinating member every SUPERVISION_NS: submits the cleanup of leases whose holders
-        have failed, evaluates the gate, and starts the next wave or ends the release when a wave is complete
-        and has soaked."""
+        have failed, evaluates the canary gate, and starts the next wave once a wave is complete and its soak
+        time has passed. After the last wave, or a rollback, it ends the release."""
         for key, table in self.tables().items():
             for op in places.cleanup_operations(
                 table, lambda holder: self.hearing.silent(holder, now), self.out(key)
@@ -484,8 +486,8 @@
             self.submit(releases.KEY, CommandRequest(command, release.term, self.setup.me, now // S), now)
 
     def _has_too_few_requests(self, release: Release) -> bool:
-        """Returns whether gates are on and gateways with the new version have ended fewer than
-        MIN_GATE_REQUESTS requests in total since the gate started."""
+        """Returns whether the release has a canary gate and gateways with the new version have ended fewer
+        than MIN_GATE_REQUESTS requests in total since the gate started."""
         if self._gate is None:
             return False
         requests = sum(
@@ -496,9 +498,9 @@
         return requests < MIN_GATE_REQUESTS
 
     def _halted_by_gate(self, release: Release, now: int) -> bool:
-        """Evaluates the gate of the release; returns True, after submitting a halt, if the gate finds the new
-        version worse. A gate keeps its counts over all waves and is replaced when an operator's command has
-        raised the term of the release."""
+        """Evaluates the canary gate of the release; returns True, after submitting a halt, if the gate finds
+        the new version worse. A gate keeps its counts over all waves and is replaced when an operator's
+        command has raised the term of the release."""
         if release.state is not State.RUNNING or self.setup.make_gate is None or not release.plan.gates:
             self._gate = None
             return False
--- a/olivecourse/rollout/part.py
+++ b/olivecourse/rollout/part.py
@@ -41,7 +41,7 @@
 
 MS, S = 1_000_000, 1_000_000_000
 TICK_NS = 20 * MS  # interval of the periodic timer
-FOLDER_RETRY_NS = 1 * S  # interval between attempts to open the folder
+FOLDER_RETRY_NS = 1 * S  # interval between attempts to open the voting member's folder
 REFRESH_NS = 100 * MS  # interval at which the state of the stores is read again and the leases are applied
 MAX_DATAGRAMS_PER_TURN = 256  # datagrams read from the socket in one turn of the event loop
 MAX_QUEUED_STEPS = 1024  # steps that wait for the disk; further steps are dropped, like lost datagrams
--- a/olivecourse/rollout/places.py
+++ b/olivecourse/rollout/places.py
@@ -18,8 +18,8 @@
 
 from olivecourse.rollout.budgets import Group
 
-MAX_LEASES, MAX_QUEUED = 6, 4  # per group: an encoded table must fit into one datagram
-MAX_VALUE_BYTES = 160  # of an encoded table, for the same reason
+MAX_LEASES, MAX_QUEUED = 6, 4  # per group: an encoded lease table must fit into one datagram
+MAX_VALUE_BYTES = 160  # of an encoded lease table, which must fit into one datagram
 
 
 class Phase(IntEnum):
@@ -84,7 +84,7 @@
     ACTIVATE = 1  # to phase OUT: the holder is about to take the item out of service
     FREE = 2  # ends the lease; unless forced, refused until the item is in service and warm
     CANCEL = 3  # withdraws a queued request, or a lease in phase GRANTED
-    RECLAIM = 4  # by any gateway: does the same for a holder whose heartbeats have stopped
+    RECLAIM = 4  # by any gateway: withdraws requests and GRANTED leases of a holder without heartbeats
     RESTORE = 5  # to phase BACK: the work is done and the item receives requests again
 
 
--- a/olivecourse/rollout/register.py
+++ b/olivecourse/rollout/register.py
@@ -22,7 +22,7 @@
 # Interval at which an unanswered message is sent again; over twice the longest transit time of a datagram.
 AGAIN_NS = 60 * MS
 BALLOT_TIMEOUT_NS = 600 * MS  # age at which a member abandons its ballot, even if replies may still arrive
-PROPOSAL_TIMEOUT_NS = 2_000 * MS  # age at which a proposal without an answer is reported as unknown
+PROPOSAL_TIMEOUT_NS = 2_000 * MS  # age at which the outcome of a queued proposal is reported as unknown
 MAX_BACKOFF_NS = 80 * MS  # upper bound of the random delay between an abandoned ballot and the next
 # Time that a member with a lost disk waits before it recovers. By then every ballot that counted a promise
 # which this member made before the loss has ended.
@@ -127,7 +127,8 @@
 
     durable: dict[str, Slot] = field(default_factory=dict)
     sends: list[tuple[int, Any]] = field(default_factory=list)  # (target member, message)
-    done: list[tuple[int, Any]] = field(default_factory=list)  # (handle, answer); answer None: unknown
+    # (handle of the proposal, answer); an answer of None means that the outcome is unknown.
+    done: list[tuple[int, Any]] = field(default_factory=list)
 
 
 ApplyOperations = Callable[[str, bytes, Sequence[Any], frozenset[int]], tuple[bytes, list[Any]]]
--- a/olivecourse/rollout/store.py
+++ b/olivecourse/rollout/store.py
@@ -25,7 +25,7 @@
 MARKER_KEY, LAST_ALIVE_KEY = b"member", b"seen"  # names of the records of the marker and the time stamp
 FORMAT_VERSION = 1
 ALIVE_INTERVAL_S = 30  # interval at which a running, voting member updates the time stamp of its folder
-STALE_AFTER_S = 3600  # a folder whose time stamp is older than this may be an outdated copy
+STALE_AFTER_S = 3600  # a folder whose time stamp is off by more than this may be an outdated copy
 
 
 class FolderUnusable(OSError):
