--- a/olivecourse/storm/admission.py
+++ b/olivecourse/storm/admission.py
@@ -1,7 +1,8 @@
 """Admission control during a retry storm.
 
-Two limiters compute from measured waiting times how many requests may be open at once. The admission
-controller rejects at once each request that cannot meet its deadline or whose worth is too low for its cost.
+Two interchangeable limiters, `Aimd` and `Gradient`, compute from measured waiting times how many requests may
+be open at once. Under load, the admission controller immediately rejects each request that cannot meet its
+deadline, or whose worth per unit of sending time is low compared with that of recent requests.
 """
 
 from __future__ import annotations
@@ -12,14 +13,15 @@
 from typing import Protocol
 
 MS = 1_000_000
-MIN_LIMIT, MAX_LIMIT = 4.0, 4096.0  # bounds of every limit, in open requests
+MIN_LIMIT, MAX_LIMIT = 4.0, 4096.0  # lowest and highest limit of either limiter, in open requests
 
 
 class Limiter(Protocol):
     """Computes the number of requests that may be open at once (`limit`).
 
-    `sample` reports a request that has ended: its waiting time beyond its own work, the number of requests
-    that were open when it began, and whether it was lost to overload.
+    `sample` reports a request that has ended: `waited_ns` is its duration less its expected sending time,
+    `in_flight` the number of other requests that were open when it began, and `lost` is True if its client
+    left before the answer.
     """
 
     limit: float
@@ -28,10 +30,15 @@
 
 
 class Aimd:
-    """Additive increase, multiplicative decrease (Chiu and Jain 1989) with a target for the waiting time."""
+    """A limiter with additive increase and multiplicative decrease (AIMD, Chiu and Jain 1989).
 
-    DECREASE = 0.9
-    DECREASE_INTERVAL_NS = 100 * MS  # one congestion causes one decrease: concurrent requests end together
+    The limit falls when a request waits longer than `target_ns` or is lost; `start` is the first limit.
+    """
+
+    DECREASE = 0.9  # factor of the limit at each decrease
+    # Shortest time between two decreases. Concurrent requests that meet the same congestion end at about the
+    # same time, and together they must cause only one decrease.
+    DECREASE_INTERVAL_NS = 100 * MS
 
     def __init__(self, target_ns: float, start: float = 32.0) -> None:
         self._target, self.limit, self._decreased_at = target_ns, start, -self.DECREASE_INTERVAL_NS
@@ -42,22 +49,22 @@
             if now - self._decreased_at >= self.DECREASE_INTERVAL_NS:
                 self._decreased_at = now
                 self.limit = max(self.limit * self.DECREASE, MIN_LIMIT)
-        elif in_flight >= self.limit / 2:  # below half of the limit, the limit did not restrict the load
+        elif in_flight >= self.limit / 2:  # with fewer open requests, the limit restricted nothing
             self.limit = min(self.limit + 1 / self.limit, MAX_LIMIT)
 
 
 class Gradient:
-    """Limits by the ratio of the minimum waiting time to the recent one (TCP Vegas, Brakmo 1994).
+    """A limiter driven by the ratio of the minimum to the recent waiting time (TCP Vegas, Brakmo 1994).
 
-    The limiter needs no target and settles where a small queue stands. Every PROBE_INTERVAL samples it halves
-    the limit and measures the minimum waiting time again: a baseline that only followed the recent waiting
-    times would take a lasting congestion for the normal state.
+    It needs no target waiting time: the limit stops rising where a small queue remains. Every PROBE_INTERVAL
+    samples it halves the limit and measures the minimum waiting time again, because a minimum (the baseline)
+    that only followed the recent waiting times would take a lasting congestion for the normal state.
     """
 
-    RECENT_WEIGHT = 0.1  # weight of one sample in the recent waiting time
-    LIMIT_WEIGHT = 0.05  # weight of one sample in the limit
-    PROBE_INTERVAL, PROBE_SAMPLES = 1000, 50  # samples between two probes, and samples that a probe takes
-    TOLERANCE = 2.0  # a recent wait of up to this many times the baseline counts as random variation
+    RECENT_WEIGHT = 0.1  # weight of one sample in the moving average of the waiting time
+    LIMIT_WEIGHT = 0.05  # part of the way from the present limit to the wanted one that a sample moves it
+    PROBE_INTERVAL, PROBE_SAMPLES = 1000, 50  # samples between two probes, and per probe
+    TOLERANCE = 2.0  # up to this multiple of the minimum, the recent waiting time counts as normal
 
     def __init__(self, start: float = 32.0) -> None:
         self.limit = start
@@ -65,7 +72,7 @@
         self._count = 0
 
     def sample(self, waited_ns: float, in_flight: int, lost: bool, now: int) -> None:
-        """Updates the waiting times, and moves the limit towards the value that their ratio gives."""
+        """Updates the minimum and recent waiting times, and moves the limit as their ratio demands."""
         waited = max(waited_ns, 1.0 * MS) * (4.0 if lost else 1.0)
         if not self._baseline:
             self._baseline = self._recent = waited
@@ -75,7 +82,8 @@
         if self._count == self.PROBE_INTERVAL:
             self.limit = max(self.limit / 2, MIN_LIMIT)
         elif self._count == self.PROBE_INTERVAL + self.PROBE_SAMPLES // 2:
-            # By now the requests that were open before the probe have ended.
+            # Halfway through the probe, the requests that began under the full limit have ended: from here on
+            # the minimum waiting time is measured anew.
             self._baseline = self._recent = waited
         elif self._count >= self.PROBE_INTERVAL + self.PROBE_SAMPLES:
             self._count = 0
@@ -89,7 +97,7 @@
 
 
 class Verdict(Enum):
-    """Result of an admission check."""
+    """Result of an admission check; the values of LATE and CROWDED name the rejection counts in the log."""
 
     ADMIT = "admit"
     LATE = "late"  # the request can no longer meet its deadline
@@ -98,38 +106,43 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionRequest:
-    """A request that asks for admission.
+    """What the admission controller needs to know of a request.
 
-    `weight` is 1 for a client that honours Retry-After, and less for one that does not.
+    `weight` is a factor of `worth`: 1 for a client that honours Retry-After, and less for one that does not.
     """
 
-    worth: float
-    cost_ns: float
-    remaining_ns: float
+    worth: float  # worth of the request's class, from the settings
+    cost_ns: float  # expected sending time
+    remaining_ns: float  # time until the deadline
     write: bool = False
-    retry: bool = False
+    retry: bool = False  # whether the client repeats an earlier request
     weight: float = 1.0
 
 
 class AdmissionController:
-    """Decides which requests are admitted.
+    """Decides which requests are admitted, given the limiter's number of requests that may be open at once.
 
-    Write requests have priority: they may use a reserve above the limit that no other request may use. As
-    load rises towards the limit, a request is admitted only if its worth per cost exceeds that of a rising
-    fraction of recent requests. A retry, or a client that ignores Retry-After, counts for less worth.
+    Write requests have priority: only they may exceed the limit, by the factor WRITE_RESERVE. As the number
+    of open requests rises from half of the limit to the limit, any other request is admitted only if its
+    worth per unit of sending time exceeds that of a rising fraction of recent requests. The worth of retries,
+    and of requests from clients that ignore Retry-After, is reduced.
     """
 
     WRITE_RESERVE = 1.25  # write requests are admitted up to this multiple of the limit
     FREE_FRACTION = 0.5  # below this fraction of the limit every request is admitted
-    RETRY_FACTOR = 0.5  # worth of a retry relative to a first try: a retry is likely to be late already
-    BUCKETS = 64  # histogram buckets of worth per cost, in powers of the square root of two
-    DECAY = 0.999  # factor by which each new request reduces the weight of all earlier ones
+    RETRY_FACTOR = 0.5  # factor of the worth of a retry, whose client has probably stopped waiting
+    BUCKETS = (
+        64  # buckets of the histogram of worth per ms of sending time; each is sqrt(2) times the one before
+    )
+    DECAY = 0.999  # factor by which each new request reduces all earlier ones in the histogram
 
     def __init__(self, limiter: Limiter) -> None:
         self.limiter = limiter
         self._histogram = [0.0] * self.BUCKETS
-        self.wait_ns = 0.0  # moving average of the waiting times of admitted requests
-        self._increment = 1.0  # grows with each request, which avoids multiplying every bucket by DECAY
+        self.wait_ns = 0.0  # moving average over admitted requests that have ended
+        self._increment = (
+            1.0  # what a request adds to its bucket; its growth replaces multiplying all buckets by DECAY
+        )
 
     def _bucket(self, request: AdmissionRequest) -> int:
         value = (
@@ -148,7 +161,7 @@
             self._increment = 1.0
 
     def admit(self, request: AdmissionRequest, in_flight: int) -> Verdict:
-        """Decides on a request while `in_flight` other requests are open."""
+        """Decides on a new request while `in_flight` others are open, and adds it to the histogram."""
         bucket = self._bucket(request)
         self._record(bucket)
         if request.cost_ns + self.wait_ns > request.remaining_ns:
@@ -160,8 +173,8 @@
             return Verdict.ADMIT
         if utilization >= 1.0:
             return Verdict.CROWDED
-        # Between FREE_FRACTION and the limit, the fraction of requests that is rejected rises from 0 to 1,
-        # and the requests of least worth per cost are rejected first.
+        # `cutoff` is the fraction of requests to reject: it rises from 0 at FREE_FRACTION to 1 at the limit.
+        # The requests with the lowest worth per sending time are rejected first.
         total, cutoff = (
             sum(self._histogram),
             (utilization - self.FREE_FRACTION) / (1.0 - self.FREE_FRACTION),
--- a/olivecourse/storm/budgets.py
+++ b/olivecourse/storm/budgets.py
@@ -1,8 +1,8 @@
-"""Retry budgets: retry attempts as a share of successful first attempts.
+"""Retry budgets: limit the gateway's own retry attempts to a share of its successful attempts.
 
-Each budget is a set of token buckets, for example one per request class, store and fill source, after "The
-Tail at Scale" (Dean and Barroso 2013) and the retry budgets of Finagle. A successful attempt earns tokens; a
-retry attempt spends one token in every bucket that it concerns, or none if any of them is empty. Because each
+There is one token bucket per request class, per store and per fill source, after "The Tail at Scale" (Dean
+and Barroso 2013) and the retry budgets of Finagle. A successful attempt earns tokens; a retry attempt spends
+one token in each bucket of its class, store and source, or is not made if any of them is empty. Because each
 tier applies its own budget, three tiers with a share of 0.1 amplify load by at most 1.331, not by 27.
 """
 
@@ -16,11 +16,11 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetPolicy:
-    """Parameters of a token bucket.
+    """Parameters of a token bucket, in which a token permits one retry attempt.
 
-    `share` is the number of retry attempts per successful attempt and `burst` the largest number of saved
-    tokens. `floor_per_s` tokens a second are added without any success: without them no attempt could find
-    out that a store has recovered.
+    `share` is the number of tokens that each successful attempt earns, and `burst` the most tokens that a
+    bucket holds. `floor_per_s` tokens a second are added without any success: without them no retry attempt
+    could find out that a store has recovered.
     """
 
     share: float = 0.1
@@ -29,7 +29,7 @@
 
 
 class TokenBucket:
-    """The tokens available to one request class, store or fill source."""
+    """The tokens for retry attempts of one request class, store or fill source; a new bucket is full."""
 
     __slots__ = ("_policy", "tokens", "_refilled_at")
 
@@ -37,21 +37,21 @@
         self._policy, self.tokens, self._refilled_at = policy, policy.burst, now
 
     def refill(self, now: int) -> None:
-        """Adds the tokens that the time since the last refill earns."""
+        """Adds `floor_per_s` tokens for each second since the last refill, up to `burst`."""
         elapsed_s = max(now - self._refilled_at, 0) / S
         self.tokens = min(self.tokens + elapsed_s * self._policy.floor_per_s, self._policy.burst)
         self._refilled_at = max(now, self._refilled_at)
 
     def earn(self) -> None:
-        """Adds the tokens that one successful attempt earns."""
+        """Adds `share` tokens for one successful attempt, up to `burst`."""
         self.tokens = min(self.tokens + self._policy.share, self._policy.burst)
 
 
 class RetryBudgets:
     """Token buckets by name, for example ("class", 0), ("store", 17) or ("source", 50).
 
-    At most `max_buckets` buckets are kept. The least recently used one is evicted, which at worst gives its
-    name a full bucket when it is next used, so the error is bounded by the number of names.
+    At most `max_buckets` buckets are kept, and the least recently used one is evicted. If its name is used
+    again, it starts with a full bucket, so that an eviction permits at most `burst` retry attempts too many.
     """
 
     def __init__(self, policy: BudgetPolicy, max_buckets: int) -> None:
@@ -74,7 +74,7 @@
         return bucket
 
     def succeeded(self, names: tuple[Hashable, ...], now: int) -> None:
-        """Credits every named bucket for one successful attempt."""
+        """Credits every named bucket for one successful attempt; a missing bucket is created."""
         for name in names:
             self._bucket(name, now).earn()
 
--- a/olivecourse/storm/calendar.py
+++ b/olivecourse/storm/calendar.py
@@ -1,9 +1,9 @@
-"""Retry schedule: each refused request reserves a slot in the near future for its retry.
+"""Retry schedule: each refused request reserves a time slot in which its client is told to retry.
 
-Time is divided into slots. Each slot has capacity for as many retries as can be served besides the expected
-first tries. The retry time is drawn at random among the next slots with free capacity, so that retries
-arrive evenly. Where no slot before the longest wait is free, the retry is placed in the last part of that
-period and counted as overflow.
+Time is divided into slots of SLOT_NS. Each slot has capacity for as many retries as can be served besides the
+expected first tries. The retry time is drawn at random among the next slots with free capacity, so that
+retries arrive evenly. If no slot within the longest wait is free, the retry is placed in the last part of the
+longest wait and counted as overflow.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 from collections.abc import Callable
 
 MS = 1_000_000
-SLOT_NS = 20 * MS  # retries within one slot count as simultaneous; a queue of 20 ms misses no latency target
-OVERFLOW_PART = 0.5  # last fraction of the longest wait over which overflow retries are spread
-MIN_WAIT_NS = 20 * MS  # clients would read a wait of zero as "retry at once"
+SLOT_NS = 20 * MS  # retries within a slot may form a queue of 20 ms, which misses no latency target
+OVERFLOW_PART = 0.5  # retries without a free slot are spread over this last fraction of the longest wait
+MIN_WAIT_NS = 20 * MS  # shortest wait: clients read a wait of zero as "retry at once"
 
 
 class RetrySchedule:
-    """Assigns a waiting time to each refused request.
+    """Assigns to each refused request the time that its client is to wait before it retries.
 
-    `max_wait_ns` is the longest wait that clients accept. `uniform` returns random numbers from 0 to 1.
+    `max_wait_ns` is the longest wait that may be assigned. `uniform` returns random numbers from 0 to 1.
     """
 
     def __init__(self, max_wait_ns: int, uniform: Callable[[], float]) -> None:
@@ -34,7 +34,7 @@
         self.overflowed = 0
 
     def set_capacity(self, per_s: float) -> None:
-        """Sets how many retries a second can be served besides first tries; negative values count as 0."""
+        """Sets how many client retries a second can be served besides first tries; below 0 counts as 0."""
         self._slot_capacity = max(per_s, 0.0) * SLOT_NS / 1e9
 
     def _advance(self, now: int) -> None:
@@ -45,20 +45,22 @@
             self._first_slot += passed
 
     def reservations(self, now: int) -> list[float]:
-        """Returns the number of reserved retries per slot, from the present slot on."""
+        """Returns the number of retries reserved in each slot, from the slot that contains `now` on."""
         self._advance(now)
         return list(self._reserved)
 
     @property
     def slot_capacity(self) -> float:
-        """Number of retries that one slot can take."""
+        """Number of retries that one slot can take without overflow; may be below 1."""
         return self._slot_capacity
 
     def reserve(self, now: int) -> int:
         """Reserves a slot and returns the wait for the client in ns, from MIN_WAIT_NS to the longest wait."""
         self._advance(now)
         free = [i for i in range(1, self._slots + 1) if self._reserved[i] + 1 <= self._slot_capacity]
-        if not free and self._slot_capacity > 0:  # capacity below one retry per slot: use every n-th slot
+        if (
+            not free and self._slot_capacity > 0
+        ):  # capacity below one retry per slot: one retry in every n-th slot
             spacing = math.ceil(1 / self._slot_capacity)
             free = [
                 i
@@ -66,7 +68,7 @@
                 if not sum(self._reserved[max(i - spacing + 1, 0) : i + spacing])
             ]
         if free:
-            # Only the earlier half of the free slots is used: an unnecessary wait costs clients time.
+            # Draws among the earlier half of the free slots, so that clients do not wait unnecessarily.
             slot = free[int(self._uniform() * max(len(free) // 2, 1))]
         else:
             self.overflowed += 1
--- a/olivecourse/storm/explain.py
+++ b/olivecourse/storm/explain.py
@@ -1,4 +1,5 @@
-"""Extracts retry storms from a structured log: when each was detected, what was limited, what preceded it.
+"""Extracts retry storms from a gateway's log of JSON lines: when each began and ended, how many requests were
+rejected, and which events preceded it.
 
 Lines that are not in the log's format are counted and skipped.
 """
@@ -11,9 +12,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-FIGURE = re.compile(r"(\w+)=(-?[0-9.]+)")
-MAX_PRECEDING = 5  # log lines before a storm that are kept as its possible causes
-CAUSES = {
+FIGURE = re.compile(r"(\w+)=(-?[0-9.]+)")  # a `name=number` in the text of a storm's log line
+MAX_PRECEDING = 5  # most log lines before a storm that are reported as its possible causes
+CAUSES = {  # events whose log lines before a storm may show what caused it
     "module",
     "store_connection_lost",
     "store_connect_failed",
@@ -30,10 +31,12 @@
 
 @dataclass
 class Storm:
-    """One storm of one gateway.
+    """One storm of one gateway; `began` and `ended` are logged timestamps, `ended` empty while it lasts.
 
-    `figures` are those logged at the storm's end, or at its beginning while it lasts; `rejected` holds the
-    rejections during the storm by reason, and `preceding` the log lines just before it. Times are as logged.
+    `level` is the detector's level (0 to 1) at the beginning. `figures` holds the numbers by their names in
+    the log line of the storm's end, or of its beginning while it lasts: `limit`, in open requests, and
+    `room`, in retries a second. `rejected` counts the rejections during the storm by reason (late, crowded,
+    budget), and `preceding` holds short forms of up to MAX_PRECEDING possible causes logged before it.
     """
 
     gateway: str
@@ -47,14 +50,14 @@
 
 @dataclass
 class LogStorms:
-    """The storms of a log, and the number of lines that were skipped (`unread`)."""
+    """The storms of a log; `unread` is the number of lines skipped because they are not in its format."""
 
     storms: list[Storm] = field(default_factory=list)
     unread: int = 0
 
 
 def _summary(line: dict[str, Any]) -> str:
-    """A log line in short form: its event and its fields."""
+    """A log line in short form: its event and its fields, without level, timestamp and gateway."""
     rest = " ".join(
         f"{k}={v}" for k, v in line.items() if k not in ("event", "level", "timestamp", "gateway")
     )
@@ -65,7 +68,8 @@
     """Returns the storms of all gateways that wrote to the log, in the order of their beginning."""
     found = LogStorms()
     recent: dict[str, list[str]] = {}
-    # Rejection counts run over the life of a gateway: these are its counts when the last storm began.
+    # Logged rejection counts are totals since the gateway's start. These are the totals by gateway at the
+    # beginning of its latest storm, which are subtracted from those at the end.
     counts_at_start: dict[str, dict[str, int]] = {}
     open_: dict[str, Storm] = {}
     for raw in lines:
--- a/olivecourse/storm/guard.py
+++ b/olivecourse/storm/guard.py
@@ -1,8 +1,8 @@
-"""The storm controller: the limits that a Router applies while a retry storm is on.
+"""The storm controller: the limits that a Router applies while a retry storm lasts.
 
 The controller observes one Router's events and actions. It limits nothing until a storm is detected, so that
 normal operation is the same as without a controller. The rates and waiting times that it measures in normal
-operation are the starting point of the limits.
+operation are the starting point of the limits when a storm begins.
 """
 
 from __future__ import annotations
@@ -26,55 +26,61 @@
 from olivecourse.storm.repeats import RetryTracker
 
 MS = 1_000_000
-RATE_DECAY = 0.9  # weight that a rate keeps with each bin: about a second of memory
-BEST_RATE_DECAY = 0.998  # weight that the best rate of useful answers keeps with each bin: half after 35 s
-MIN_SPARE_PART = 0.05  # part of the best rate that is always open to retries, so that clients can come back
-MAX_BUCKETS = 4096
-MAX_CLIENTS, MAX_FAILURES = 16_384, 16_384  # tracked at the same time: at most about 4 MB
-RETRY_WINDOW_NS = 5_000 * MS  # a request for an object that failed this recently counts as a retry
+RATE_DECAY = 0.9  # factor of the old value of a rate at each bin of 100 ms: about a second of memory
+BEST_RATE_DECAY = 0.998  # factor of the best rate of served answers at each bin of 100 ms: half after 35 s
+MIN_SPARE_PART = 0.05  # retries may always use this part of the best rate, so that refused clients get served
+MAX_BUCKETS = 4096  # token buckets of the retry budgets: one per request class, store and fill source
+# Clients whose Retry-After compliance is tracked, and failed requests in each of the two generations of the
+# retry tracker: at most about 4 MB in all.
+MAX_CLIENTS, MAX_FAILURES = 16_384, 16_384
+# A client's request counts as a retry if its request for the same object failed within this time.
+RETRY_WINDOW_NS = 5_000 * MS
 
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """The operator's settings."""
+    """The operator's settings, as `section.StormSection` describes them.
+
+    `on` and `off` are the detector's levels (0 to 1) at which a storm begins and ends.
+    """
 
     on: float = 0.3
     off: float = 0.15
-    limiter: str = "aimd"
-    target_wait_ns: int = 150 * MS
-    budget: BudgetPolicy = BudgetPolicy()
+    limiter: str = "aimd"  # "aimd" or "gradient"
+    target_wait_ns: int = 150 * MS  # "aimd" lowers its limit for a longer wait beyond the sending time
+    budget: BudgetPolicy = BudgetPolicy()  # of retry attempts
 
 
 @dataclass(slots=True)
 class OpenRequest:
-    """An admitted request that has not ended; `in_flight` is the number of open requests at its start."""
+    """A request that has not ended; `in_flight` is the number of other open requests at its start."""
 
-    began: int
-    cost_ns: float
+    began: int  # when the Router received it, in ns
+    cost_ns: float  # expected sending time
     in_flight: int
-    cls: int
+    cls: int  # index of its request class
     client: int | None
-    key: str
+    key: str  # object and part, as OBJECT/PART
     source: int | None = None  # parent or origin of the last attempt
 
 
 class Rates:
-    """First tries and useful answers a second, by bins, and the best recent rate of useful answers."""
+    """Moving averages of first tries and served requests a second, and the best recent rate of the latter."""
 
     def __init__(self, now: int) -> None:
         self._bin_start, self._first, self._useful = now, 0, 0
         self.first_per_s = self.useful_per_s = self.best_per_s = 0.0
 
     def first(self) -> None:
-        """Counts a first try."""
+        """Counts a client request that is not a retry."""
         self._first += 1
 
     def useful(self) -> None:
-        """Counts an answer that was served."""
+        """Counts a request that was served."""
         self._useful += 1
 
     def advance(self, now: int) -> None:
-        """Closes the bins that have passed; at most 100."""
+        """Updates the rates for each bin that has ended by `now`; for at most 100 of them after a stall."""
         for _ in range(min((now - self._bin_start) // BIN_NS, 100)):
             per_s = 1e9 / BIN_NS
             self.first_per_s += (1 - RATE_DECAY) * (self._first * per_s - self.first_per_s)
@@ -84,12 +90,15 @@
         self._bin_start += (now - self._bin_start) // BIN_NS * BIN_NS
 
     def spare_per_s(self) -> float:
-        """Number of retries a second that can be served besides the expected first tries."""
+        """Client retries a second that can be served: the best rate of served requests less first tries."""
         return max(self.best_per_s - self.first_per_s, MIN_SPARE_PART * self.best_per_s)
 
 
 class Guard:
-    """Limits one Router during a storm. `uniform` returns random numbers from 0 to 1 that spread retries."""
+    """Detects storms and limits one Router during them.
+
+    `uniform` returns random numbers from 0 to 1, by which the times of client retries are spread.
+    """
 
     def __init__(self, policy: Policy, settings: w.Settings, now: int, uniform: Callable[[], float]) -> None:
         self._classes, self._now = settings.classes, now
@@ -103,19 +112,24 @@
             RetryTracker(RETRY_WINDOW_NS, MAX_FAILURES),
             ComplianceTracker(MAX_CLIENTS),
         )
-        # The request that arrived last, whether it is a retry, and its client's weight.
+        # Found by `came` for the request that arrived last, and used when the Router calls `admit` for it:
+        # its id, whether it is a retry, and the factor (0.25 to 1) of its worth for its client's compliance.
         self._request, self._is_retry, self._weight = "", False, 1.0
-        self._open: dict[str, OpenRequest] = {}
+        self._open: dict[str, OpenRequest] = {}  # by request id
+        # Rejections since the start: of requests by admission verdict, and of retry attempts ("budget").
         self.rejected = {"late": 0, "crowded": 0, "budget": 0}
 
     def settle(self, settings: w.Settings) -> None:
-        """Replaces the request classes after the settings have changed."""
+        """Takes over the request classes of changed `settings`; the limits and rates stay."""
         self._classes = settings.classes
 
     # Limits that the Router applies (interface.Limits) -------------------------------------------------
 
     def admit(self, request: w.Request, cost_ns: float, left_ns: float, open_: int) -> bool:
-        """Whether to accept a request; see `interface.Limits.admit`."""
+        """Whether to accept a new request while `open_` others are open; always True outside a storm.
+
+        `cost_ns` is the expected sending time and `left_ns` the time until the deadline.
+        """
         self._open[request.request] = OpenRequest(
             self._now, cost_ns, open_, request.cls, request.client, self._key(request)
         )
@@ -130,7 +144,10 @@
         return verdict is Verdict.ADMIT
 
     def again(self, request: w.Request, cache: int, source: int | None) -> bool:
-        """Whether the retry budgets allow another attempt after one through `cache` and `source` failed."""
+        """Whether the gateway may try again after an attempt through `cache` and fill source `source` failed.
+
+        During a storm, this spends tokens of the retry budgets.
+        """
         if not self.monitor.storm or self.budgets.spend(
             self._bucket_names(request.cls, cache, source), self._now
         ):
@@ -139,7 +156,10 @@
         return False
 
     def wait(self, request: w.Request, longest_ns: int) -> int:
-        """The Retry-After time for a refused request in ns, at most `longest_ns`."""
+        """The Retry-After time for a refused request in ns, at most `longest_ns`.
+
+        Outside a storm it is `longest_ns`; in a storm, a place in the retry schedule is reserved.
+        """
         if not self.monitor.storm:
             return longest_ns
         self.schedule.set_capacity(self.rates.spare_per_s())
@@ -153,7 +173,7 @@
     # Observation of the Router's events and actions -----------------------------------------------------
 
     def came(self, event: w.Event, now: int) -> None:
-        """Observes an event before the Router handles it."""
+        """Observes an event; must be called before the Router handles it, as `admit` uses the findings."""
         self._now = now
         if isinstance(event, w.Request):
             marked, client = bool(event.flags & w.Flag.REPEAT), event.client
@@ -171,7 +191,8 @@
         elif isinstance(event, w.ClientLeft):
             opened = self._open.pop(event.request, None)
             if opened is not None and now - opened.began > opened.cost_ns:
-                # The client left although the request had been open for longer than its own work takes.
+                # The client left after more than the expected sending time: the request waited too long, and
+                # counts as lost to overload.
                 self.admission.ended(now - opened.began - opened.cost_ns, opened.in_flight, True, now)
                 self._failed(opened, now)
 
--- a/olivecourse/storm/heed.py
+++ b/olivecourse/storm/heed.py
@@ -1,8 +1,8 @@
 """Retry-After compliance of clients.
 
-A client that retries before the time it was given loses weight in admission control, and regains it as soon
-as it honours Retry-After again. The number of tracked clients is bounded; an unknown client counts as
-compliant.
+Each client has a weight from 0.25 to 1, by which admission control multiplies the worth of its requests. It
+falls when the client retries before its Retry-After time, and rises again when it honours the time. The
+number of tracked clients is bounded; an unknown client counts as compliant.
 """
 
 from __future__ import annotations
@@ -10,21 +10,25 @@
 from dataclasses import dataclass
 
 MS = 1_000_000
-EARLY_TOLERANCE_NS = 20 * MS  # a retry that is early by less than this is attributed to clock inaccuracy
-PENALTY_STEP, MAX_PENALTY = 0.5, 0.75  # part of the remaining weight that a violation takes; the upper bound
-FORGIVENESS = 0.5  # factor applied to the penalty when a client honours its wait
+EARLY_TOLERANCE_NS = 20 * MS  # a retry that is early by up to this is attributed to clock inaccuracy
+# Each early retry takes this part of the client's weight; all of them together take at most MAX_PENALTY of 1.
+PENALTY_STEP, MAX_PENALTY = 0.5, 0.75
+FORGIVENESS = 0.5  # factor of the client's penalty each time that it honours its Retry-After time
 
 
 @dataclass(slots=True)
 class ClientState:
-    """Retry-After time given to one client, and the client's noncompliance from 0 to MAX_PENALTY."""
+    """When one client may retry (0 if no Retry-After is pending), and its penalty, 0 to MAX_PENALTY."""
 
     retry_not_before: int = 0
     noncompliance: float = 0.0
 
 
 class ComplianceTracker:
-    """Tracks at most `max_clients` clients; those not refused for the longest time are evicted first."""
+    """Tracks the Retry-After compliance of at most `max_clients` clients.
+
+    The clients that have not been refused for the longest time are evicted first.
+    """
 
     def __init__(self, max_clients: int) -> None:
         self._max_clients = max_clients
@@ -34,7 +38,7 @@
         return len(self._clients)
 
     def record_refusal(self, client: int, until: int) -> None:
-        """Records that `client` was refused and told not to retry before `until`."""
+        """Records that a request of `client` was refused, with a Retry-After that ends at `until` (in ns)."""
         state = self._clients.pop(client, None) or ClientState()
         state.retry_not_before = max(state.retry_not_before, until)
         self._clients[client] = state
@@ -42,7 +46,7 @@
             del self._clients[next(iter(self._clients))]
 
     def record_request(self, client: int, now: int) -> float:
-        """Records a request of `client` and returns the client's weight, from 1 - MAX_PENALTY to 1."""
+        """Records a request, early or not, and returns the client's weight, from 1 - MAX_PENALTY to 1."""
         state = self._clients.get(client)
         if state is None:
             return 1.0
--- a/olivecourse/storm/notice.py
+++ b/olivecourse/storm/notice.py
@@ -1,8 +1,8 @@
-"""Detection of retry storms: two detectors behind one interface, and hysteresis over either of them.
+"""Detection of retry storms: two interchangeable detectors, and hysteresis over the level that one reports.
 
-A storm is not just high load: a flash crowd of first tries is welcome. A storm is load that exists because
-requests fail (a metastable failure: Bronson et al., "Metastable Failures in Distributed Systems", HotOS
-2021).
+High load alone is no storm: a flash crowd of first tries is to be served. A storm is load that exists because
+requests fail and clients repeat them (a metastable failure: Bronson et al., "Metastable Failures in
+Distributed Systems", HotOS 2021).
 """
 
 from __future__ import annotations
@@ -12,14 +12,15 @@
 from typing import Protocol
 
 MS = 1_000_000
-BIN_NS = 100 * MS  # length of a counting bin: short compared to any client's wait
-HALF_LIFE_NS = 1_000 * MS  # half-life of the counts, which is also about the time until a storm is detected
-MIN_ARRIVALS = 20.0  # below this weighted number of arrivals, shares are not significant
+BIN_NS = 100 * MS  # length of a counting interval (bin): short compared with any client's wait
+HALF_LIFE_NS = 1_000 * MS  # half-life of ShareDetector's counts; a storm is detected after about this time
+# The shares are not significant below a decayed total of MIN_ARRIVALS x (1 - decay per bin) = 1.3 arrivals.
+MIN_ARRIVALS = 20.0
 
 
 @dataclass(slots=True)
 class Bin:
-    """Counts of one bin: first tries, client retries, and `useful` answers (those served in time)."""
+    """Counts of one bin: clients' first tries, their retries, and `useful` answers (those served in time)."""
 
     first: float = 0.0
     retries: float = 0.0
@@ -32,7 +33,7 @@
 
 
 class Detector(Protocol):
-    """Takes one bin after the other; `level` is 0 in normal operation and 1 where a storm is certain."""
+    """Takes one bin of counts after the other; `level` goes from 0 (no sign of a storm) to 1 (certain)."""
 
     def add(self, bin_: Bin) -> None: ...
 
@@ -40,10 +41,11 @@
 
 
 class ShareDetector:
-    """Detects a storm by shares: the share of retries among arrivals times the share of wasted work.
+    """Detects a storm by two shares of recent arrivals: those that are retries, and those not served in time.
 
-    Neither share is sufficient alone. Clients that mark every second request as a retry and are served are no
-    storm, and neither is an overload by first tries of which most are refused.
+    The level is the root of their product, because neither share is sufficient alone. Clients that mark every
+    second request as a retry and are served are no storm, and neither is an overload by first tries of which
+    most are refused.
     """
 
     def __init__(self) -> None:
@@ -51,13 +53,13 @@
         self._decay = 0.5 ** (BIN_NS / HALF_LIFE_NS)
 
     def add(self, bin_: Bin) -> None:
-        """Adds a bin to the decaying totals."""
+        """Adds a bin to the totals, which halve every HALF_LIFE_NS."""
         total, decay = self._sum, self._decay
         total.first, total.retries = total.first * decay + bin_.first, total.retries * decay + bin_.retries
         total.useful = total.useful * decay + bin_.useful
 
     def level(self) -> float:
-        """The root of the product of both shares."""
+        """The root of the product of the two shares, from 0 to 1; 0 with too few arrivals."""
         total = self._sum
         if total.offered < MIN_ARRIVALS * (1 - self._decay):
             return 0.0
@@ -66,15 +68,15 @@
 
 
 class BurstDetector:
-    """Detects a storm by synchronised arrivals, relative to the earlier arrivals.
+    """Detects a storm by arrivals in bursts, as clients that failed together retry together.
 
     The measure is the index of dispersion of arrivals per bin: variance over mean, 1 for Poisson arrivals
-    (Cox and Lewis 1966).
+    (Cox and Lewis 1966). It is compared with its own longer-term average, the baseline.
     """
 
-    BASELINE_DECAY = 0.98  # weight that the baseline keeps with each bin: about 5 s of memory
-    RECENT_DECAY = 0.8  # weight that the recent mean and variance keep with each bin: about half a second
-    CERTAIN_RATIO = 10.0  # multiple of the baseline dispersion at which a storm is certain
+    BASELINE_DECAY = 0.98  # factor of the old baseline at each bin of 100 ms: about 5 s of memory
+    RECENT_DECAY = 0.8  # factor of the old mean and variance at each bin: about half a second of memory
+    CERTAIN_RATIO = 10.0  # excess over the baseline, in multiples of it, at which the level is 1
 
     def __init__(self) -> None:
         self._mean = self._square = 0.0
@@ -82,7 +84,7 @@
         self._bins = 0
 
     def add(self, bin_: Bin) -> None:
-        """Adds a bin to the recent statistics, and to the baseline unless the level is raised."""
+        """Adds a bin to the recent mean and variance, and to the baseline if the level is below 0.3."""
         arrivals, decay = bin_.offered, self.RECENT_DECAY
         self._bins += 1
         self._mean = decay * self._mean + (1 - decay) * arrivals
@@ -94,7 +96,7 @@
         return max(self._square - self._mean**2, 0.0) / self._mean if self._mean > 0 else 0.0
 
     def level(self) -> float:
-        """The excess of the recent dispersion over the baseline, scaled to 0 to 1."""
+        """The excess of the recent index of dispersion over the baseline, scaled so that CERTAIN_RATIO is 1."""
         if self._bins < 10 or self._mean < 1:
             return 0.0
         return min(max(self._index() / max(self._baseline, 1.0) - 1, 0.0) / self.CERTAIN_RATIO, 1.0)
@@ -102,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """The beginning (`begins`) or end of a storm; `level` is the detector's level at that moment."""
+    """The beginning (`begins` is True) or end of a storm at `at` (in ns), and the detector's level then."""
 
     begins: bool
     at: int
@@ -110,10 +112,10 @@
 
 
 class Notice:
-    """Feeds a detector with bins and reports when a storm begins and ends.
+    """Counts requests in bins of 100 ms, passes them to a detector and reports when a storm begins and ends.
 
-    `on` and `off` are levels, with `on` above `off`. A storm begins after `hold` consecutive bins at or
-    above `on` and ends after four times as many at or below `off`, so that a storm in waves counts as one.
+    A storm begins after `hold` consecutive bins with the detector's level at or above `on`. It ends after
+    four times as many at or below `off`, so that a storm in waves counts as one.
     """
 
     def __init__(
@@ -128,22 +130,25 @@
 
     @property
     def level(self) -> float:
-        """The detector's present level."""
+        """The detector's level, from 0 to 1, as of the last closed bin."""
         return self._detector.level()
 
     def arrived(self, retry: bool, amount: float = 1.0) -> None:
-        """Counts an arrival, as a client retry or as a first try."""
+        """Counts `amount` arriving client requests, as retries if `retry` is True, else as first tries."""
         if retry:
             self._bin.retries += amount
         else:
             self._bin.first += amount
 
     def served(self, amount: float = 1.0) -> None:
-        """Counts an answer that was served in time."""
+        """Counts `amount` answers that were served in time."""
         self._bin.useful += amount
 
     def advance(self, now: int) -> list[Change]:
-        """Closes the bins that have passed; at most 100, since after a stall all further bins are empty."""
+        """Passes the bins that have ended by `now` to the detector; returns the storms' beginnings and ends.
+
+        At most 100 bins are passed: after a stall all but the first are empty.
+        """
         changes = []
         passed = (now - self._bin_start) // BIN_NS
         for _ in range(min(passed, 100)):
--- a/olivecourse/storm/ramp.py
+++ b/olivecourse/storm/ramp.py
@@ -1,12 +1,13 @@
 """Slow start of a store that has just restarted, bounded over all gateways without coordination per request.
 
-Each gateway owns an equal part of the store's cold budget, which grows with time. A gateway transfers budget
-that it does not need to gateways that want more: a bounded counter in escrow (Balegas et al., "Extending
-Eventually Consistent Cloud Databases for Enforcing Numeric Invariants", SRDS 2015). The amounts that a
-gateway has transferred form a row of numbers that only grow. Only that gateway writes the row, and it
-subtracts a transfer from its own allowance before it announces the row. Rows are merged by their maxima, so
-they may arrive in any order, repeatedly or late; a lost row only leaves a part of the budget unused. The sum
-of what all gateways have spent never exceeds the budget.
+The store's cold budget is the total work that all gateways together may have sent to it by a given time since
+its start. Each gateway owns an equal part of it, and transfers what it does not need of its part to gateways
+that want more: a bounded counter in escrow (Balegas et al., "Extending Eventually Consistent Cloud Databases
+for Enforcing Numeric Invariants", SRDS 2015). A gateway's row holds the amount that it has transferred to
+each other gateway so far; these amounts only grow. Only that gateway writes the row, and it subtracts a
+transfer from its own allowance before it announces the row. Rows are merged by their maxima, so they may
+arrive in any order, repeatedly or late; a lost row only leaves a part of the cold budget unused. The sum of
+what all gateways have spent never exceeds the cold budget.
 """
 
 from __future__ import annotations
@@ -14,18 +15,21 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-TRANSFER_PART = 0.5  # fraction of the surplus given away at a time: the owner may soon need some of it
-SETTLE_NS = 2_000_000_000  # datagrams take 20 ms; one that is later than this is taken to be lost
-WANT_NS = 1_000_000_000  # how long a peer that asked for more is assumed to want more
+TRANSFER_PART = 0.5  # fraction of the surplus transferred at a time: its owner may soon need the rest
+# After a restart, rows received within this time may have been sent before it. Datagrams take 20 ms; one that
+# would be later than this is taken to be lost.
+SETTLE_NS = 2_000_000_000
+WANT_NS = 1_000_000_000  # how long a gateway that has run short of budget counts as wanting more
 
 
 def cold_budget(
     floor: float, ramp_ns: int, multiple: float, capacity: float, safety: float, start_ns: int
 ) -> Callable[[int], float]:
-    """Returns the function of time that gives the budget of a store started at `start_ns`.
+    """Returns a function from the time in ns to the cold budget of a store that started at `start_ns`.
 
-    The budget is the work that may have been sent to the store by a moment, in units of `capacity` times
-    seconds: the integral of safety x multiple x (a rate that rises from floor to 1 within the ramp).
+    The cold budget is the work that all gateways together may have sent to the store by that time, in units
+    of `capacity` times seconds: the integral of safety x multiple x capacity x a factor that rises linearly
+    from `floor` to 1 within `ramp_ns` and then stays 1.
     """
 
     def total(now: int) -> float:
@@ -39,7 +43,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TransferRow:
-    """One gateway's message about one store: its transfers so far, by gateway, and whether it wants more."""
+    """One gateway's message about one store's cold budget.
+
+    `transferred` holds what `sender` has transferred so far to each gateway, by gateway index. `wants` is
+    True if the sender has just run short of budget.
+    """
 
     sender: int
     transferred: tuple[float, ...]
@@ -47,10 +55,12 @@
 
 
 class Escrow:
-    """One gateway's share of the budget for one store, from one start of the store to the next.
+    """One gateway's account of its part of one store's cold budget, from one start of the store to the next.
 
-    `owner` is the gateway's index among `gateways`. `total` is the budget of all gateways
-    together, which rises with time.
+    `owner` is this gateway's index among `gateways`. `total` gives the cold budget of all gateways together
+    at a time, as `cold_budget` returns it; each gateway owns an equal part and may transfer some of it to
+    others. `restarted` tells that this gateway has restarted and no longer knows what it spent and
+    transferred.
     """
 
     def __init__(
@@ -61,15 +71,20 @@
         self.owner, self._gateways, self._total = owner, gateways, total
         self._rows = [[0.0] * gateways for _ in range(gateways)]
         self._wanted_at = [-WANT_NS] * gateways
-        # A restarted gateway may have spent its whole part and all that was transferred to it.
+        # After a restart the whole part counts as spent, since the gateway may have spent it before.
         self.spent = total(now) / gateways if restarted else 0.0
-        self._base = [0.0] * gateways  # per sender: transfers received and possibly spent before the restart
+        # By sender: the amount received that may have been spent before this gateway's restart, and is not
+        # counted.
+        self._base = [0.0] * gateways
         self._settled_at = now + SETTLE_NS if restarted else now
-        self._may_transfer = not restarted  # not until the transfers made before the restart are known
+        self._may_transfer = not restarted  # after a restart, only once `restore` has returned the own row
         self._short_at = -WANT_NS
 
     def allowance(self, now: int) -> float:
-        """The budget left at `now`; negative only by the amount that a caller overdrew."""
+        """What this gateway may still spend: its part and what it received, less its transfers and spending.
+
+        Negative only by what a caller spent beyond it.
+        """
         received = sum(
             row[self.owner] - base
             for j, (row, base) in enumerate(zip(self._rows, self._base, strict=True))
@@ -79,7 +94,10 @@
         return self._total(now) / self._gateways + received - given - self.spent
 
     def take(self, cost: float, now: int) -> bool:
-        """Spends `cost` if the allowance covers it; otherwise notes that this gateway wants more."""
+        """Spends `cost`, if the allowance covers it, and returns True.
+
+        Otherwise returns False, and this gateway asks its peers for more budget for WANT_NS.
+        """
         if self.allowance(now) < cost:
             self._short_at = now
             return False
@@ -89,7 +107,7 @@
     def transfer(self, now: int, keep: float) -> TransferRow:
         """Transfers half of the allowance above `keep`, evenly to the gateways that want more.
 
-        Returns this gateway's row, to be sent to its peers.
+        Transfers nothing while this gateway itself wants more. Returns its row, to be sent to its peers.
         """
         surplus = self.allowance(now) - keep
         wanting = [j for j, at in enumerate(self._wanted_at) if j != self.owner and now - at < WANT_NS]
@@ -100,7 +118,7 @@
         return TransferRow(self.owner, tuple(self._rows[self.owner]), wants)
 
     def merge(self, row: TransferRow, now: int) -> None:
-        """Merges a peer's row, which may be late or repeated. An invalid row is ignored."""
+        """Merges a peer's row, received at `now`; it may be late or repeated. An invalid row is ignored."""
         if (
             not 0 <= row.sender < self._gateways
             or row.sender == self.owner
@@ -112,7 +130,7 @@
         known = self._rows[row.sender]
         for j, x in enumerate(row.transferred):
             known[j] = max(known[j], x)
-        if now < self._settled_at:  # the row may date from before this gateway's restart, and be spent since
+        if now < self._settled_at:  # the transfer may have been spent before this restart
             self._base[row.sender] = known[self.owner]
         if row.wants:
             self._wanted_at[row.sender] = max(self._wanted_at[row.sender], now)
@@ -120,8 +138,8 @@
     def restore(self, transferred: Sequence[float]) -> None:
         """Restores this gateway's own row from a peer's copy, after a restart.
 
-        The transfers in the copy were made out of the part that already counts as spent, so the same amount
-        is subtracted from `spent`.
+        After the restart the gateway's whole part counts as spent, and that includes what it had transferred.
+        As the restored row is subtracted from the allowance as well, it is taken off `spent`.
         """
         if len(transferred) != self._gateways or any(not 0 <= x < 1e18 for x in transferred):
             return
@@ -133,5 +151,5 @@
         self._may_transfer = True
 
     def copy_of(self, gateway: int) -> tuple[float, ...]:
-        """This gateway's copy of another gateway's row, which the other restores after a restart."""
+        """This gateway's copy of the row of `gateway`, for that gateway's `restore` after a restart."""
         return tuple(self._rows[gateway])
--- a/olivecourse/storm/repeats.py
+++ b/olivecourse/storm/repeats.py
@@ -1,15 +1,18 @@
-"""Recognises client retries: by the client's mark, or by client and object within a time window.
+"""Recognises client retries: by a mark in the request, or by client and object after a failure.
 
-Memory is bounded by two generations of entries, each of at most `max_entries`. The older generation is
-discarded when the younger is full or older than the window, so an entry is kept for one to two windows.
+Memory is bounded by two generations of failed requests, each of at most `max_entries`. When the younger
+generation is full or older than the time window, it replaces the older one, which is discarded. A failure is
+thus remembered for at least one window, unless the generations fill up earlier.
 """
 
 from __future__ import annotations
 
 
 class RetryTracker:
-    """Remembers failed requests. A request of the same client for the same object within `window_ns` after
-    a failure counts as a retry."""
+    """Remembers refused and failed requests by client and object.
+
+    A request of the same client for the same object within `window_ns` after the failure counts as a retry.
+    """
 
     def __init__(self, window_ns: int, max_entries: int) -> None:
         self._window_ns, self._max_entries = window_ns, max_entries
@@ -21,13 +24,17 @@
         return len(self._young) + len(self._old)
 
     def failed(self, client: int, key: str, now: int) -> None:
-        """Records that the request of `client` for `key` was refused or failed."""
+        """Records that a request of `client` for `key`, an object and its part, was refused or failed."""
         if len(self._young) >= self._max_entries or now - self._rotated_at > self._window_ns:
             self._old, self._young, self._rotated_at = self._young, {}, now
         self._young[client, key] = now
 
     def is_retry(self, client: int, key: str, marked: bool, now: int) -> bool:
-        """Whether a request is a retry. A second request for an object that was served is not a retry."""
+        """Whether a request is `marked` as a retry, or `client` had a failure for `key` within the window.
+
+        An unmarked request removes the failure that it finds. A second request for an object that was served
+        is not a retry.
+        """
         if marked:
             return True
         for generation in (self._young, self._old):
--- a/olivecourse/storm/section.py
+++ b/olivecourse/storm/section.py
@@ -1,4 +1,4 @@
-"""The `storms:` section of an operator's file."""
+"""The `storms:` section of an operator's configuration file."""
 
 from __future__ import annotations
 
@@ -14,22 +14,24 @@
 
 
 class StormSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Settings of storm detection, admission control and retry budgets."""
+    """Settings of storm detection, admission control and the budgets of the gateway's retry attempts."""
 
-    notice_on: Level = 0.3  # level at which a storm begins: root of (retries among arrivals x wasted work)
-    notice_off: Level = 0.15  # level at which a storm ends
+    # A storm begins when the detector's level has reached this: the root of (share of client retries among
+    # arrivals x share of arrivals that were not served in time).
+    notice_on: Level = 0.3
+    notice_off: Level = 0.15  # level at or below which a storm ends
     limiter: Literal["aimd", "gradient"] = "aimd"
-    target_wait_ms: Annotated[int, msgspec.Meta(ge=5, le=10_000)] = 150  # aimd: wait beyond a request's work
-    retry_share: Level = 0.1  # retry attempts for each successful attempt
-    retry_burst: Annotated[float, msgspec.Meta(ge=1, le=1000)] = 10.0  # most retry attempts saved up
-    retry_floor_per_s: Annotated[float, msgspec.Meta(ge=0, le=100)] = 0.5  # attempts earned without success
+    target_wait_ms: Annotated[int, msgspec.Meta(ge=5, le=10_000)] = 150  # target of "aimd", beyond sending
+    retry_share: Level = 0.1  # retry attempts earned by each successful attempt
+    retry_burst: Annotated[float, msgspec.Meta(ge=1, le=1000)] = 10.0  # most earned retry attempts kept
+    retry_floor_per_s: Annotated[float, msgspec.Meta(ge=0, le=100)] = 0.5  # earned without successes
 
     def __post_init__(self) -> None:
         if self.notice_off >= self.notice_on:
             raise ValueError("notice_off is to be below notice_on")
 
     def policy(self) -> Policy:
-        """The section as the controller's policy."""
+        """The section as the policy of a storm controller (`guard.Guard`)."""
         return Policy(
             self.notice_on,
             self.notice_off,
@@ -40,5 +42,5 @@
 
 
 def read_storms(path: str) -> StormSection | None:
-    """Reads the section of the operator's file at `path`; None if there is none. Raises BadSection."""
+    """Reads the `storms:` section of the file at `path`; None if there is none. Raises BadSection."""
     return read_section(path, "storms", StormSection)
