--- a/olivecourse/memory/__init__.py
+++ b/olivecourse/memory/__init__.py
@@ -1,7 +1,8 @@
-"""State that a gateway keeps across restarts: what its Router has learned, and spent order tokens.
+"""State that a gateway keeps across restarts: what its Router has learned, and spent (used) order
+tokens, each of which permits one order.
 
-- Decisions, without a file, clock or thread: `lessons`, `ageing`, `uptake`, `collect`, `merging`, `schedule`,
+- Logic that uses no file, clock or thread: `lessons`, `ageing`, `uptake`, `collect`, `merging`, `schedule`,
   `generations` and `grouping`.
-- Conversion of records to bytes and back: `container` and `codec`.
-- Input and output: `disk`, `folder`, `tokenstore` and `keeper`.
+- Conversion of snapshots to the bytes of a file and back: `container` and `codec`.
+- Input and output, with the thread that writes: `disk`, `folder`, `tokenstore` and `keeper`.
 """
--- a/olivecourse/memory/ageing.py
+++ b/olivecourse/memory/ageing.py
@@ -1,7 +1,8 @@
-"""How the weight of remembered records decays: a half-life per kind, and an age at which records are dropped.
+"""How much a restored record counts by its age: a weight from 1 to 0 that halves with each half-life.
 
-The weight of a record never rises with its age. Where the age is uncertain, the stricter reading applies:
-restrictions (purges, cold budgets) count as if no time had passed, and records that only inform are dropped.
+Each kind of record has a half-life, and an age from which it is dropped. The weight never rises with the age.
+Where the time since the snapshot is uncertain, restrictions (purges, cold budgets) count as if no time had
+passed. If the snapshot appears to be from the future, the weight of all other records is 0.
 """
 
 from __future__ import annotations
@@ -12,37 +13,38 @@
 from olivecourse.memory.lessons import Stamp
 
 S = 1_000_000_000
-CLOCK_TOLERANCE_NS = 2 * S  # a snapshot this far in the future still counts as new: clocks are adjusted
+CLOCK_TOLERANCE_NS = 2 * S  # a snapshot up to this far in the future counts as new, as clocks are adjusted
 
 
 class Kind(Enum):
-    """Kinds of records, by their names in the operator's file."""
+    """Kinds of records that decay, by their names in the operator's file."""
 
-    PAIN = "pain"
-    WAIT = "wait"
-    LIMIT = "limit"
-    TIMES = "times"
-    FILLS = "fills"
-    HOT = "hot"
+    PAIN = "pain"  # a store's error score
+    WAIT = "wait"  # mean time that a fill waits for a parent or origin
+    LIMIT = "limit"  # a store's concurrency limit
+    TIMES = "times"  # mean sending time of a request class, and mean worth per sending time
+    FILLS = "fills"  # part of a class's requests that may cause a fill
+    HOT = "hot"  # load counts of frequently requested objects
 
 
 @dataclass(frozen=True, slots=True)
 class Decay:
-    """Decay of one kind: the half-life of its weight, and the age at which a record is dropped."""
+    """Decay of one kind of record: the half-life of its weight, and the age from which it is dropped."""
 
     half_life_ns: int
     drop_after_ns: int
 
     def weight(self, age_ns: int) -> float:
-        """1 for a new record, halved with each half-life, and 0 from `drop_after_ns` on."""
+        """The weight at an age: 1 for a new record, halved with each half-life, 0 from `drop_after_ns` on."""
         if age_ns >= self.drop_after_ns:
             return 0.0
         return float(0.5 ** (max(age_ns, 0) / self.half_life_ns))
 
 
-# Initial values. While the Router runs, pain halves in 4 s because the Router can try the store again. While
-# the gateway is down no store is tried, so the record holds for as long as observed faults last (6 to 28 s).
-# Sending times hardly change within a day.
+# Default half-life and drop age of each kind. While the Router runs, a store's error score (`pain`) halves in
+# 4 s, because the Router can try the store again. While the gateway is down no store is tried, so the saved
+# score has a half-life of 30 s: observed faults last 6 to 28 s. Mean sending times hardly change within a
+# day.
 DEFAULTS: dict[Kind, Decay] = {
     Kind.PAIN: Decay(30 * S, 300 * S),
     Kind.WAIT: Decay(60 * S, 600 * S),
@@ -55,23 +57,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """The operator's settings: the decay of each kind, and the least trust that records may leave a store."""
+    """The operator's settings: how each kind of record decays, and the least trust after a restore.
+
+    Trust is the share (0 to 1) of its normal traffic that the Router sends to a store. A restored error score
+    does not lower it below `trust_floor`, next to a healthy store.
+    """
 
     decays: dict[Kind, Decay]
     trust_floor: float = 0.03
 
     def weight(self, kind: Kind, age_ns: int) -> float:
-        """The weight of a record of `kind` at the age `age_ns`."""
+        """The weight, from 0 to 1, of a record of `kind` at the age `age_ns`."""
         return self.decays[kind].weight(age_ns)
 
 
 @dataclass(frozen=True, slots=True)
 class Elapsed:
-    """The time from a snapshot to now.
+    """The time that has passed since a snapshot, as `elapsed` measured it.
 
-    `certain` is True if it was measured by a clock that nobody can set. `known` is False if the snapshot
-    appears to be from the future: its informative records are then dropped, and its restrictions hold in
-    full.
+    `certain` is True if it was measured by the time since boot, which nobody can set. `known` is False if the
+    snapshot appears to be from the future: its restrictions (purges, cold budgets) then hold as if no time
+    had passed, and all other records are dropped.
     """
 
     ns: int
@@ -80,12 +86,12 @@
 
     @property
     def at_least_ns(self) -> int:
-        """The time that has certainly passed; restrictions are eased by no more than this."""
+        """The time by which purges may be shortened: `ns` if it is certain, otherwise 0."""
         return self.ns if self.certain else 0
 
 
 def elapsed(then: Stamp, now: Stamp) -> Elapsed:
-    """The time between two stamps: by the time since boot within one boot, otherwise by the system clock."""
+    """The time from `then` to `now`: by the time since boot within one boot, else by the system clock."""
     if then.boot_id and then.boot_id == now.boot_id:
         passed = now.boot_ns - then.boot_ns
         return Elapsed(max(passed, 0), passed >= 0, passed >= 0)
--- a/olivecourse/memory/codec.py
+++ b/olivecourse/memory/codec.py
@@ -1,7 +1,7 @@
-"""Converts records to protobuf and back.
+"""Converts the records of a snapshot to protobuf (wire/memory.proto) and back.
 
-Every value that is read is checked: a checksum proves that a file is as it was written, not that its writer
-was correct.
+The range of every value that is read is checked: the checksum of a file proves that it is as it was written,
+not that its writer was correct.
 """
 
 from __future__ import annotations
@@ -24,12 +24,13 @@
 )
 from olivecourse.memory.wire import memory_pb2 as pb
 
-MAX_NS = 10 * 365 * 86_400 * 10**9
+MAX_NS = 10 * 365 * 86_400 * 10**9  # longest duration accepted in a file: 10 years
+# Most entries of each kind that a snapshot may hold; MAX_HOT applies to the hot objects of one interval.
 MAX_STORES, MAX_CLASSES, MAX_INTERVALS, MAX_PURGES, MAX_HOT = 4096, 256, 16, 65_536, 4096
 
 
 def write_header(gateway: str, stamp: Stamp, program: str) -> bytes:
-    """Serialises the header of a snapshot."""
+    """Serialises the header of a snapshot: the gateway's name, the time, and the `program` version."""
     return bytes(
         pb.Header(
             gateway=gateway,
@@ -42,7 +43,10 @@
 
 
 def write_part(records: Iterable[Record], density: float = 0.0) -> bytes:
-    """Serialises a part of a Snapshot; the parts, concatenated in any order, are the serialised Snapshot."""
+    """Serialises some records as a part of a Snapshot.
+
+    Concatenated in any order, the parts are the serialised Snapshot. `density` is given to one part only.
+    """
     part = pb.Snapshot(density=density)
     for record in records:
         if isinstance(record, StoreRecord):
@@ -77,13 +81,13 @@
 
 
 def _within(value: float, minimum: float, maximum: float, what: str) -> float:
-    if not minimum <= value <= maximum:  # a NaN is rejected too
+    if not minimum <= value <= maximum:  # written so that NaN is rejected too
         raise UnusableFile(Reason.DAMAGED, f"{what} is {value}")
     return value
 
 
 def read_header(contents: Contents) -> tuple[str, Stamp]:
-    """The gateway that wrote a file, and the time of its snapshot; raises UnusableFile."""
+    """The name of the gateway that wrote a file, and the snapshot's time; raises UnusableFile."""
     try:
         message = pb.Header.FromString(contents.header)
     except DecodeError:
@@ -94,7 +98,10 @@
 
 
 def read(contents: Contents, gateway: str | None) -> Snapshot:
-    """Reads the snapshot of `gateway`, or of any gateway if None; raises UnusableFile and nothing else."""
+    """Reads the snapshot in a file written by `gateway`, or by any gateway if None.
+
+    Raises UnusableFile, and nothing else, if another gateway wrote it or a value is not valid.
+    """
     owner, stamp = read_header(contents)
     if gateway is not None and owner != gateway:
         raise UnusableFile(Reason.OTHER, f"written by gateway {owner!r}")
--- a/olivecourse/memory/collect.py
+++ b/olivecourse/memory/collect.py
@@ -1,4 +1,4 @@
-"""Reads the state of a Router in slices, so that no single turn of the event loop bears the whole cost."""
+"""Reads the state of a Router in slices, so that a snapshot does not block the event loop for long."""
 
 from __future__ import annotations
 
@@ -11,18 +11,19 @@
 from olivecourse.memory.lessons import ClassRecord, Interval, PurgeRecord, Record, StoreRecord
 from olivecourse.state import Node
 
-SLICE = 32  # records read and serialised in one turn of the loop: about 50 microseconds of work
-KEPT_INTERVALS = 3
-MAX_HOT = 512  # hot objects kept per interval; the Router's threshold selects a hundred at most
-MAX_PURGES = 4096  # above this number, purges are remembered by group: wider, and never shorter
-GROUPS = 256  # number of object groups
+SLICE = 32  # records read or serialised in one turn of the event loop: about 50 microseconds of work
+KEPT_INTERVALS = 3  # ended counting intervals that are saved
+MAX_HOT = 512  # hot objects saved per counting interval; the Router's threshold selects a hundred at most
+MAX_PURGES = 4096  # with more purges, a snapshot holds one for each group instead: wider, and never shorter
+GROUPS = 256  # number of groups of objects that can be purged together
 
 
 @dataclass
 class Watcher:
-    """Records the last counting intervals of one Router, which itself keeps only the newest.
+    """Records the last KEPT_INTERVALS counting intervals of one Router, which itself keeps only the newest.
 
-    `look` must be called at least once per counting interval, independently of `collect`.
+    In a counting interval (5 s) the Router counts the load of each object. `look` must be called at least
+    once per interval, independently of `collect`.
     """
 
     ended: deque[tuple[int, Interval]] = field(default_factory=lambda: deque(maxlen=KEPT_INTERVALS))
@@ -30,7 +31,10 @@
     _running: tuple[float, float, int] = (0.0, 0.0, 0)
 
     def look(self, router: Router, now: int) -> None:
-        """Records an interval that has ended since the last call; its totals are those of the last call."""
+        """Records the counting interval that has ended since the last call, if one has.
+
+        Its totals are those seen at the last call, because the Router has reset its counters since.
+        """
         if self._retune_at >= 0 and router.retune_at != self._retune_at:
             total, distinct, arrivals = self._running
             hot = dict(islice(router.counts.items(), MAX_HOT))
@@ -42,10 +46,11 @@
 
 
 def collect(router: Router, watcher: Watcher, now: int) -> Iterator[list[Record]]:
-    """Yields the Router's records in slices, each of which is consistent in itself.
+    """Yields the records of the Router's state in lists, one for each turn of the event loop.
 
-    `now` is the beginning of the collection by the Router's clock, to which all ages relate. The caller reads
-    `router.density` itself.
+    Between two lists the Router may go on working; the records of one list are read at the same moment. All
+    ages are relative to `now`, the beginning of the collection by the Router's clock. `router.density` is not
+    included and is read by the caller.
     """
     nodes, purges = list(router.nodes.values()), list(router.purges.items())
     yield from _sliced(_store(router, node, now) for node in nodes)
@@ -94,8 +99,8 @@
 def _purges(purges: list[tuple[str | int | None, tuple[int, int]]], now: int) -> Iterator[PurgeRecord]:
     found = [(key, at, until) for key, (at, until) in purges if key is not None and until > now]
     if len(found) > MAX_PURGES:
-        # Purges every group as of the newest purge and until the last one expires: all that any of the purges
-        # forbids stays forbidden.
+        # Replaces all purges by one for every group, with the time of the newest purge and the latest expiry:
+        # no copy that any of the purges forbids becomes allowed.
         newest, longest = max(at for _, at, _ in found), max(until for _, _, until in found)
         found = [(group, newest, longest) for group in range(GROUPS)]
     for key, at, until in found:
--- a/olivecourse/memory/commands.py
+++ b/olivecourse/memory/commands.py
@@ -1,6 +1,7 @@
 """`olivecourse memory`: operators' commands on a memory folder.
 
-Exit codes: 0 success; 1 nothing found or damaged; 2 wrong configuration or usage; 3 folder in use.
+Exit codes: 0 success; 1 no snapshot found, or a damaged file; 2 wrong configuration or usage; 3 the folder is
+in use by a running gateway.
 """
 
 from __future__ import annotations
@@ -30,17 +31,20 @@
 from olivecourse.memory.tokenstore import PART as TOKENS
 from olivecourse.memory.tokenstore import BadStore, StoreMetadata, TokenStore, probe
 
-EMPTY, WRONG, IN_USE = 1, 2, 3
+EMPTY, WRONG, IN_USE = 1, 2, 3  # exit codes
 
 
 def stop(text: str, code: int) -> NoReturn:
-    """Prints an error and ends the command with an exit code."""
+    """Prints an error and ends the process with the exit code `code`."""
     click.echo(f"olivecourse: {text}", err=True)
     sys.exit(code)
 
 
 def _config(operator: str | None, folder: str | None, key: str | None) -> tuple[MemoryConfig, str | None]:
-    """The section and the gateway's name; the name is None with --folder, which reads any gateway's files."""
+    """The `memory:` section and the gateway's name, from the command's options.
+
+    With --folder, the settings are the defaults and the name is None, which permits any gateway's files.
+    """
     if (operator is None) == (folder is None):
         stop("give --operator FILE or --folder DIR", WRONG)
     if operator is not None:
@@ -64,7 +68,10 @@
 
 
 class OpenFolder:
-    """A memory folder that a command has opened; a fault ends the command."""
+    """A memory folder that a command has opened; if that fails, the command ends with an error.
+
+    `gateway` is the name of the gateway whose files are read, or None for any.
+    """
 
     def __init__(self, config: MemoryConfig, gateway: str | None) -> None:
         self.config, self.gateway = config, gateway
@@ -77,11 +84,11 @@
         self.folder = Folder(self.disk, PART, section.keep, section.max_kb * 1024, config.key())
 
     def load(self) -> LoadResult:
-        """Loads the newest intact snapshot."""
+        """Loads the newest intact snapshot; its age does not matter."""
         return self.folder.load(self.gateway)
 
     def lock(self) -> None:
-        """Locks the folder against a running gateway."""
+        """Locks the folder, so that no gateway can start on it; ends the command if one is running."""
         try:
             self.disk.lock(f"{PART}.lock")
         except FolderLocked as locked:
@@ -90,7 +97,11 @@
             stop(f"{self.config.folder}: {error.strerror}", EMPTY)
 
     def tokens(self) -> tuple[StoreMetadata | None, dict[bytes, float], str]:
-        """Reads the spent tokens; a gateway may be running. The third value describes a fault, if any."""
+        """Reads the store of spent order tokens, without a lock, so that a gateway may be running.
+
+        Returns the store's metadata (None if it is missing or faulty), the tokens' expiry times by digest,
+        and a description of the fault, empty if there is none.
+        """
         path, section = self.config.folder / TOKENS, self.config.section
         if not (path / "data.mdb").exists():
             return None, {}, ""
@@ -120,7 +131,10 @@
 
 
 def tables(snapshot: Snapshot, passed: Elapsed, policy: Policy) -> list[Table]:
-    """The tables that `show` prints: stores, classes, counting intervals and purges."""
+    """The tables that `show` prints: stores, request classes, counting intervals and purges.
+
+    `passed` is the age of the snapshot; by it and `policy`, the weight of each record is shown as of now.
+    """
 
     def weight(kind: Kind, extra_ns: int = 0) -> float:
         return policy.weight(kind, passed.ns + extra_ns) if passed.known else 0.0
@@ -266,7 +280,9 @@
     header = codec.write_header(snapshot.gateway, snapshot.stamp, PROGRAM)
     older = [g for g in parse(PART, opened.disk.names()) if g.readable]
     name = opened.folder.save(header, [codec.write_part((), snapshot.density), codec.write_part(rows)])
-    for generation in older:  # a damaged new file would otherwise bring the old records back
+    for (
+        generation
+    ) in older:  # if the new file were damaged, a restart would otherwise restore the forgotten records
         if generation.name in opened.disk.names():
             opened.disk.unlink(generation.name)
     click.echo(f"{name}: {dropped} stores forgotten")
--- a/olivecourse/memory/container.py
+++ b/olivecourse/memory/container.py
@@ -1,17 +1,17 @@
 """The container format of a memory file; numbers are little-endian.
 
-    offset  length
+    offset  length in bytes
     0       8       magic, "OLVCMEM" and 0x1a
     8       2       version: 1 or 2
-    10      2       flags: bit 0 set where the digest is keyed
+    10      2       flags: bit 0 set if the digest is a MAC with the operator's key; other bits are 0
     12      4       length H of the header
     16      8       length B of the body
     24      H       Header of wire/memory.proto
     24+H    B       Snapshot of wire/memory.proto
-    24+H+B  32      BLAKE3 of all preceding bytes; keyed if the flag is set
+    24+H+B  32      digest: BLAKE3 of all preceding bytes, keyed if bit 0 of the flags is set
 
-The header of version 1 has no time since boot, so the age of such a file is always uncertain. Nothing follows
-the digest. The format changes only with a new version, and all older versions remain readable.
+A header of version 1 has no time since boot, so the age of its snapshot is always uncertain. Nothing follows
+the digest. The format changes only with a new version number, and all older versions remain readable.
 """
 
 from __future__ import annotations
@@ -25,17 +25,20 @@
 from olivecourse.memory.generations import Reason
 
 MAGIC = b"OLVCMEM\x1a"
-VERSION = 2
-FIXED = struct.Struct("<8sHHIQ")
-KEYED = 1
-DIGEST = 32
-MIN_KEY = 16  # bytes
-MAX_HEADER = 4096  # bytes
-CONTEXT = "olivecourse 2026-12 memory file MAC"
+VERSION = 2  # the version that is written, and the highest that can be read
+FIXED = struct.Struct("<8sHHIQ")  # the fields before the header: magic, version, flags, H and B
+KEYED = 1  # flag: the digest is keyed
+DIGEST = 32  # length of the digest in bytes
+MIN_KEY = 16  # least length of the operator's key in bytes
+MAX_HEADER = 4096  # greatest length of the header in bytes
+CONTEXT = "olivecourse 2026-12 memory file MAC"  # BLAKE3 context string for deriving the MAC key
 
 
 class UnusableFile(Exception):
-    """A file that cannot be restored: `reason` decides how it is set aside, the text describes the fault."""
+    """A snapshot file that cannot be restored.
+
+    `reason` becomes the ending of the file's name when it is set aside; the text describes the fault.
+    """
 
     def __init__(self, reason: Reason, text: str) -> None:
         super().__init__(text)
@@ -44,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Contents:
-    """The version, the serialised header and the serialised body of a file."""
+    """The format version of a memory file, and its protobuf-encoded header and body."""
 
     version: int
     header: bytes
@@ -52,7 +55,10 @@
 
 
 def derive_key(secret: bytes) -> bytes:
-    """Derives the 32-byte MAC key from an operator's key file; raises ValueError if the file is too short."""
+    """Derives the 32-byte MAC key from the contents of the operator's key file.
+
+    Raises ValueError if they have fewer than MIN_KEY bytes, not counting surrounding white space.
+    """
     if len(secret.strip()) < MIN_KEY:
         raise ValueError(f"a key has at least {MIN_KEY} bytes")
     return blake3(secret.strip(), derive_key_context=CONTEXT).digest()
@@ -66,14 +72,21 @@
 
 
 def seal(header: bytes, body: list[bytes], key: bytes | None, version: int = VERSION) -> list[bytes]:
-    """Returns the pieces of the file in order. `body` holds the parts of one serialised Snapshot."""
+    """Returns the pieces of bytes that, written in order, are the memory file.
+
+    `body` holds the parts of one serialised Snapshot; with a `key`, the digest is keyed.
+    """
     fixed = FIXED.pack(MAGIC, version, KEYED if key is not None else 0, len(header), sum(map(len, body)))
     pieces = [fixed, header, *body]
     return [*pieces, _digest(pieces, key)]
 
 
 def unseal(data: bytes, key: bytes | None) -> Contents:
-    """Returns the contents of an intact file; raises UnusableFile, and nothing else, for any other bytes."""
+    """Checks the bytes of a memory file and returns its contents.
+
+    Raises UnusableFile, and nothing else, if the digest, the lengths, the version or the use of a key is
+    wrong.
+    """
     if len(data) < FIXED.size + DIGEST:
         raise UnusableFile(Reason.DAMAGED, f"truncated: {len(data)} bytes")
     magic, version, flags, header_size, body_size = FIXED.unpack_from(data)
@@ -91,7 +104,7 @@
     if bool(flags & KEYED) != (key is not None):
         raise UnusableFile(Reason.KEY, "keyed, and no key is set" if flags else "not keyed, and a key is set")
     if not hmac.compare_digest(_digest([data[:-DIGEST]], key), data[-DIGEST:]):
-        if key is not None:  # a forged or damaged file and one with another key look alike
+        if key is not None:  # a damaged file cannot be told from a forged one or one with another key
             raise UnusableFile(Reason.KEY, "the keyed checksum does not fit")
         raise UnusableFile(Reason.DAMAGED, "the checksum does not fit")
     return Contents(
--- a/olivecourse/memory/disk.py
+++ b/olivecourse/memory/disk.py
@@ -1,6 +1,6 @@
-"""The file system calls that memory makes, behind one interface.
+"""The file system calls by which snapshots are read and written, behind the interface `Disk`.
 
-Tests replace the implementation by a disk that loses power.
+Tests replace the implementation by a simulated disk that loses power.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 
 
 class Disk(Protocol):
-    """Operations on the files of one folder, by name. Every call may raise OSError."""
+    """Operations on the files of one folder, by file name. Every call may raise OSError."""
 
     def names(self) -> list[str]:
-        """The names of all files of the folder."""
+        """The names of all entries of the folder."""
         ...
 
     def read(self, name: str, max_bytes: int) -> bytes:
@@ -28,42 +28,42 @@
         ...
 
     def create(self, name: str) -> int:
-        """Creates an empty file, replaces one of the same name, and returns a handle."""
+        """Creates an empty file in place of any of the same name, and returns a handle for writing."""
         ...
 
     def write(self, handle: int, data: bytes) -> None:
-        """Appends all of `data` to a file."""
+        """Appends all of `data` to the file of a handle that `create` returned; not durable before `sync`."""
         ...
 
     def sync(self, handle: int) -> None:
-        """Makes the contents of a file durable."""
+        """Returns once the contents of the file are on disk; its name needs `sync_folder`."""
         ...
 
     def close(self, handle: int) -> None:
-        """Closes a file."""
+        """Closes the file of a handle, without making its contents durable."""
         ...
 
     def rename(self, old: str, new: str) -> None:
-        """Renames a file."""
+        """Renames a file, and replaces one of the new name; not durable before `sync_folder`."""
         ...
 
     def unlink(self, name: str) -> None:
-        """Removes a file."""
+        """Removes a file; not durable before `sync_folder`."""
         ...
 
     def sync_folder(self) -> None:
-        """Makes the creation, renaming and removal of files durable."""
+        """Returns once all creations, renamings and removals of files are on disk."""
         ...
 
 
 class FolderLocked(OSError):
-    """The folder is locked by another gateway."""
+    """The memory folder is locked by another process, usually a running gateway."""
 
 
 class FolderDisk:
-    """A folder of the file system, created if its parent exists.
+    """Implements `Disk` on a folder of the file system, which is held open as a file descriptor.
 
-    The folder is opened once: if it is then moved or replaced, calls fail instead of writing elsewhere.
+    `create` fails if the folder has been moved or replaced since it was opened, instead of writing elsewhere.
     """
 
     def __init__(self, path: Path) -> None:
@@ -72,10 +72,10 @@
         self._lock = -1
 
     def open(self, make: bool = True) -> None:
-        """Opens the folder, and creates it if it is missing and `make` is True; raises OSError.
+        """Opens the folder, and creates it in an existing parent if `make` is True; raises OSError.
 
-        A running gateway does not create the folder: if the folder is missing then, its disk may have been
-        unmounted, and the path may lead to another disk.
+        A gateway passes True only at its start. If the folder is missing later, its disk may have been
+        unmounted, and a new folder would be created on the disk below.
         """
         self.release()
         if make and not self.path.exists():
@@ -84,11 +84,11 @@
 
     @property
     def opened(self) -> bool:
-        """Whether the folder is open."""
+        """Whether `open` has succeeded and `release` has not been called since."""
         return self._folder >= 0
 
     def path_unchanged(self) -> bool:
-        """Whether the path still leads to the folder that was opened."""
+        """Whether the path still leads to the folder that was opened, by inode and device number."""
         try:
             current, opened = os.stat(self.path), os.fstat(self._folder)
         except OSError:
@@ -96,9 +96,10 @@
         return (current.st_ino, current.st_dev) == (opened.st_ino, opened.st_dev)
 
     def lock(self, name: str) -> None:
-        """Locks the folder for the life of this process; raises FolderLocked or OSError.
+        """Locks the folder by the lock file `name`, until `release` or the end of this process.
 
-        If the folder cannot be written, the folder itself is locked instead of a lock file.
+        If no file can be created there (no permission, read-only or full disk), the folder itself is locked
+        instead. Raises FolderLocked if another process holds the lock, or OSError.
         """
         try:
             handle = os.open(name, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600, dir_fd=self._folder)
@@ -117,7 +118,10 @@
         self._lock = handle
 
     def open_locked(self, name: str, make: bool = True) -> None:
-        """Opens and locks the folder, or does neither: an unlocked folder may be another gateway's."""
+        """Opens the folder and locks it by the lock file `name`; raises FolderLocked or OSError.
+
+        If it cannot be locked it is closed again, because another gateway may be using it.
+        """
         self.open(make)
         try:
             self.lock(name)
@@ -153,7 +157,7 @@
         if not self.path_unchanged():
             raise OSError(errno.ENOENT, "the folder is gone")
         try:
-            os.unlink(name, dir_fd=self._folder)  # the remainder of an interrupted write
+            os.unlink(name, dir_fd=self._folder)  # left by an interrupted write
         except FileNotFoundError:
             pass
         return os.open(name, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o600, dir_fd=self._folder)
@@ -180,11 +184,11 @@
 
 
 def stamp_now() -> Stamp:
-    """The present time by both clocks of a Stamp."""
+    """The present moment by the system clock and, if the boot id can be read, by the time since boot."""
     try:
         boot_id = Path("/proc/sys/kernel/random/boot_id").read_text("ascii").strip()
     except (OSError, ValueError):
-        boot_id = ""  # the age of the snapshot will then be uncertain
+        boot_id = ""  # the age of a snapshot with this stamp will be uncertain
     return Stamp(time.time_ns(), boot_id, time.clock_gettime_ns(time.CLOCK_BOOTTIME) if boot_id else 0)
 
 
--- a/olivecourse/memory/folder.py
+++ b/olivecourse/memory/folder.py
@@ -1,7 +1,7 @@
-"""The snapshot files of a folder.
+"""Saves and loads the snapshot files of a memory folder.
 
-A snapshot is written so that a power cut leaves either the old or the new one intact. The newest intact
-snapshot is read.
+A snapshot is written so that a power cut leaves either the previous or the new one intact. The newest intact
+snapshot is loaded.
 """
 
 from __future__ import annotations
@@ -18,7 +18,10 @@
 
 @dataclass
 class LoadResult:
-    """The result of loading a folder: the snapshot, if there is one, and each newer file that was skipped."""
+    """The newest intact snapshot of a folder, if there is one, with its file name and format version.
+
+    `skipped` lists each newer file that could not be restored: its name, the reason and a description.
+    """
 
     snapshot: Snapshot | None = None
     name: str = ""
@@ -27,7 +30,11 @@
 
 
 class Folder:
-    """Saves and loads snapshots. Both raise OSError: `load` only if the folder cannot be listed."""
+    """Saves and loads the snapshots named `part` in one folder.
+
+    `keep` is the number of snapshots kept, `max_bytes` the greatest size of one, and `key` the MAC key, if
+    any. `save` raises OSError on any disk fault, `load` only if the folder cannot be listed.
+    """
 
     def __init__(self, disk: Disk, part: str, keep: int, max_bytes: int, key: bytes | None) -> None:
         self._disk, self._part, self._keep, self._max_bytes, self._key = disk, part, keep, max_bytes, key
@@ -35,7 +42,8 @@
     def save(self, header: bytes, body: list[bytes]) -> str:
         """Writes a snapshot and returns the file's name once the file is durable.
 
-        If the write fails, the existing files are unchanged.
+        `body` holds the parts of one serialised Snapshot. If the write fails, the existing snapshots are
+        unchanged.
         """
         pieces = container.seal(header, body, self._key)
         if sum(map(len, pieces)) > self._max_bytes:
@@ -54,14 +62,14 @@
         name = file_name(self._part, next_number(parse(self._part, self._disk.names())))
         self._disk.rename(temporary, name)
         self._disk.sync_folder()
-        # Older files are removed only now: until the new name is durable, one of them may be needed.
+        # Older files are removed only now: a power cut before the new name is durable leaves only them.
         for old in surplus(parse(self._part, self._disk.names()), self._keep):
             with contextlib.suppress(OSError):
                 self._disk.unlink(old.name)
         return name
 
     def load(self, gateway: str | None) -> LoadResult:
-        """Loads the newest intact snapshot of `gateway`, or of any gateway if None."""
+        """Loads the newest intact snapshot that `gateway` wrote, or that any gateway wrote if None."""
         found = LoadResult()
         for generation in parse(self._part, self._disk.names()):
             if not generation.readable:
@@ -78,9 +86,9 @@
         return found
 
     def set_aside(self, found: LoadResult) -> list[str]:
-        """Renames the skipped files, without changing their contents, so that none is read or overwritten.
+        """Renames the files that `load` skipped, so that none of them is loaded or removed as a snapshot.
 
-        Returns the new names. If the disk cannot be written, nothing changes.
+        Their contents are not changed. Returns the new names; a file that cannot be renamed stays as it is.
         """
         renamed = []
         generations = {g.name: g for g in parse(self._part, self._disk.names())}
@@ -96,7 +104,7 @@
         return renamed
 
     def clear(self) -> int:
-        """Removes every snapshot that has not been set aside; returns their number."""
+        """Removes every snapshot file that has not been set aside; returns how many were removed."""
         intact = [g for g in parse(self._part, self._disk.names()) if g.readable]
         for generation in intact:
             self._disk.unlink(generation.name)
--- a/olivecourse/memory/grouping.py
+++ b/olivecourse/memory/grouping.py
@@ -1,9 +1,9 @@
 """Group commit of spent order tokens as a state machine, without a disk or a clock.
 
-A token is written first, and only then is its order sent. All tokens that arrive during one sync share the
-next sync. If the disk is slow or fails, an order is refused before it is sent, so its client may repeat it. A
-token whose write may or may not have succeeded is not spent twice by this process; after a restart, the
-state on disk applies.
+An order token permits one order. The spent token is written to disk first, and only then is its order sent to
+a store. All tokens that arrive during one transaction share the next. If the disk is slow or fails, the order
+is refused before it is sent, so its client may repeat it. Until the write of a refused order's token has
+ended, the token cannot be spent again by this process; after a restart, what is on disk applies.
 """
 
 from __future__ import annotations
@@ -13,32 +13,35 @@
 from enum import Enum
 
 S = 1_000_000_000
+# Pause after a failed transaction: FIRST_BACKOFF_NS, doubled by each further failure up to MAX_BACKOFF_NS.
 MAX_BACKOFF_NS = 5 * S
 FIRST_BACKOFF_NS = S // 10
-PRUNE_PART, PRUNE_FULL = 64, 4096  # expired entries removed per group, and when the table is full
+PRUNE_PART, PRUNE_FULL = 64, 4096  # most expired entries removed per transaction, and when the table is full
 
 
 class State(Enum):
-    """State of a token's entry."""
+    """How far the entry of a spent token is on its way to the disk."""
 
-    QUEUED = "queued"  # not yet passed to the disk
-    WRITING = "writing"  # in the transaction that is in progress
-    SPENT = "spent"  # on disk
-    ABANDONED = "abandoned"  # the order was refused during the write; the token is freed when the write ends
+    QUEUED = "queued"  # waits for the next transaction
+    WRITING = "writing"  # part of the transaction in progress
+    SPENT = "spent"  # durable on disk: the order may be sent
+    ABANDONED = (
+        "abandoned"  # the order was refused while WRITING; the token is freed when the transaction ends
+    )
 
 
 class Verdict(Enum):
-    """Result of spending a token."""
+    """Result of `GroupCommit.spend`."""
 
-    TAKEN = "taken"
-    USED = "used"
-    FULL = "full"  # the table is full, and removing an entry would let its token be used again
-    BUSY = "busy"  # the disk cannot make the token durable in time
+    TAKEN = "taken"  # the token is spent, and queued to be written
+    USED = "used"  # the token has been spent before, or may have been
+    FULL = "full"  # the table is full of unexpired tokens; without its entry, a token could be used again
+    BUSY = "busy"  # not spent: the transaction in progress takes too long, or the last one failed
 
 
 @dataclass(slots=True)
 class Entry:
-    """A spent token: its expiry time (`exp`), its state, and when it was queued."""
+    """A spent token: its expiry time `exp` in Unix seconds, its state, and when it was queued, in ns."""
 
     exp: float
     state: State
@@ -47,21 +50,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Group:
-    """One transaction: token digests to write, with their expiry times, and token digests to remove.
+    """One transaction: digests of tokens to write, with their expiry times, and digests to remove.
 
-    `pruned_exp` is the latest expiry time among the entries that were removed because they had expired.
+    `pruned_exp` is the latest expiry time, in Unix seconds, of all tokens that were ever removed as expired.
     """
 
     puts: dict[bytes, float]
     deletes: list[bytes]
     pruned_exp: float
-    everything: bool = False  # the store may have been lost, so `puts` holds all entries
+    everything: bool = False  # after a failure `puts` holds all entries, as the store may be lost
 
 
 class GroupCommit:
-    """The set of spent tokens and the transactions that make them durable.
+    """The table of spent tokens, by digest, and the transactions that make them durable.
 
-    Times are in nanoseconds on the caller's clock; `exp` and `pruned_exp` are in Unix seconds.
+    `known` holds the tokens found on disk with their expiry times. At most `max_entries` tokens are kept, and
+    an order waits at most `max_wait_ns` for its token. An entry is removed once the token's expiry and
+    `leeway_s` have passed. Times are in ns on the caller's clock; `exp`, `pruned_exp` and `unix_s` are in
+    Unix seconds.
     """
 
     def __init__(
@@ -86,15 +92,17 @@
 
     @property
     def broken(self) -> bool:
-        """Whether the last transaction failed."""
+        """Whether the last transaction failed; the next one then writes all entries."""
         return self._failures > 0
 
     def spend(self, digest: bytes, exp: float, now: int, unix_s: float) -> Verdict:
-        """Spends a token; if TAKEN, its order may be sent once the token is durable."""
+        """Spends a token if it is unspent; if TAKEN, its order may be sent once `durable` is True."""
         entry = self.entries.get(digest)
         if entry is not None:
             return Verdict.BUSY if entry.state is State.ABANDONED else Verdict.USED
-        if exp <= self.pruned_exp:  # its entry may have been pruned, and the clock set back since
+        if (
+            exp <= self.pruned_exp
+        ):  # its entry may have been removed as expired, and the system clock set back since
             return Verdict.USED
         if self._group is not None and now - self._group_start > self._max_wait_ns or now < self._retry_at:
             return Verdict.BUSY
@@ -108,12 +116,15 @@
         return Verdict.TAKEN
 
     def durable(self, digest: bytes) -> bool:
-        """Whether the token is spent and on disk."""
+        """Whether the token is spent and its entry on disk, so that its order may be sent."""
         entry = self.entries.get(digest)
         return entry is not None and entry.state is State.SPENT
 
     def release(self, digest: bytes) -> None:
-        """Frees a token whose order has not run, so that it may be used again."""
+        """Frees a token whose order has not run, so that it may be used again.
+
+        While the token is being written, it is freed only at the end of the transaction.
+        """
         entry = self.entries.get(digest)
         if entry is None:
             return
@@ -126,7 +137,7 @@
             self._deletes[digest] = None
 
     def overdue(self, now: int) -> list[bytes]:
-        """Frees and returns the tokens that have waited too long; the caller refuses their orders."""
+        """Frees and returns the tokens not durable within `max_wait_ns`; the caller refuses their orders."""
         overdue = (
             [
                 m
@@ -141,7 +152,10 @@
         return overdue
 
     def next_group(self, now: int, unix_s: float) -> Group | None:
-        """Returns the transaction to begin now; None if there is no work or one is in progress."""
+        """Returns the transaction to begin now.
+
+        None if there is nothing to write, one is in progress, or the pause after a failure has not ended.
+        """
         if self._group is not None or now < self._retry_at:
             return None
         self._prune(unix_s, PRUNE_PART)
@@ -160,9 +174,10 @@
         return self._group
 
     def ended(self, failed: bool, now: int) -> tuple[list[bytes], list[bytes]]:
-        """Records the end of the transaction.
+        """Records the end of the transaction in progress, which may have failed.
 
-        Returns the tokens whose orders may be sent, and those whose orders must be refused.
+        Returns two lists of token digests: those whose orders may be sent, and those whose orders must be
+        refused.
         """
         group, self._group = self._group, None
         if group is None:
@@ -178,7 +193,7 @@
             abandoned = entry.state is State.ABANDONED
             if failed or abandoned:
                 del self.entries[digest]
-                self._deletes[digest] = None  # the write may have succeeded nevertheless
+                self._deletes[digest] = None  # the entry may be on disk nevertheless
                 if not abandoned:
                     rejected.append(digest)
             else:
@@ -194,15 +209,16 @@
         return committed, rejected
 
     def _prune(self, unix_s: float, limit: int) -> None:
-        """Removes at most `limit` entries of tokens that have expired.
+        """Removes at most `limit` entries of tokens that expired more than the leeway and 1 s ago.
 
-        The latest expiry time among them is kept, so that setting the clock back does not make them valid.
+        The latest expiry time of removed entries is kept in `pruned_exp`. Tokens up to it count as used, so
+        that a removed token does not become valid again when the system clock is set back.
         """
         unfinished = []
         while limit and self._by_exp and self._by_exp[0][0] + self._leeway + 1 < unix_s:
             exp, digest = heapq.heappop(self._by_exp)
             entry = self.entries.get(digest)
-            if entry is None or entry.exp != exp:  # the token was released in the meantime
+            if entry is None or entry.exp != exp:  # the token was freed since
                 continue
             if entry.state is not State.SPENT:
                 unfinished.append((exp, digest))
--- a/olivecourse/memory/keeper.py
+++ b/olivecourse/memory/keeper.py
@@ -1,6 +1,7 @@
 """Restores the state of the Routers of one process at the start, and writes snapshots while they run.
 
-`schedule` decides when. The event loop collects the state in slices, and a thread writes it.
+`schedule` decides when a snapshot begins. The event loop collects the state of the Routers in slices, and a
+writer thread writes the snapshot to disk.
 """
 
 from __future__ import annotations
@@ -23,17 +24,24 @@
 from olivecourse.net.worker import Worker
 
 MS = 1_000_000
-INTERVAL_CHECK_NS = 1_000 * MS  # between checks for an ended counting interval, which lasts 5 s
-TICK_NS = 100 * MS
-RESTORE_TIMEOUT_NS = 2_000 * MS  # by then the stores are known, and the result of the restore can be logged
-STOP_S = 1.0  # longest time that the last write may delay the end of the process
-PART = "router"
-PROGRAM = "0.3.0"
+INTERVAL_CHECK_NS = (
+    1_000 * MS
+)  # between checks whether a Router's counting interval, which lasts 5 s, has ended
+TICK_NS = 100 * MS  # period of the timer that runs all checks
+# A restore ends when the Router knows its stores, or after this time even if it does not; it is then logged.
+RESTORE_TIMEOUT_NS = 2_000 * MS
+STOP_S = 1.0  # longest time in seconds that the last write may delay the end of the process
+PART = "router"  # first part of the names of the snapshot files and of the lock file
+PROGRAM = "0.3.0"  # program version in the header of the files
 
 
 @dataclass(eq=False)
 class TrackedRouter:
-    """One Router whose state is restored and saved; `since` is when tracking began."""
+    """One Router whose state is restored and saved.
+
+    `since` is when `Keeper.adopt` took it, by the event loop's clock. `restore` is None if there was no
+    snapshot.
+    """
 
     router: Router
     since: int
@@ -43,9 +51,10 @@
 
 
 class Keeper:
-    """Saves and restores the Routers of one process.
+    """Saves and restores the state of the Routers of one process.
 
-    The constructor raises FolderLocked if another process uses the folder; disk faults are only logged.
+    The constructor locks the folder and loads the newest snapshot. It raises FolderLocked if another process
+    uses the folder; disk faults are only logged.
     """
 
     def __init__(
@@ -72,7 +81,9 @@
             self._loaded = self._folder.load(self._name)
         except FolderLocked:
             raise
-        except OSError as error:  # requests are served without it: a broken disk must not stop the service
+        except (
+            OSError
+        ) as error:  # requests are served without saved state: a disk fault must not stop the gateway
             self._log("memory_unusable", folder=str(self._config.folder), why=error.strerror or str(error))
             return
         renamed = self._folder.set_aside(self._loaded)
@@ -90,7 +101,11 @@
     # Routers -----------------------------------------------------------------------------------------
 
     def adopt(self, router: Router) -> None:
-        """Restores the saved state into a Router and tracks it; must precede the Router's first event."""
+        """Restores saved state into a new Router and tracks it; must be called before its first event.
+
+        The state is the present one of this process's other Routers, if any has been restored, and otherwise
+        the loaded snapshot.
+        """
         now = self._loop.clock.now()
         tracked = TrackedRouter(router, now)
         restored_routers = [s for s in self._routers if s.restore_done]
@@ -105,14 +120,17 @@
         self._routers.append(tracked)
 
     def leave(self, router: Router) -> None:
-        """Stops tracking a Router whose forwarder has gone; the last one's state is kept for the next."""
+        """Stops tracking a Router whose forwarder has gone.
+
+        The state of the last tracked Router is kept in memory, for the next one that is adopted.
+        """
         leaving = [s for s in self._routers if s.router is router]
         if leaving and len(self._routers) == 1:
             self._loaded.snapshot = self._live_snapshot(leaving)
         self._routers = [s for s in self._routers if s.router is not router]
 
     def _live_snapshot(self, routers: list[TrackedRouter]) -> Snapshot:
-        """The present state of Routers of this process, without writing a file."""
+        """The present state of `routers`, merged into one snapshot that is not written to disk."""
         now = self._loop.clock.now()
         snapshot = Snapshot(self._name, self._clock(), self._density(routers))
         records = [x for s in routers for part in collect(s.router, s.watcher, now) for x in part]
@@ -126,7 +144,7 @@
     # Timers ------------------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Begins the periodic work on the event loop."""
+        """Starts the timer of TICK_NS on the event loop that begins snapshots and checks the Routers."""
         self._loop.after(TICK_NS, self._tick)
 
     def _tick(self) -> None:
@@ -162,7 +180,7 @@
             )
 
     def _step(self) -> None:
-        """Does one slice of the collection in each turn of the event loop."""
+        """Does one slice of a snapshot's collection; the next follows in the event loop's next turn."""
         if self._steps is None or self._stopped:
             return
         try:
@@ -192,7 +210,10 @@
             self._saved(None, OSError("the writer's queue is full"))
 
     def _save(self, header: bytes, pieces: list[bytes]) -> str:
-        """Writes the snapshot; runs on the writer thread."""
+        """Writes the snapshot and returns the file's name; runs on the writer thread.
+
+        A folder that was moved or replaced is opened again by its path, but never created.
+        """
         if not self._disk.opened or not self._disk.path_unchanged():
             self._disk.open_locked(f"{PART}.lock", make=False)
         return self._folder.save(header, pieces)
@@ -208,7 +229,7 @@
             )
 
     def stop(self) -> None:
-        """Writes a last snapshot after the loop has ended, if the disk completes it in time."""
+        """Writes a last snapshot after the event loop has ended; gives up if it takes longer than STOP_S."""
         if self._stopped:
             return
         if self._routers:
@@ -217,5 +238,5 @@
         self._stopped = True
         if not self._worker.stop(STOP_S):
             self._log("memory_left_unwritten", folder=str(self._config.folder))
-            return  # the thread still uses the folder: the lock ends with the process
+            return  # the writer thread still uses the folder, which stays locked until the process ends
         self._disk.release()
--- a/olivecourse/memory/lessons.py
+++ b/olivecourse/memory/lessons.py
@@ -1,7 +1,8 @@
-"""The records of a snapshot, without any logic.
+"""The records of which a snapshot consists, as plain data classes.
 
-All ages are relative to the snapshot's stamp, in nanoseconds, so they do not depend on the reader's clock.
-`memory export` and the handover to a succeeding process write the fields out under their names.
+All ages are in ns before the snapshot's stamp, so they do not depend on the clock of the process that reads
+it. The command `memory export` and the handover to a succeeding process write the fields out under their
+names.
 """
 
 from __future__ import annotations
@@ -23,26 +24,31 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreRecord:
-    """What is known of one run of one store, parent or origin.
+    """What a Router knows of one run (from a start to the next) of one store, parent or origin.
 
-    `life` identifies the run by the store's address and start time. `pain` is the Router's error score,
-    from 0 to 1, as of the store's last answer. The Router also lowers the score as time passes; that decay is
-    no evidence about the store and is not included.
+    `cache` is the store's id, and `life` identifies the run by the store's address and start time. `pain` is
+    the Router's error score, from 0 to 1, as of the store's last answer. The Router also lowers the score as
+    time passes; that decay is no evidence about the store and is not included.
     """
 
     cache: int
     life: str
     pain: float = 0.0
-    wait_ns: float | None = None
-    limit: float = 0.0
-    failing: bool = False
-    credit_ns: float | None = None  # unspent part of the cold budget; None once the store is warm
-    pain_age_ns: int = 0
+    wait_ns: float | None = None  # mean time that a fill waits for this source; None before the first fill
+    limit: float = 0.0  # concurrency limit: attempts of one Router that may be in flight
+    failing: bool = False  # whether `pain` has passed the failure threshold and not recovered since
+    # Sending time that the Router may still request from the store while it is cold (recently started); None
+    # once it is warm.
+    credit_ns: float | None = None
+    pain_age_ns: int = 0  # age of `pain`
 
 
 @dataclass(frozen=True, slots=True)
 class ClassRecord:
-    """What is known of a request class: its mean sending time and the part of its requests that may fill."""
+    """What a Router knows of a request class: its mean sending time, and what part of its requests may fill.
+
+    A request fills when a store fetches the object for it from a parent or origin. `fill_part` may exceed 1.
+    """
 
     name: str
     size_ns: float
@@ -51,19 +57,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Interval:
-    """A counting interval that ended `age_ns` before the stamp, with its counts and the threshold `t`."""
+    """One counting interval of a Router, which ended `age_ns` before the snapshot's stamp.
+
+    `t` is the popularity threshold T that was chosen at its end: the load above which an object is assigned
+    further stores.
+    """
 
     age_ns: int
-    counts: dict[str, float]
-    total: float
-    distinct: float
-    arrivals: int
+    counts: dict[str, float]  # load of each frequently requested object
+    total: float  # load of all objects
+    distinct: float  # estimated number of different objects
+    arrivals: int  # number of counted requests
     t: float
 
 
 @dataclass(frozen=True, slots=True)
 class PurgeRecord:
-    """A purge of an object (a string key) or of a group (an integer key)."""
+    """A purge of an object (a string `key`) or of a group of objects (an integer).
+
+    It was issued `age_ns` before the snapshot's stamp, and remains in force until `left_ns` after the stamp.
+    """
 
     key: str | int
     age_ns: int
@@ -75,11 +88,11 @@
 
 @dataclass
 class Snapshot:
-    """Everything that one Router had learned at `stamp`."""
+    """Everything that a Router of `gateway`, or several merged Routers, had learned at the time `stamp`."""
 
     gateway: str
     stamp: Stamp
-    density: float = 0.0
+    density: float = 0.0  # mean worth of a request per ns of sending time
     stores: list[StoreRecord] = field(default_factory=list)
     classes: list[ClassRecord] = field(default_factory=list)
     intervals: list[Interval] = field(default_factory=list)
--- a/olivecourse/memory/merging.py
+++ b/olivecourse/memory/merging.py
@@ -1,6 +1,7 @@
-"""Merges the records of several Routers, as a planner has one Router for each forwarder.
+"""Merges the records of several Routers of one process: a planner has one Router for each forwarder.
 
-Of values that restrict, the strictest is kept; of values that only inform, the mean.
+Of values that restrict a Router (error scores, limits, credits, purges), the strictest is kept; of waiting
+and sending times, the mean.
 """
 
 from __future__ import annotations
@@ -26,7 +27,10 @@
 
 
 def merged(records: list[Record]) -> list[Record]:
-    """Merges the records of several Routers into one record per run of a store, per class and per purge."""
+    """Merges the records of several Routers into one for each run of a store, request class and purge key.
+
+    The counting intervals are not merged: the newest 16 are kept.
+    """
     result: list[Record] = []
     stores = _grouped((x for x in records if isinstance(x, StoreRecord)), lambda s: (s.cache, s.life))
     for (cache, life), reports in stores.items():
@@ -52,6 +56,6 @@
         )
     for key, purges in _grouped((x for x in records if isinstance(x, PurgeRecord)), lambda p: p.key).items():
         result.append(PurgeRecord(key, min(p.age_ns for p in purges), max(p.left_ns for p in purges)))
-    # Intervals are not merged: each belongs to one forwarder's traffic, and the restore weights them by age.
+    # Each counting interval belongs to one forwarder's traffic; the restore averages them, weighted by age.
     intervals = sorted((x for x in records if isinstance(x, Interval)), key=lambda i: i.age_ns)
     return [*result, *intervals[:16]]
--- a/olivecourse/memory/schedule.py
+++ b/olivecourse/memory/schedule.py
@@ -1,4 +1,4 @@
-"""When a snapshot is begun, and how a slow or failing disk is handled; uses no clock and no file."""
+"""Decides when a snapshot begins, and what is logged of a slow or failing disk; uses no clock or file."""
 
 from __future__ import annotations
 
@@ -6,31 +6,31 @@
 from enum import Enum
 
 S = 1_000_000_000
-MAX_BACKOFF = 16  # longest time between attempts on a failing disk, in multiples of the interval
-SLOW_NS = 1 * S  # a write that takes longer than this is logged once
+MAX_BACKOFF = 16  # longest time between snapshots on a failing disk, in multiples of the usual interval
+SLOW_NS = 1 * S  # a write that takes longer than this is logged
 
 
 class Phase(Enum):
-    """Phase of the current snapshot."""
+    """Phase of the snapshot that is being taken."""
 
-    IDLE = "idle"
-    COLLECTING = "collecting"
-    WRITING = "writing"
+    IDLE = "idle"  # no snapshot is being taken
+    COLLECTING = "collecting"  # the event loop reads the state of the Routers
+    WRITING = "writing"  # the writer thread writes the file
 
 
 @dataclass(frozen=True, slots=True)
 class LogEntry:
-    """An event to log for the operator, and its reason."""
+    """A line for the operator's log: the event's name, and the reason, empty if there is none."""
 
     event: str
     why: str = ""
 
 
 class Schedule:
-    """Runs one snapshot at a time.
+    """Decides when snapshots begin, one at a time, each `interval_ns` after the end of the one before.
 
-    Snapshots do not queue behind a write: the next one begins after the write has ended, with the state of
-    that moment.
+    Snapshots do not queue behind a slow write: the next one begins after the write has ended, with the state
+    of that moment. After a failure the interval is doubled, up to MAX_BACKOFF times.
     """
 
     def __init__(self, interval_ns: int, now: int) -> None:
@@ -43,18 +43,21 @@
         self.written = 0
 
     def begins(self, now: int) -> bool:
-        """Begins a snapshot if one is due; returns whether it has begun."""
+        """Whether a snapshot is due; if so, its collection counts as begun."""
         if self.phase is not Phase.IDLE or now < self._due:
             return False
         self.phase, self._phase_start = Phase.COLLECTING, now
         return True
 
     def collected(self, now: int) -> None:
-        """Records that the state is collected and that the write begins."""
+        """Records that the state of the Routers has been collected and that the write begins."""
         self.phase, self._phase_start = Phase.WRITING, now
 
     def check_slow(self, now: int) -> list[LogEntry]:
-        """Reports, once, a write that is taking long; may be called at any time."""
+        """Returns a log line if the present write has taken longer than SLOW_NS.
+
+        Further slow writes are not reported until one has taken less. May be called at any time.
+        """
         if self.phase is Phase.WRITING and now - self._phase_start > SLOW_NS and not self._slow_logged:
             self._slow_logged = True
             return [
@@ -63,7 +66,10 @@
         return []
 
     def ended(self, now: int, error: str | None) -> list[LogEntry]:
-        """Records the end of a write, with its error if it failed. Only a change of state is reported."""
+        """Records the end of a write, with its error if it failed.
+
+        Returns a log line only for the first failure in succession and for the first success after failures.
+        """
         self.phase = Phase.IDLE
         if error is None:
             entries = [LogEntry("memory_writes_again")] if self.failures else []
--- a/olivecourse/memory/section.py
+++ b/olivecourse/memory/section.py
@@ -1,4 +1,4 @@
-"""The `memory:` section of an operator's file."""
+"""The `memory:` section of an operator's configuration file."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class HalfLives(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Half-life of the weight of each kind of record, in seconds."""
+    """Half-life of the weight of a saved record, in seconds, by kind; see `ageing.Kind`."""
 
     pain: Seconds = DEFAULTS[Kind.PAIN].half_life_ns / S
     wait: Seconds = DEFAULTS[Kind.WAIT].half_life_ns / S
@@ -27,7 +27,7 @@
 
 
 class Limits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Age at which a record of each kind is dropped, in seconds."""
+    """Age from which a saved record is not restored, in seconds, by kind; see `ageing.Kind`."""
 
     pain: Seconds = DEFAULTS[Kind.PAIN].drop_after_ns / S
     wait: Seconds = DEFAULTS[Kind.WAIT].drop_after_ns / S
@@ -38,26 +38,26 @@
 
 
 class TokensSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Settings of the store of spent order tokens."""
+    """Settings of the on-disk store of spent (used) order tokens."""
 
     most_wait_ms: Annotated[int, msgspec.Meta(ge=10, le=2500)] = (
-        1000  # longest wait of an order for its token
+        1000  # longest wait of an order until its token is on disk
     )
-    map_mb: Annotated[int, msgspec.Meta(ge=16, le=1024)] = 64  # largest size of the token store
+    map_mb: Annotated[int, msgspec.Meta(ge=16, le=1024)] = 64  # largest size of the token store, in MiB
 
 
 class MemorySection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Settings of the state kept across restarts."""
+    """Settings of the state kept across restarts; relative paths start at the operator's file."""
 
-    folder: Annotated[str, msgspec.Meta(min_length=1)]
-    interval_s: Annotated[float, msgspec.Meta(ge=0.1, le=3600)] = 2.0
-    keep: Annotated[int, msgspec.Meta(ge=1, le=100)] = 3
-    max_kb: Annotated[int, msgspec.Meta(ge=64, le=65_536)] = 1024
-    key_file: str | None = None
+    folder: Annotated[str, msgspec.Meta(min_length=1)]  # where snapshots and spent tokens are kept
+    interval_s: Annotated[float, msgspec.Meta(ge=0.1, le=3600)] = 2.0  # time between snapshots
+    keep: Annotated[int, msgspec.Meta(ge=1, le=100)] = 3  # number of snapshots kept
+    max_kb: Annotated[int, msgspec.Meta(ge=64, le=65_536)] = 1024  # greatest size of a snapshot, in KiB
+    key_file: str | None = None  # with a key, files have a MAC instead of a plain checksum
     half_life_s: HalfLives = HalfLives()
     drop_after_s: Limits = Limits()
-    trust_floor: Annotated[float, msgspec.Meta(ge=0.02, le=1)] = 0.03
-    tokens: TokensSection | None = TokensSection()
+    trust_floor: Annotated[float, msgspec.Meta(ge=0.02, le=1)] = 0.03  # see `ageing.Policy`
+    tokens: TokensSection | None = TokensSection()  # None: spent tokens are not kept on disk
 
     def __post_init__(self) -> None:
         for kind in Kind:
@@ -65,7 +65,7 @@
                 raise ValueError(f"drop_after_s.{kind.value} is below its half-life")
 
     def policy(self) -> Policy:
-        """The section as the policy by which records decay."""
+        """The section as the policy by which restored records lose weight with their age."""
         return Policy(
             {
                 kind: Decay(
@@ -80,14 +80,14 @@
 
 @dataclass(frozen=True)
 class MemoryConfig:
-    """The section, with its paths resolved against the folder of the operator's file."""
+    """The `memory:` section, with its paths resolved against the folder of the operator's file."""
 
     folder: Path
     key_file: Path | None
     section: MemorySection
 
     def key(self) -> bytes | None:
-        """The MAC key, or None if no key file is set; raises BadSection."""
+        """The MAC key from the key file, or None if none is set; raises BadSection if it cannot be used."""
         if self.key_file is None:
             return None
         try:
@@ -97,7 +97,10 @@
 
 
 def read_memory(path: str) -> MemoryConfig | None:
-    """Reads the section of the operator's file at `path`; None if there is none. Raises BadSection."""
+    """Reads the `memory:` section of the file at `path`, and its key file; None if there is no such section.
+
+    Raises BadSection.
+    """
     section = read_section(path, "memory", MemorySection)
     if section is None:
         return None
--- a/olivecourse/memory/tokenstore.py
+++ b/olivecourse/memory/tokenstore.py
@@ -1,8 +1,11 @@
-"""Spent order tokens in an LMDB store. All tokens that arrive during one sync share the next transaction.
+"""Spent order tokens in an LMDB database, the token store. Each token permits one order.
+
+All tokens that arrive during one transaction share the next. The store has two LMDB databases:
 
     spent   20 bytes of BLAKE3 of the token's issuer and id -> its expiry time (float64), 8 bytes of checksum
-    meta    "about" -> 32 bytes of checksum, then JSON: version, gateway, the time since which the store is
-            complete, the latest pruned expiry time, the number of entries and the XOR of their checksums
+    meta    "about" -> 32 bytes of checksum, then JSON: version, gateway, the time since which the store holds
+            every spent token, the latest expiry time of removed entries, the number of entries and the XOR of
+            their checksums
 
 The checksums are BLAKE3, keyed if the operator set a key. LMDB has no checksums and trusts the file that it
 maps, so that a damaged file may crash the reader. A separate process therefore reads the store first.
@@ -33,17 +36,23 @@
 from olivecourse.net.worker import Worker
 
 MS = 1_000_000
-PART = "tokens"
-VERSION = 1
-DIGEST, CHECKSUM = 20, 8  # bytes
-VALUE = struct.Struct("<d8s")
-PROBE_S = 20.0  # longest time that reading the store may take
-OVERDUE_CHECK_NS = 20 * MS  # delay of the check for overdue tokens after the longest wait
-STOP_S = 1.0  # longest time that the last transaction may delay the end of the process
+PART = "tokens"  # name of the store's folder in the memory folder, and first part of its lock file's name
+VERSION = 1  # of the format of the store
+DIGEST, CHECKSUM = 20, 8  # lengths in bytes of a token's digest and of an entry's checksum
+VALUE = struct.Struct("<d8s")  # value of an entry: the token's expiry time in Unix seconds, and the checksum
+PROBE_S = 20.0  # longest time in seconds that the separate process may take to read the store
+# An order's token is checked this much later than its longest wait, when it is surely overdue if not durable.
+OVERDUE_CHECK_NS = 20 * MS
+STOP_S = 1.0  # longest time in seconds that the last transaction may delay the end of the process
 
 
 class StoreMetadata(msgspec.Struct, frozen=True):
-    """The JSON under "about"; `total` is the XOR of the entries' checksums in hexadecimal."""
+    """The JSON under "about" in the token store.
+
+    `covered_since` is the time since which the store holds every spent token, and `pruned_exp` the latest
+    expiry time of entries that were removed as expired, both in Unix seconds. `count` is the number of
+    entries, and `total` the XOR of their checksums in hexadecimal.
+    """
 
     version: int
     gateway: str
@@ -54,7 +63,10 @@
 
 
 class BadStore(Exception):
-    """A store that cannot be used; `reason` decides how it is set aside."""
+    """A token store that cannot be used.
+
+    `reason` becomes the ending of the name of the store's folder when it is set aside.
+    """
 
     def __init__(self, reason: Reason, text: str) -> None:
         super().__init__(text)
@@ -62,7 +74,7 @@
 
 
 def token_digest(name: str) -> bytes:
-    """The key of a token in the store, from which neither its issuer nor its id can be read."""
+    """The key of a token in the store: a hash, from which its `name` (issuer and id) cannot be read."""
     return bytes(blake3(name.encode()).digest(length=DIGEST))
 
 
@@ -83,16 +95,23 @@
 
 
 class TokenStore:
-    """The LMDB file; must be used from one thread at a time."""
+    """The LMDB database of spent tokens; must be used by only one thread at a time.
+
+    `map_mb` is its greatest size in MiB, and `key` the key of the checksums, if any.
+    """
 
     def __init__(self, path: Path, map_mb: int, key: bytes | None) -> None:
         self._path, self._map_size, self._key = path, map_mb * 2**20, key
         self._env: Any = None
-        self._file = -1  # descriptor of the store's file, to check whether the path still leads to it
+        self._file = -1  # file descriptor of data.mdb, to check whether the path still leads to it
         self._metadata = StoreMetadata(VERSION, "", 0.0, 0.0, 0, "0")
 
     def open(self, write: bool = True) -> None:
-        """Opens the store, and creates it if `write` is True; raises lmdb.Error or OSError."""
+        """Opens the store, and creates it if missing; with `write` False, opens it read-only and without
+        lock.
+
+        Raises lmdb.Error or OSError.
+        """
         if write:
             self._path.mkdir(mode=0o700, exist_ok=True)
         self._env = lmdb.open(
@@ -120,7 +139,7 @@
             self._file = -1
 
     def path_unchanged(self) -> bool:
-        """Whether the path still leads to the file that was opened."""
+        """Whether the path still leads to the database file that was opened, by inode and device number."""
         if self._env is None:
             return False
         try:
@@ -130,9 +149,10 @@
         return (current.st_ino, current.st_dev) == (opened.st_ino, opened.st_dev)
 
     def read(self, gateway: str | None) -> tuple[StoreMetadata | None, dict[bytes, float]]:
-        """Reads and checks the metadata and all tokens; the metadata are None if the store is new.
+        """Reads and checks the store of `gateway`, or of any gateway if None.
 
-        Raises BadStore or lmdb.Error.
+        Returns the metadata, None if the store is new, and the expiry time of each spent token by its digest.
+        Raises BadStore if a check fails, or lmdb.Error.
         """
         with self._env.begin() as txn:
             raw = txn.get(b"about", db=self._meta)
@@ -168,14 +188,14 @@
             return metadata, found
 
     def begin(self, gateway: str, covered_since: float) -> None:
-        """Initialises a new store, which holds every token of `gateway` spent since `covered_since`."""
+        """Initialises an empty store, to hold every token of `gateway` spent from `covered_since` on."""
         self._metadata = StoreMetadata(VERSION, gateway, covered_since, 0.0, 0, "0")
         self.commit(Group({}, [], 0.0))
 
     def commit(self, group: Group) -> None:
-        """Commits a transaction, which is durable on return.
+        """Writes a group of changes in one LMDB transaction, which is durable on return.
 
-        Raises lmdb.Error or OSError; the transaction has then been applied either entirely or not at all.
+        Raises lmdb.Error or OSError; the group has then been applied either entirely or not at all.
         """
         count, total = self._metadata.count, int(self._metadata.total, 16)
         with self._env.begin(write=True) as txn:
@@ -197,24 +217,32 @@
             )
             raw = msgspec.json.encode(metadata)
             txn.put(b"about", _checksum(self._key, raw, length=32) + raw, db=self._meta)
-        if not self.path_unchanged():  # the data are synced, but to a file that a restart would not find
+        if not self.path_unchanged():  # synced to a file that a restart would not find
             raise OSError("the folder is gone")
         self._metadata = metadata
 
     def reopen(self) -> None:
-        """Opens the store again after a fault; it must be this gateway's store or empty."""
+        """Opens the store again by its path after a failed transaction.
+
+        What is found there must be this gateway's store or empty. Raises BadStore, lmdb.Error or OSError.
+        """
         self.close()
         if not self._path.parent.exists():
             raise OSError("the folder is gone")
         previous = self._metadata
         self.open()
         metadata, _ = self.read(previous.gateway)
-        if metadata is None:  # a new folder: all entries are written again, with the time they cover
+        if (
+            metadata is None
+        ):  # the store is new: the next group holds all entries, so `covered_since` stays valid
             self._metadata = msgspec.structs.replace(previous, count=0, total="0")
 
 
 def probe(path: Path, map_mb: int) -> str | None:
-    """Reads every page of a store in a separate process; returns a description of the fault, or None."""
+    """Reads the token store at `path` in a separate process, which a damaged store may crash.
+
+    Returns a description of the fault, or None if there is no fault or no store.
+    """
     if not (path / "data.mdb").exists():
         return None
     try:
@@ -231,10 +259,10 @@
 
 
 class DurableSpent:
-    """The spent tokens as `fronts.tokens.Tokens` uses them, on disk.
+    """The table of spent order tokens that `fronts.tokens.Tokens` uses, kept on disk.
 
-    The constructor raises FolderLocked if another process uses the folder. Disk faults are logged, and orders
-    are refused until the disk can be written.
+    The constructor raises FolderLocked if another process uses the folder. Disk faults are logged; after one,
+    orders are refused until the disk can be written. `clock` returns Unix seconds.
     """
 
     def __init__(
@@ -284,7 +312,8 @@
                 fault, reason = str(bad), bad.reason
                 self._store.close()
         if fault is not None:
-            # The spent tokens are no longer known, so tokens issued before now are void, as without a store.
+            # The spent tokens are no longer known. With `covered_since` at the present start, tokens issued
+            # before it are rejected, as they are without a store.
             aside = file_name(PART, next_number(parse(PART, self._disk.names())), reason)
             self._disk.rename(PART, aside)
             self._log("tokens_set_aside", folder=aside, reason=reason.value, why=fault)
@@ -292,10 +321,14 @@
         self._store.begin(self._name, self.covered_since)
         return None, {}
 
-    # Interface for fronts.tokens ------------------------------------------------------------------------
+    # Interface that fronts.tokens calls
+    # ----------------------------------------------------------------------
 
     def spend(self, name: str, exp: float, now_s: float) -> None:
-        """Spends a token, or raises Rejected. `when_durable` tells when the order may be sent."""
+        """Spends the token `name` (issuer and id), or raises Rejected with the HTTP status for its order.
+
+        The order may be sent only once `when_durable` has reported the token as durable.
+        """
         verdict = self.group_commit.spend(token_digest(name), exp, self._loop.clock.now(), now_s)
         if verdict is Verdict.USED:
             raise Rejected(401, "used already")
@@ -304,18 +337,20 @@
         if verdict is Verdict.BUSY or not self._usable:
             self.group_commit.release(token_digest(name))
             raise Rejected(503, "orders cannot be recorded")
-        # The commit begins after this turn of the loop, so that all its orders share the transaction.
+        # The commit begins in the event loop's next turn, so that all orders of this turn share the
+        # transaction.
         self._loop.after(0, self._begin_commit)
 
     def release(self, name: str) -> None:
-        """Frees a token whose order has not run."""
+        """Frees a token whose order has not run, so that it may be used again."""
         self._waiting.pop(token_digest(name), None)
         self.group_commit.release(token_digest(name))
 
     def when_durable(self, name: str, call: Callable[[bool], object]) -> bool:
-        """Whether the token is durable already.
+        """Whether the token is durable (on disk) already, so that its order may be sent.
 
-        If it is not, `call` is called within the longest wait, with True if the token has become durable.
+        If it is not, `call` is called later: with True once the token is durable, or with False if its write
+        failed or took longer than `most_wait_ms`; the order must then be refused.
         """
         digest = token_digest(name)
         if self.group_commit.durable(digest):
@@ -332,7 +367,10 @@
             self._ended(None, OSError("the writer's queue is full"))
 
     def _commit(self, group: Group) -> None:
-        """Commits a group; runs on the writer thread."""
+        """Commits a group; runs on the writer thread.
+
+        After a failed transaction, the group holds all entries, and the folder and store are opened again.
+        """
         if group.everything:
             if not self._disk.opened or not self._disk.path_unchanged():
                 self._disk.open_locked(f"{PART}.lock", make=False)
@@ -360,7 +398,7 @@
                 call(durable)
 
     def stop(self) -> None:
-        """Waits for the last transaction and closes the store."""
+        """Commits what is queued and closes the store; gives up if that takes longer than STOP_S."""
         self._begin_commit()
         if not self._worker.stop(STOP_S):
             self._log("tokens_left_unwritten", folder=str(self._config.folder))
@@ -370,7 +408,11 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Reads every entry of a store, in the separate process that `probe` starts."""
+    """Entry point of the process that `probe` starts: reads every entry of the store; returns exit code 0.
+
+    The arguments are the store's path and its greatest size in MiB. A fault raises an exception, or crashes
+    the process.
+    """
     store = TokenStore(Path(arguments[0]), int(arguments[1]), None)
     store.open(write=False)
     with store._env.begin() as txn:
--- a/olivecourse/memory/uptake.py
+++ b/olivecourse/memory/uptake.py
@@ -1,10 +1,11 @@
 """Restores a snapshot as the starting state of a Router, which is at most as permissive as a fresh start.
 
-A record only reduces: the trust and concurrency of a store that failed, the part of requests that may fill in
-a class whose fills were late, and the credit of a cold store. Purges are added. A store starts with at most
-the trust and capacity of a fresh start. Hot counts, the threshold T and sending times are the exception: they
-may rise as well, since they imply no trust. The prices by which cold budgets are spent stay those of a fresh
-start.
+A record can only lower what a fresh start allows: the trust in a store that failed (the share of its normal
+traffic that it gets) and its concurrency limit, the part of a class's requests that may fill, where fills
+were late, and the sending time that may be requested from a cold store. Purges are added. The exception are
+the load counts of hot objects, the popularity threshold T (the load above which an object gets further
+stores) and the sending times of classes: these may rise as well, since they imply no trust. The sending times
+by which the budgets of cold stores are charged stay those of a fresh start.
 """
 
 from __future__ import annotations
@@ -16,36 +17,41 @@
 from olivecourse.memory.lessons import Interval, Snapshot, StoreRecord
 from olivecourse.state import Node
 
-DOUBT = 0.6  # minimum weight of a store's first answer after the start; each answer halves the minimum
-# Delay, at full weight of the record, before a restored error score (`pain`) starts to decay. Without it a
-# store that gets no requests would be trusted again within 3 s, and half of the attempts sent to stores with
-# a lasting fault were due to that. Any good answer ends the delay.
+# Minimum weight, in a restored error score, of the store's first answer after the start; each answer halves
+# the minimum.
+DOUBT = 0.6
+# Delay before a restored error score (`pain`) starts to decay, for a record of weight 1; a lower weight
+# shortens it in proportion. Without the delay a store that gets no requests would be trusted again within 3
+# s, and half of the attempts sent to stores with a lasting fault were due to that. Any good answer ends the
+# delay.
 HOLD_NS = 5_000_000_000
-MIN_WEIGHT = 0.01  # records of a lower weight are ignored
+MIN_WEIGHT = 0.01  # records whose weight by age, and restored error scores, below this are ignored
 
 
 def max_pain(trust_floor: float) -> float:
-    """The pain at which a store, next to a healthy one, keeps `trust_floor` of its traffic."""
+    """The error score (`pain`) at which a store next to a healthy one keeps `trust_floor` of its traffic."""
     return SLACK + (1.0 - trust_floor) / STEEP
 
 
 @dataclass
 class DropCounts:
-    """Number of records that were not restored, by reason, for one line in the log."""
+    """Number of records that were not restored, by reason, for the log line about the restore."""
 
     counts: dict[str, int] = field(default_factory=dict)
 
     def add(self, reason: str, count: int = 1) -> None:
-        """Counts `count` dropped records."""
+        """Counts `count` records that were not restored for `reason`."""
         if count:
             self.counts[reason] = self.counts.get(reason, 0) + count
 
 
 class Uptake:
-    """Restores one snapshot into Routers. `began` and all `now` are on the caller's clock, in ns.
+    """Restores one snapshot into one Router.
 
-    `begin` restores what does not depend on stores. The Router then asks for the record of each store when it
-    first learns of that store. `settle` chooses T once the stores are known.
+    `elapsed` is the age of the snapshot at `began`, when this object was created; `began` and all `now` are
+    in ns on the caller's clock. `begin` restores what does not depend on stores. The Router then asks for the
+    record of each store when it first learns of that store. Once the stores are known, `settle` chooses the
+    popularity threshold T, the load above which an object is assigned further stores.
     """
 
     def __init__(self, snapshot: Snapshot, elapsed: Elapsed, began: int, policy: Policy) -> None:
@@ -56,7 +62,7 @@
 
     @property
     def age_ns(self) -> int:
-        """The age of the snapshot when the restore began."""
+        """The age of the snapshot when this object was created, in ns."""
         return self._elapsed.ns
 
     def _weight(self, kind: Kind, extra_ns: int = 0, now: int | None = None) -> float:
@@ -66,7 +72,10 @@
         return self._policy.weight(kind, self._elapsed.ns + since_began + extra_ns)
 
     def begin(self, router: Router, now: int) -> None:
-        """Restores classes, hot counts and purges; must be called before the Router's first event."""
+        """Restores request classes, counts of hot objects and purges, and prepares the restore of stores.
+
+        Must be called before the Router's first event.
+        """
         self._classes(router)
         self._hot(router, now)
         self._purges(router, now)
@@ -91,7 +100,7 @@
         router.density = times_weight * self._snapshot.density
 
     def _hot(self, router: Router, now: int) -> None:
-        """Restores the mean of the last counting intervals, each weighted by its age."""
+        """Restores the load counts of hot objects: means over the saved counting intervals, weighted by age."""
         weighted = [(self._weight(Kind.HOT, i.age_ns), i) for i in self._snapshot.intervals]
         weighted = [(w, i) for w, i in weighted if w >= MIN_WEIGHT]
         self.dropped.add("intervals_old", len(self._snapshot.intervals) - len(weighted))
@@ -102,30 +111,37 @@
         for weight, interval in weighted:
             for key, amount in interval.counts.items():
                 counts[key] = counts.get(key, 0.0) + weight * amount / total
-        # Counts decay with age: an object that was hot long ago must be counted again before it is assigned
-        # a further store.
+        # The counts are scaled by the weight of the newest interval: an object that was hot long ago must be
+        # requested again before it is assigned a further store.
         router.counts = {key: amount * newest for key, amount in counts.items()}
         last = min((i for _, i in weighted), key=lambda i: i.age_ns)
         router.t = last.t
         self.restored["hot"] = len(counts)
 
     def _purges(self, router: Router, now: int) -> None:
-        """Restores the purges that may still be in force; an uncertain age shortens none of them."""
+        """Restores the purges that may still be in force.
+
+        If the time since the snapshot is certain, it is subtracted from the time that each purge had left. If
+        it is uncertain, each purge stays in force for all the time that it had left at the snapshot.
+        """
         passed = self._elapsed.at_least_ns
         for purge in self._snapshot.purges:
             left = purge.left_ns - passed
             if left <= 0:
                 self.dropped.add("purges_settled")
                 continue
-            # Only copies younger than the purge may be served. Where the elapsed time is uncertain, the purge
-            # counts as issued now.
+            # `at` is when the purge was issued; only copies made after it may be served. If the time since
+            # the snapshot is uncertain, the purge counts as issued now, so that no older copy is served.
             at = now - (purge.age_ns + passed if self._elapsed.certain else 0)
             known_at, known_until = router.purges.get(purge.key, (at, 0))
             router.purges[purge.key] = (max(at, known_at), max(now + left, known_until))
             self.restored["purges"] += 1
 
     def _store(self, router: Router, node: Node) -> None:
-        """Restores the record of a store that the Router first learns of, if it is of the same run."""
+        """Restores the record of a store of which the Router has just learned.
+
+        A record of another run, from before a restart of the store, is not restored.
+        """
         record = self._stores.get(node.member.cache)
         if record is None:
             return
@@ -144,7 +160,10 @@
         self.restored["stores"] += 1
 
     def _restrain(self, node: Node, record: StoreRecord) -> None:
-        """Restores the concurrency limit and the cold credit, at most up to the values of a fresh start."""
+        """Lowers the concurrency limit and, for a cold store, the sending time that may be requested from it.
+
+        A record with values above those of a fresh start changes nothing.
+        """
         weight = self._weight(Kind.LIMIT)
         if record.limit < node.limit:
             node.limit += weight * (record.limit - node.limit)
@@ -152,7 +171,10 @@
             node.credit = min(node.credit, record.credit_ns)
 
     def settle(self, router: Router) -> bool:
-        """Chooses T for the present stores, whose number may have changed; False if no store is known yet."""
+        """Chooses the popularity threshold T for the present stores, whose number may differ from the saved.
+
+        Returns False if the Router knows no store yet, and must then be called again.
+        """
         if not router.caches:
             return False
         last = min(self._snapshot.intervals, key=lambda i: i.age_ns, default=None)
@@ -162,7 +184,11 @@
 
     @staticmethod
     def threshold(router: Router, last: Interval) -> float:
-        """The threshold T for the restored counts, scaled from the last counting interval."""
+        """The popularity threshold T for the restored load counts of the Router.
+
+        `last` is the newest saved counting interval. Its total load is reduced in proportion to the counts,
+        which were reduced by age.
+        """
         decayed = sum(router.counts.values()) / max(sum(last.counts.values()), 1e-9)
         total = max(last.total * min(decayed, 1.0), sum(router.counts.values()))
         return choose_t(
--- a/olivecourse/storm/notice.py
+++ b/olivecourse/storm/notice.py
@@ -96,7 +96,7 @@
         return max(self._square - self._mean**2, 0.0) / self._mean if self._mean > 0 else 0.0
 
     def level(self) -> float:
-        """The excess of the recent index of dispersion over the baseline, scaled so that CERTAIN_RATIO is 1."""
+        """The excess of the recent index of dispersion over the baseline, 1 from CERTAIN_RATIO times it."""
         if self._bins < 10 or self._mean < 1:
             return 0.0
         return min(max(self._index() / max(self._baseline, 1.0) - 1, 0.0) / self.CERTAIN_RATIO, 1.0)
--- a/olivecourse/storm/section.py
+++ b/olivecourse/storm/section.py
@@ -20,11 +20,12 @@
     # arrivals x share of arrivals that were not served in time).
     notice_on: Level = 0.3
     notice_off: Level = 0.15  # level at or below which a storm ends
-    limiter: Literal["aimd", "gradient"] = "aimd"
-    target_wait_ms: Annotated[int, msgspec.Meta(ge=5, le=10_000)] = 150  # target of "aimd", beyond sending
+    limiter: Literal["aimd", "gradient"] = "aimd"  # class of `admission` that limits open requests
+    # "aimd" lowers its limit when a request waits longer than this beyond its sending time.
+    target_wait_ms: Annotated[int, msgspec.Meta(ge=5, le=10_000)] = 150
     retry_share: Level = 0.1  # retry attempts earned by each successful attempt
-    retry_burst: Annotated[float, msgspec.Meta(ge=1, le=1000)] = 10.0  # most earned retry attempts kept
-    retry_floor_per_s: Annotated[float, msgspec.Meta(ge=0, le=100)] = 0.5  # earned without successes
+    retry_burst: Annotated[float, msgspec.Meta(ge=1, le=1000)] = 10.0  # most of them kept for later
+    retry_floor_per_s: Annotated[float, msgspec.Meta(ge=0, le=100)] = 0.5  # earned without success
 
     def __post_init__(self) -> None:
         if self.notice_off >= self.notice_on:
--- a/tests/powercut.py
+++ b/tests/powercut.py
@@ -1,14 +1,15 @@
-"""A disk in memory that records its operations, and all states that a power cut may leave.
+"""A simulated disk that records its operations, and all states of its files that a power cut may leave.
 
-Until a file is synced, its writes may be lost, torn or out of order. Until the folder is synced, any subset
-of the operations on names may be lost. The power may fail after each prefix of the history.
+Until a file is synced, any subset of its writes may be lost, and one may be torn. Until the folder is synced,
+any subset of the creations, renamings and removals of files may be lost. The power may fail after each
+recorded operation.
 """
 
 from itertools import combinations, product
 
 
 class RecordingDisk:
-    """Implements the disk interface in memory, and records every operation in `ops`."""
+    """Implements `memory.disk.Disk` in memory, and records every change and sync in `ops`, in order."""
 
     def __init__(self):
         self.files, self.open, self.ops, self.count = {}, {}, [], 0
@@ -51,7 +52,7 @@
 
 
 class StillDisk:
-    """The files that a machine finds after the power cut; read only."""
+    """The files that a restarted machine finds after the power cut, as a read-only `memory.disk.Disk`."""
 
     def __init__(self, files):
         self.files = files
@@ -64,13 +65,16 @@
 
 
 def _contents(synced, writes):
-    """Yields every content that a file may have: `synced`, and any subset of the `writes` since."""
+    """Yields every content that a file may have after a power cut.
+
+    It consists of the `synced` bytes and any subset of the `writes` since, of which the last may be torn.
+    """
     indices = list(range(len(writes)))
     subsets = [c for n in range(len(writes) + 1) for c in combinations(indices, n)]
     for survivors in subsets:
         data, length = bytearray(synced), len(synced)
         for i, part in enumerate(writes):
-            if i in survivors:  # a write that survives without the writes before it leaves a hole of zeros
+            if i in survivors:  # a lost write before one that survived leaves a hole of zeros
                 data.extend(bytes(length - len(data)))
                 data += part
             length += len(part)
@@ -80,7 +84,10 @@
 
 
 def _named(durable, pending):
-    """Yields every set of names that may be found: `durable` after any subset of `pending`, in order."""
+    """Yields every folder listing that a power cut may leave, as a dict from file names to file handles.
+
+    It is the `durable` listing, changed by any subset of the `pending` operations in their order.
+    """
     for n in range(len(pending) + 1):
         for survivors in combinations(pending, n):
             names = dict(durable)
@@ -95,7 +102,10 @@
 
 
 def states(ops):
-    """Yields (number of completed operations, files) for every possible state after each prefix of `ops`."""
+    """Yields every state of the disk that a power cut may leave after each number of operations in `ops`.
+
+    A state is the number of operations before the power cut, and a dict from file names to contents.
+    """
     durable, pending, synced, writes = {}, [], {}, {}
     for done in range(len(ops) + 1):
         if done:
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -1,7 +1,8 @@
-"""Tests of state kept across restarts.
+"""Tests of the snapshots by which a gateway keeps what its Router has learned across restarts.
 
-The files may be damaged by power cuts, other programs or chance; restored records only ever restrict a
-Router; and real gateway processes are killed.
+Snapshot files damaged by power cuts, other programs or chance must not be restored; a restored record must
+never make a Router more permissive than a fresh start; and real gateway processes are killed and started
+again.
 """
 
 import errno
--- a/tests/test_spent.py
+++ b/tests/test_spent.py
@@ -1,7 +1,7 @@
-"""Tests of spent order tokens that are kept across restarts.
+"""Tests of the spent order tokens that a gateway keeps across restarts: no token may open a second order.
 
-They cover a model of group commit with crashes, damaged store files, and real gateways that are killed
-between spending a token and sending its order.
+They cover group commit on a simulated disk with crashes, damaged files of the token store, and real gateways
+that are killed between spending a token and sending its order.
 """
 
 import os
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -1,5 +1,9 @@
-"""Tests of retry storms: detection, retry budgets that do not multiply over tiers, evenly spread retries, and
-shares of a cold store's budget that never add up to more than the budget."""
+"""Tests of the limits on retry storms.
+
+Storms must be detected, but not in a flash crowd of first tries; retry attempts must not multiply over
+several tiers; the retries of refused clients must be spread evenly; and all gateways together must never send
+a cold store more work than its budget.
+"""
 
 import heapq
 import json
