--- a/olivecourse/memory/commands.py
+++ b/olivecourse/memory/commands.py
@@ -84,7 +84,7 @@
         self.folder = Folder(self.disk, PART, section.keep, section.max_kb * 1024, config.key())
 
     def load(self) -> LoadResult:
-        """Loads the newest intact snapshot; its age does not matter."""
+        """Loads the newest intact snapshot of `gateway`, whatever its age."""
         return self.folder.load(self.gateway)
 
     def lock(self) -> None:
@@ -280,9 +280,8 @@
     header = codec.write_header(snapshot.gateway, snapshot.stamp, PROGRAM)
     older = [g for g in parse(PART, opened.disk.names()) if g.readable]
     name = opened.folder.save(header, [codec.write_part((), snapshot.density), codec.write_part(rows)])
-    for (
-        generation
-    ) in older:  # if the new file were damaged, a restart would otherwise restore the forgotten records
+    # The older files are removed: if the new one were damaged, a restart would restore the forgotten records.
+    for generation in older:
         if generation.name in opened.disk.names():
             opened.disk.unlink(generation.name)
     click.echo(f"{name}: {dropped} stores forgotten")
--- a/olivecourse/memory/generations.py
+++ b/olivecourse/memory/generations.py
@@ -62,7 +62,6 @@
     """The files to remove once a newer one is durable.
 
     These are snapshots beyond the newest `keep`, and damaged files beyond the newest MAX_DAMAGED.
-
     Files set aside for another reason than damage are never removed.
     """
     intact = [g for g in generations if g.readable]
--- a/olivecourse/memory/grouping.py
+++ b/olivecourse/memory/grouping.py
@@ -25,9 +25,8 @@
     QUEUED = "queued"  # waits for the next transaction
     WRITING = "writing"  # part of the transaction in progress
     SPENT = "spent"  # durable on disk: the order may be sent
-    ABANDONED = (
-        "abandoned"  # the order was refused while WRITING; the token is freed when the transaction ends
-    )
+    # The order was refused while the token was WRITING; the token is freed when the transaction ends.
+    ABANDONED = "abandoned"
 
 
 class Verdict(Enum):
@@ -36,7 +35,8 @@
     TAKEN = "taken"  # the token is spent, and queued to be written
     USED = "used"  # the token has been spent before, or may have been
     FULL = "full"  # the table is full of unexpired tokens; without its entry, a token could be used again
-    BUSY = "busy"  # not spent: the transaction in progress takes too long, or the last one failed
+    # Not spent: the transaction in progress takes too long, the last one failed, or the token is ABANDONED.
+    BUSY = "busy"
 
 
 @dataclass(slots=True)
@@ -100,9 +100,7 @@
         entry = self.entries.get(digest)
         if entry is not None:
             return Verdict.BUSY if entry.state is State.ABANDONED else Verdict.USED
-        if (
-            exp <= self.pruned_exp
-        ):  # its entry may have been removed as expired, and the system clock set back since
+        if exp <= self.pruned_exp:  # its entry may have been removed as expired, and the clock set back since
             return Verdict.USED
         if self._group is not None and now - self._group_start > self._max_wait_ns or now < self._retry_at:
             return Verdict.BUSY
--- a/olivecourse/memory/keeper.py
+++ b/olivecourse/memory/keeper.py
@@ -24,9 +24,8 @@
 from olivecourse.net.worker import Worker
 
 MS = 1_000_000
-INTERVAL_CHECK_NS = (
-    1_000 * MS
-)  # between checks whether a Router's counting interval, which lasts 5 s, has ended
+# Time between checks whether a Router's counting interval, which lasts 5 s, has ended.
+INTERVAL_CHECK_NS = 1_000 * MS
 TICK_NS = 100 * MS  # period of the timer that runs all checks
 # A restore ends when the Router knows its stores, or after this time even if it does not; it is then logged.
 RESTORE_TIMEOUT_NS = 2_000 * MS
--- a/olivecourse/memory/merging.py
+++ b/olivecourse/memory/merging.py
@@ -1,7 +1,7 @@
 """Merges the records of several Routers of one process: a planner has one Router for each forwarder.
 
-Of values that restrict a Router (error scores, limits, credits, purges), the strictest is kept; of waiting
-and sending times, the mean.
+Of values that restrict a Router (error scores, limits, cold credits, fill parts, purges), the strictest is
+kept; of waiting and sending times, the mean.
 """
 
 from __future__ import annotations
--- a/olivecourse/memory/schedule.py
+++ b/olivecourse/memory/schedule.py
@@ -30,7 +30,8 @@
     """Decides when snapshots begin, one at a time, each `interval_ns` after the end of the one before.
 
     Snapshots do not queue behind a slow write: the next one begins after the write has ended, with the state
-    of that moment. After a failure the interval is doubled, up to MAX_BACKOFF times.
+    of that moment. From the second failure in succession on, each doubles the interval, up to MAX_BACKOFF
+    times.
     """
 
     def __init__(self, interval_ns: int, now: int) -> None:
--- a/olivecourse/memory/tokenstore.py
+++ b/olivecourse/memory/tokenstore.py
@@ -107,7 +107,7 @@
         self._metadata = StoreMetadata(VERSION, "", 0.0, 0.0, 0, "0")
 
     def open(self, write: bool = True) -> None:
-        """Opens the store, and creates it if missing; with `write` False, opens it read-only and without
+        """Opens the store and creates it if missing, or, if `write` is False, opens it read-only without
         lock.
 
         Raises lmdb.Error or OSError.
@@ -232,9 +232,7 @@
         previous = self._metadata
         self.open()
         metadata, _ = self.read(previous.gateway)
-        if (
-            metadata is None
-        ):  # the store is new: the next group holds all entries, so `covered_since` stays valid
+        if metadata is None:  # the store is new; the next group writes all entries, so `covered_since` holds
             self._metadata = msgspec.structs.replace(previous, count=0, total="0")
 
 
@@ -321,8 +319,7 @@
         self._store.begin(self._name, self.covered_since)
         return None, {}
 
-    # Interface that fronts.tokens calls
-    # ----------------------------------------------------------------------
+    # Interface that fronts.tokens calls -----------------------------------------------------------------
 
     def spend(self, name: str, exp: float, now_s: float) -> None:
         """Spends the token `name` (issuer and id), or raises Rejected with the HTTP status for its order.
--- a/olivecourse/memory/uptake.py
+++ b/olivecourse/memory/uptake.py
@@ -17,13 +17,13 @@
 from olivecourse.memory.lessons import Interval, Snapshot, StoreRecord
 from olivecourse.state import Node
 
-# Minimum weight, in a restored error score, of the store's first answer after the start; each answer halves
-# the minimum.
+# Minimum weight of the next answer in an error score that was restored from a snapshot; each answer halves
+# it.
 DOUBT = 0.6
 # Delay before a restored error score (`pain`) starts to decay, for a record of weight 1; a lower weight
-# shortens it in proportion. Without the delay a store that gets no requests would be trusted again within 3
-# s, and half of the attempts sent to stores with a lasting fault were due to that. Any good answer ends the
-# delay.
+# shortens it in proportion. Without the delay a store that gets no requests would be trusted again after less
+# than 3 s, and half of the attempts sent to stores with a lasting fault were due to that. Any good answer
+# ends the delay.
 HOLD_NS = 5_000_000_000
 MIN_WEIGHT = 0.01  # records whose weight by age, and restored error scores, below this are ignored
 
@@ -100,7 +100,7 @@
         router.density = times_weight * self._snapshot.density
 
     def _hot(self, router: Router, now: int) -> None:
-        """Restores the load counts of hot objects: means over the saved counting intervals, weighted by age."""
+        """Restores the load counts of hot objects: the mean of the saved intervals, weighted by age."""
         weighted = [(self._weight(Kind.HOT, i.age_ns), i) for i in self._snapshot.intervals]
         weighted = [(w, i) for w, i in weighted if w >= MIN_WEIGHT]
         self.dropped.add("intervals_old", len(self._snapshot.intervals) - len(weighted))
@@ -122,7 +122,8 @@
         """Restores the purges that may still be in force.
 
         If the time since the snapshot is certain, it is subtracted from the time that each purge had left. If
-        it is uncertain, each purge stays in force for all the time that it had left at the snapshot.
+        it is uncertain, each purge stays in force for all the time that it had left at the snapshot, but its
+        full period does not begin anew.
         """
         passed = self._elapsed.at_least_ns
         for purge in self._snapshot.purges:
--- a/olivecourse/storm/admission.py
+++ b/olivecourse/storm/admission.py
@@ -20,8 +20,8 @@
     """Computes the number of requests that may be open at once (`limit`).
 
     `sample` reports a request that has ended: `waited_ns` is its duration less its expected sending time,
-    `in_flight` the number of other requests that were open when it began, and `lost` is True if its client
-    left before the answer.
+    `in_flight` the number of other requests that were open when it began, and `lost` is True if it was
+    lost to overload: its client left before the answer.
     """
 
     limit: float
@@ -63,7 +63,7 @@
 
     RECENT_WEIGHT = 0.1  # weight of one sample in the moving average of the waiting time
     LIMIT_WEIGHT = 0.05  # part of the way from the present limit to the wanted one that a sample moves it
-    PROBE_INTERVAL, PROBE_SAMPLES = 1000, 50  # samples between two probes, and per probe
+    PROBE_INTERVAL, PROBE_SAMPLES = 1000, 50  # samples between two probes, and samples in a probe
     TOLERANCE = 2.0  # up to this multiple of the minimum, the recent waiting time counts as normal
 
     def __init__(self, start: float = 32.0) -> None:
@@ -131,18 +131,18 @@
     WRITE_RESERVE = 1.25  # write requests are admitted up to this multiple of the limit
     FREE_FRACTION = 0.5  # below this fraction of the limit every request is admitted
     RETRY_FACTOR = 0.5  # factor of the worth of a retry, whose client has probably stopped waiting
-    BUCKETS = (
-        64  # buckets of the histogram of worth per ms of sending time; each is sqrt(2) times the one before
-    )
+    # Buckets of the histogram of worth per ms of sending time; the bounds of each are sqrt(2) times those
+    # before.
+    BUCKETS = 64
     DECAY = 0.999  # factor by which each new request reduces all earlier ones in the histogram
 
     def __init__(self, limiter: Limiter) -> None:
         self.limiter = limiter
         self._histogram = [0.0] * self.BUCKETS
-        self.wait_ns = 0.0  # moving average over admitted requests that have ended
-        self._increment = (
-            1.0  # what a request adds to its bucket; its growth replaces multiplying all buckets by DECAY
-        )
+        self.wait_ns = 0.0  # moving average of the waiting times of ended requests
+        # What the next request adds to its bucket. It grows by 1 / DECAY with each request, which has the
+        # same effect as multiplying all buckets by DECAY.
+        self._increment = 1.0
 
     def _bucket(self, request: AdmissionRequest) -> int:
         value = (
--- a/olivecourse/storm/calendar.py
+++ b/olivecourse/storm/calendar.py
@@ -58,9 +58,7 @@
         """Reserves a slot and returns the wait for the client in ns, from MIN_WAIT_NS to the longest wait."""
         self._advance(now)
         free = [i for i in range(1, self._slots + 1) if self._reserved[i] + 1 <= self._slot_capacity]
-        if (
-            not free and self._slot_capacity > 0
-        ):  # capacity below one retry per slot: one retry in every n-th slot
+        if not free and self._slot_capacity > 0:  # capacity below one per slot: one retry in every n-th slot
             spacing = math.ceil(1 / self._slot_capacity)
             free = [
                 i
--- a/olivecourse/storm/heed.py
+++ b/olivecourse/storm/heed.py
@@ -11,7 +11,8 @@
 
 MS = 1_000_000
 EARLY_TOLERANCE_NS = 20 * MS  # a retry that is early by up to this is attributed to clock inaccuracy
-# Each early retry takes this part of the client's weight; all of them together take at most MAX_PENALTY of 1.
+# Each early retry takes the part PENALTY_STEP of the client's weight; the weight stays 1 - MAX_PENALTY or
+# more.
 PENALTY_STEP, MAX_PENALTY = 0.5, 0.75
 FORGIVENESS = 0.5  # factor of the client's penalty each time that it honours its Retry-After time
 
--- a/olivecourse/storm/ramp.py
+++ b/olivecourse/storm/ramp.py
@@ -130,7 +130,7 @@
         known = self._rows[row.sender]
         for j, x in enumerate(row.transferred):
             known[j] = max(known[j], x)
-        if now < self._settled_at:  # the transfer may have been spent before this restart
+        if now < self._settled_at:  # may have been received and spent before the restart
             self._base[row.sender] = known[self.owner]
         if row.wants:
             self._wanted_at[row.sender] = max(self._wanted_at[row.sender], now)
