--- a/olivecourse/memory/keeper.py
+++ b/olivecourse/memory/keeper.py
@@ -80,9 +80,8 @@
             self._loaded = self._folder.load(self._name)
         except FolderLocked:
             raise
-        except (
-            OSError
-        ) as error:  # requests are served without saved state: a disk fault must not stop the gateway
+        except OSError as error:
+            # Requests are served without saved state: a disk fault must not stop the gateway.
             self._log("memory_unusable", folder=str(self._config.folder), why=error.strerror or str(error))
             return
         renamed = self._folder.set_aside(self._loaded)
--- a/olivecourse/memory/uptake.py
+++ b/olivecourse/memory/uptake.py
@@ -2,7 +2,7 @@
 
 A record can only lower what a fresh start allows: the trust in a store that failed (the share of its normal
 traffic that it gets) and its concurrency limit, the part of a class's requests that may fill, where fills
-were late, and the sending time that may be requested from a cold store. Purges are added. The exception are
+were late, and the sending time that may be requested from a cold store. Purges are added. The exceptions are
 the load counts of hot objects, the popularity threshold T (the load above which an object gets further
 stores) and the sending times of classes: these may rise as well, since they imply no trust. The sending times
 by which the budgets of cold stores are charged stay those of a fresh start.
--- a/olivecourse/storm/admission.py
+++ b/olivecourse/storm/admission.py
@@ -44,7 +44,10 @@
         self._target, self.limit, self._decreased_at = target_ns, start, -self.DECREASE_INTERVAL_NS
 
     def sample(self, waited_ns: float, in_flight: int, lost: bool, now: int) -> None:
-        """Lowers the limit if a request was lost or waited beyond the target, and raises it otherwise."""
+        """Lowers the limit if a request was lost or waited beyond the target; otherwise may raise it.
+
+        It is raised by 1 / limit, if at least half of it was in use when the request began.
+        """
         if lost or waited_ns > self._target:
             if now - self._decreased_at >= self.DECREASE_INTERVAL_NS:
                 self._decreased_at = now
