--- a/benchmarks/_fleet.py
+++ b/benchmarks/_fleet.py
@@ -1,5 +1,7 @@
-"""A fleet of gateways as processes before one office of stand-ins, with faults between them, for benchmarks
-and tests of several processes."""
+"""A fleet of gateway processes in front of the stand-in stores of one site, with injected faults.
+
+Benchmarks and tests use it where several gateway processes are needed.
+"""
 
 from __future__ import annotations
 
@@ -27,17 +29,20 @@
 
 CLASSES = [("fichiers", 2500, "idempotent", False), ("commande", 2500, "at_most_once", True)]
 SORTS = (Sort("fichiers", 0.95), Sort("commande", 0.05, write=True))
-COLD_S = 1.0  # of a store that has started
-WORK_S = 0.5  # that a store is down while it is worked on
-OFFICE = "stores:praia"
+COLD_S = 1.0  # how long a store is cold after its start
+WORK_S = 0.5  # how long a store is down for maintenance
+OFFICE = "stores:praia"  # lease group of the edge stores
 SAMPLE_S = 0.05
-FIRST, BLOCK, BLOCKS = 15_000, 256, 64
+FIRST, BLOCK, BLOCKS = 15_000, 256, 64  # first port, ports in a block, blocks
 _ports = itertools.count()
 
 
 def port() -> int:
-    """A port that is free, and that no outgoing connection is ever given: while a gateway is down, its own
-    must not be taken by another. Each process has a block of its own, below the usual ephemeral ports."""
+    """Returns a free port below the usual ephemeral ports, from a block that belongs to this process.
+
+    The kernel never assigns such a port to an outgoing connection, so the port of a gateway that is down
+    stays free until the gateway starts again.
+    """
     first = FIRST + os.getpid() % BLOCKS * BLOCK
     while True:
         found = first + next(_ports) % BLOCK
@@ -46,8 +51,12 @@
 
 
 class Fleet:
-    """`count` gateways that agree, or not (`agree`): then `drain` goes to every gateway's door by itself, as
-    today. Stores are worked on by the fleet's staff, which is this object."""
+    """`count` gateway processes with stand-in stores, clients, operators and faults.
+
+    With `agree` the gateways coordinate drains and releases among themselves. Without it each `drain` call is
+    sent to the management port of every gateway separately, as operators' scripts do without coordination.
+    This object also plays the operators who take stores down for maintenance.
+    """
 
     def __init__(
         self,
@@ -77,11 +86,11 @@
         self._datagrams = {n: ("127.0.0.1", port()) for n in self.names}
         self.running: dict[str, Gateway] = {}
         self.started: dict[str, int] = dict.fromkeys(self.names, 0)
-        self.state = dict.fromkeys((b.name for b in self.boxes), "in")  # or down, or cold
+        self.state = dict.fromkeys((b.name for b in self.boxes), "in")  # "in", "down" or "cold"
         self.over, self.samples, self.most_out = 0, 0, 0
         self.player = Player(self.network, self.names, self.pid, self.start, self.killed)
         self.sampling = True
-        self.replacing, self.bad = False, ""  # the version that is planted to serve nothing
+        self.replacing, self.bad = False, ""  # `bad`: the faulty version, which refuses all requests
         self.reached: set[str] = set()
         self._leaving: set[str] = set()
         self.crowds: dict[str, Crowd] = {}
@@ -110,11 +119,11 @@
         }
 
     def _write(self, agreement: str) -> None:
-        told = settings(CLASSES)
-        told["contract"]["cold_ns"] = int(COLD_S * 1e9)
-        (self.folder / "settings.json").write_text(json.dumps(told))
-        # The planted bad version takes itself for a gateway of the hub: it is ready, and refuses.
-        (self.folder / "bad.json").write_text(json.dumps({**told, "az": 0}))
+        gateway_settings = settings(CLASSES)
+        gateway_settings["contract"]["cold_ns"] = int(COLD_S * 1e9)
+        (self.folder / "settings.json").write_text(json.dumps(gateway_settings))
+        # The faulty version is configured as a gateway of the hub: it reports ready and refuses requests.
+        (self.folder / "bad.json").write_text(json.dumps({**gateway_settings, "az": 0}))
         rows = [f"{m['id']},{m['host_port']},{m['locality']},{m['flavor']},8" for m in self._members.values()]
         (self.folder / "stores.csv").write_text("\n".join(["name,address,zone,kind,size", *rows]) + "\n")
         (self.folder / "keys.json").write_text(json.dumps({"current": 1, "keys": {"1": "5a" * 32}}))
@@ -129,7 +138,7 @@
                 }
                 for other in self.names
             ]
-            said = {
+            gateway_config = {
                 "name": name,
                 "listen": f"127.0.0.1:{self.ports[name]}",
                 "settings": "settings.json",
@@ -139,7 +148,7 @@
                 "mgmt": f"127.0.0.1:{self.doors[name]}",
             }
             if self.agree:
-                said["rollout"] = {
+                gateway_config["rollout"] = {
                     "folder": f"rollout-{name}",
                     "keys": "keys.json",
                     "gateways": fleet,
@@ -151,20 +160,23 @@
                         "gateways": {"number": 1, "share": 0.5},
                     },
                 }
-            (self.folder / f"{name}.yaml").write_text(yaml.safe_dump(said))
-            (self.folder / f"{name}-bad.yaml").write_text(yaml.safe_dump({**said, "settings": "bad.json"}))
+            (self.folder / f"{name}.yaml").write_text(yaml.safe_dump(gateway_config))
+            (self.folder / f"{name}-bad.yaml").write_text(
+                yaml.safe_dump({**gateway_config, "settings": "bad.json"})
+            )
             if self.agree and name in self.members:
                 from olivecourse.rollout.section import read_rollout
                 from olivecourse.rollout.store import Disk
 
-                config = read_rollout(str(self.folder / f"{name}.yaml"))
-                disk = Disk(str(config.folder), name, config.read_keys()[1])
+                rollout_config = read_rollout(str(self.folder / f"{name}.yaml"))
+                disk = Disk(str(rollout_config.folder), name, rollout_config.read_keys()[1])
                 disk.init(int(time.time()))
                 disk.close()
 
     # Processes ----------------------------------------------------------------------------------------
 
     def start(self, name: str) -> None:
+        """Starts the process of a gateway in its current version."""
         self.started[name] += 1
         tmp = self.folder / f"tmp-{name}"
         tmp.mkdir(exist_ok=True)
@@ -177,25 +189,31 @@
         )
 
     def pid(self, name: str) -> int | None:
+        """Returns the process id of a gateway, or None if it is not running."""
         gateway = self.running.get(name)
         return gateway.process.pid if gateway is not None and gateway.process.poll() is None else None
 
     def killed(self, name: str) -> None:
+        """Waits until the killed process of a gateway has ended."""
         self.running[name].process.wait(10)
 
     def end(self, name: str) -> None:
+        """Kills a gateway's process if it runs, also one that is stopped by SIGSTOP."""
         gateway = self.running.get(name)
         if gateway is not None and gateway.process.poll() is None:
             gateway.process.send_signal(signal.SIGCONT)
             gateway.kill()
 
-    def call(self, name: str, method: str, path: str, said: Any = None) -> tuple[int, Any]:
-        """Status and what was said; (0, {}) where nobody answers within a second."""
+    def call(self, name: str, method: str, path: str, body: Any = None) -> tuple[int, Any]:
+        """Calls the management port; returns the HTTP status and the JSON answer.
+
+        Returns (0, {}) if the gateway is not running or does not answer within 1 s.
+        """
         if name in self.player.stopped or self.pid(name) is None:
             return 0, {}
         connection = HTTPConnection("127.0.0.1", self.doors[name], timeout=1)
         try:
-            connection.request(method, path, None if said is None else json.dumps(said))
+            connection.request(method, path, None if body is None else json.dumps(body))
             reply = connection.getresponse()
             return reply.status, json.loads(reply.read())
         except (OSError, ValueError, HTTPException):
@@ -204,17 +222,22 @@
             connection.close()
 
     def status(self, name: str) -> dict[str, Any]:
+        """Returns the rollout status that a gateway reports; empty if it does not answer."""
         return self.call(name, "GET", "/rollout/status")[1]
 
     def state_of(self, name: str) -> str:
-        """How the release stands, as this gateway knows it."""
+        """Returns the state of the release as this gateway knows it; empty if unknown."""
         return str(self.status(name).get("release", {}).get("state", ""))
 
     def ask(self, name: str, do: str, **more: Any) -> dict[str, Any]:
+        """Sends an operator's rollout command to a gateway and returns its immediate answer."""
         return self.call(name, "POST", "/rollout/ask", {"do": do, **more})[1]
 
     def say(self, name: str, do: str, seconds: float = 4.0, **more: Any) -> dict[str, Any]:
-        """A word on the release and what a majority made of it; {} if none answered."""
+        """Sends a release command to a gateway and waits for the majority's decision.
+
+        Returns {} if there is no decision within `seconds`.
+        """
         ticket = self.ask(name, do, **more).get("ticket")
         end = time.monotonic() + seconds
         while ticket is not None and time.monotonic() < end:
@@ -224,16 +247,17 @@
             self.world.run(0.02)
         return {}
 
-    def until(self, what: Any, seconds: float) -> bool:
+    def until(self, condition: Any, seconds: float) -> bool:
+        """Runs the stand-ins until a condition holds; returns False if it does not within `seconds`."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
-            if what():
+            if condition():
                 return True
             self.world.run(0.05)
         return False
 
     def ready(self, seconds: float = 15.0) -> bool:
-        """Whether all serve, and hear each other."""
+        """Returns whether all gateways serve within `seconds` and, if they coordinate, hear each other."""
 
         def heard(name: str) -> bool:
             if not self.agree:
@@ -244,6 +268,7 @@
         return self.until(lambda: all(map(heard, self.names)), seconds)
 
     def load(self) -> None:
+        """Starts a group of clients for each gateway, which falls back to the other gateways."""
         for i, name in enumerate(self.names):
             ports = [self.ports[n] for n in self.names[i:] + self.names[:i]]
             self.crowds[name] = Crowd(
@@ -257,10 +282,10 @@
                 objects=4000,
             )
 
-    # Stores and their staff ---------------------------------------------------------------------------
+    # Stores and their operators -----------------------------------------------------------------------
 
     def drain(self, name: str, box: str) -> None:
-        """An operator at one gateway; without agreement the call goes to each, as a script of today does."""
+        """Asks one gateway to drain a store; without coordination every gateway is asked."""
         if self.agree:
             self.ask(name, "drain", item=box)
         else:
@@ -269,7 +294,7 @@
             self.world.at(time.monotonic() + 0.3, lambda: self.work(name, box))
 
     def work(self, name: str, box: str) -> None:
-        """The store is restarted, and is cold for a while; then it is asked again."""
+        """Restarts a store, which is then cold for COLD_S, and ends its drain."""
         if self.state[box] != "in":
             return
         store = next(b for b in self.boxes if b.name == box)
@@ -290,8 +315,10 @@
         self.world.at(time.monotonic() + WORK_S, up)
 
     def _back(self, name: str, box: str) -> None:
-        """The operator says that it is done, at whichever gateway answers, and looks whether the fleet knows:
-        the gateway that said yes may be killed before it could tell the others."""
+        """Ends the drain of a store at the first gateway that answers, and checks later that the fleet knows.
+
+        The gateway that accepted the call may be killed before it has told the others.
+        """
         if not self.agree:
             for other in self.names:
                 self.call(other, "PUT", "/ops/stores/up", {"id": box})
@@ -302,7 +329,7 @@
         self.world.at(time.monotonic() + 0.8, lambda: self._check(name, box))
 
     def _check(self, name: str, box: str) -> None:
-        found = [s for n in self.names if (s := self.status(n))]  # one that has just started knows nothing
+        found = [s for n in self.names if (s := self.status(n))]  # a gateway that just started has no status
         left = any(
             p["item"] == box and p["phase"] != "back"
             for s in found
@@ -312,8 +339,10 @@
             self._back(name, box)
 
     def staff(self, name: str, box: str, seconds: float) -> None:
-        """An operator who wants a store out, waits at that gateway's door and works on it once it is out; who
-        does not get it in time lets it be."""
+        """Plays an operator who drains a store through one gateway and restarts the store once it is out.
+
+        The operator gives up and ends the drain if the store is not out within `seconds`.
+        """
         end = time.monotonic() + seconds
         self.drain(name, box)
 
@@ -329,7 +358,7 @@
         if self.agree:
             self.world.at(time.monotonic() + 0.15, look)
 
-    # What is seen -------------------------------------------------------------------------------------
+    # Observation --------------------------------------------------------------------------------------
 
     def _sample(self) -> None:
         out = sum(state != "in" for state in self.state.values())
@@ -342,7 +371,10 @@
             self.world.at(time.monotonic() + SAMPLE_S, self._sample)
 
     def _replace(self) -> None:
-        """The supervisor of each gateway: it starts the version that the gateway says may take its place."""
+        """Plays the supervisors of the gateways; each sample checks one gateway in turn.
+
+        A supervisor starts the version that its gateway reports as its replacement.
+        """
         for name in self.names:
             if self.samples % len(self.names) != self.names.index(name):
                 continue
@@ -351,7 +383,7 @@
                 self.replace(name, wanted)
 
     def replace(self, name: str, version: str) -> None:
-        """As an init system does: SIGTERM, and the next version once the process has ended."""
+        """Sends SIGTERM to a gateway and starts the next version once the process has ended."""
         self._leaving.add(name)
         process = self.running[name].process
         process.send_signal(signal.SIGTERM)
@@ -368,15 +400,18 @@
         ended()
 
     def script(self, faults: list[Fault]) -> None:
+        """Schedules the faults of a script."""
         self.player.script(faults)
 
     def tally(self) -> Counter[str]:
+        """Returns how the requests of all clients ended, by outcome."""
         total: Counter[str] = Counter()
         for crowd in self.crowds.values():
             total.update(crowd.ends)
         return total
 
     def close(self) -> None:
+        """Ends all clients, gateways and stand-ins."""
         self.sampling = False
         for crowd in self.crowds.values():
             crowd.close()
--- a/benchmarks/_hollow.py
+++ b/benchmarks/_hollow.py
@@ -1,13 +1,14 @@
-"""Gateways without a request path: the control side from the classes that the program runs.
+"""Hollow gateways: gateways without a request path, whose control side is the program's own classes.
 
-What each has: its own `Loop` with its selector and timers, `ControlPlane` (discovery client, server
-directory, purge checks), `Ledger` with no request, `Planner` with the module's `Router`, the settings and
-their merge at a reload. What is left out, whole: fronts, connections to stores, requests and their attempts,
-operators' doors, peers' datagrams, the optional parts, logs on standard error, signals. Configuration is read
-again from its file at a reload, as by a signal.
+Each has its own `Loop` with a selector and timers, a `ControlPlane` (discovery client, server directory,
+purge checks), a `Ledger` without requests, a `Planner` with the decision module's `Router`, and the
+settings with their merge at a reload. Left out entirely: fronts, connections to stores, requests and their
+attempts, management ports, peers' datagrams, optional parts, logs on standard error, and signals. A reload
+reads the configuration file again, as a signal makes a real gateway do.
 
-One more thing differs, and is told in results: where several share a process, its thread steps each gateway's
-own loop when its selector's descriptor is ready, rather than to wait in it. One alone waits in its loop.
+Results name one further difference. Where several hollow gateways share a process, its thread steps a
+gateway's loop when the descriptor of its selector is ready, instead of waiting in that loop. A single
+hollow gateway waits in its own loop, as a real one does.
 """
 
 from __future__ import annotations
@@ -36,16 +37,19 @@
     "fronts, connections to stores, requests and attempts, operators' doors, peers' datagrams, optional "
     "parts, logs on standard error, signals; hundreds share a process whose thread steps each one's own loop"
 )
-MOST_OPEN = 4_096  # requests, as in a gateway
-EVICTED_BYTES = 4 * 2**20  # more than the caches that a core has for itself
-LONGEST_MS = 60_000  # beyond it a time until in force is counted with the longest
+MOST_OPEN = 4_096  # open requests at most, as in a real gateway
+EVICTED_BYTES = 4 * 2**20  # more than the private caches of a core hold
+LONGEST_MS = 60_000  # longer propagation times are counted in the last bucket
 
 
-Took = Callable[["HollowGateway", w.Event, int], None]
+OnApplied = Callable[["HollowGateway", w.Event, int], None]
 
 
 class Times:
-    """Times until in force, counted by the millisecond; the longest exactly."""
+    """A histogram of propagation times with buckets of 1 ms; the longest time is kept exactly.
+
+    A propagation time is the time from the publication of an event until a gateway has applied it.
+    """
 
     def __init__(self) -> None:
         self._counts = array("Q", bytes(8 * (LONGEST_MS + 1)))
@@ -53,33 +57,37 @@
         self.longest_us = 0
 
     def add(self, published_us: int, now_us: int) -> None:
-        took = max(now_us - published_us, 0)
-        self._counts[min(took // 1_000, LONGEST_MS)] += 1
+        """Adds the time from a publication until now, both in microseconds of time.monotonic."""
+        elapsed_us = max(now_us - published_us, 0)
+        self._counts[min(elapsed_us // 1_000, LONGEST_MS)] += 1
         self.total += 1
-        self.longest_us = max(self.longest_us, took)
+        self.longest_us = max(self.longest_us, elapsed_us)
 
     def row(self) -> dict[str, Any]:
-        """What a harness adds up over processes: milliseconds and how often each came."""
+        """Returns the non-empty buckets and the longest time as JSON, to be summed over processes."""
         counts = [(ms, count) for ms, count in enumerate(self._counts) if count]
         return {"counts": counts, "longest_us": self.longest_us}
 
 
 class HollowGateway:
-    """One gateway's control side. `took(gateway, event, now_us)` hears of each event of discovery that is in
-    force, but for those of the start."""
+    """The control side of one gateway.
+
+    `on_applied(gateway, event, now_us)` is called for each discovery event that the gateway has applied,
+    except for those that it applied at its start.
+    """
 
-    def __init__(self, path: str, name: str, took: Took, boards: Sequence[str] = ()) -> None:
-        """`boards`: others that answer polls, to turn to, as an operator's file names them."""
-        self._path, self._name, self._took = path, name, took
+    def __init__(self, path: str, name: str, on_applied: OnApplied, boards: Sequence[str] = ()) -> None:
+        """`boards` are the alternative discovery addresses that an operator's file would name."""
+        self._path, self._name, self._on_applied = path, name, on_applied
         self._boards = tuple(parse_address(text) for text in boards)
         self.config = self._read()
         self.loop = Loop()
         self.loop.faulted = self._faulted
         self.batch: list[w.Event] = []
         self.logged: list[str] = []
-        self.events = 0  # of discovery that are in force, since the start
+        self.events = 0  # discovery events applied since the start
         self.started_us = 0
-        self.telling_ns = 0  # of this thread's time, for the benchmark's own counts
+        self.bookkeeping_ns = 0  # thread time that the benchmark's own bookkeeping took
         settings = self.config.settings
         self.tracker = Ledger(settings, LoopTimers(self.loop), self.batch.append, self.log, most=MOST_OPEN)
         self.control = ControlPlane(
@@ -97,6 +105,7 @@
         return replace(config, boards=self._boards)
 
     def log(self, event: str, **fields: Any) -> None:
+        """Keeps the first 20 log lines for the benchmark's report."""
         if len(self.logged) < 20:
             self.logged.append(f"{event} {fields}")
 
@@ -104,7 +113,7 @@
         self.log("loop_fault", where=where, error=repr(error))
 
     def _server_terminated(self, server: int, when: int) -> None:
-        """A gateway's connections to it would end; there are none."""
+        """A real gateway closes its connections to the server here; a hollow gateway has none."""
 
     def _carry_out(self, actions: list[w.Action]) -> None:
         for action in actions:
@@ -115,42 +124,42 @@
         self.loop.after(action.delay_ns, lambda: self.batch.append(w.TimerFired(action.token)))
 
     def decide(self) -> None:
-        """Hands what came to the planner, as a gateway does."""
+        """Passes the collected events to the planner and carries out its actions, as a gateway does."""
         while self.batch:
             events = self.batch[:]
             self.batch.clear()
             self._carry_out(self.planner.decide(events, self.loop.clock.now()))
             if self.started_us:
-                self._tell(events)
+                self._report_applied(events)
 
-    def _tell(self, events: list[w.Event]) -> None:
+    def _report_applied(self, events: list[w.Event]) -> None:
         began = time.thread_time_ns()
         now_us = time.monotonic_ns() // 1_000
         for event in events:
             if not isinstance(event, w.TimerFired):
                 self.events += 1
-                self._took(self, event, now_us)
-        self.telling_ns += time.thread_time_ns() - began
+                self._on_applied(self, event, now_us)
+        self.bookkeeping_ns += time.thread_time_ns() - began
 
     def step(self) -> int:
-        """One turn of the loop without a wait; how many ns nothing can come but from sockets."""
+        """Runs one turn of the loop without waiting; returns the nanoseconds until its next timer is due."""
         loop = self.loop
         loop.turn(0)
         self.decide()
-        loop.lag_ns = loop.clock.now() - loop._woke  # as `Loop.run` has it, by which polls are paced
+        loop.lag_ns = loop.clock.now() - loop._woke  # as in `Loop.run`; polls are paced by it
         loop.longest_ns = max(loop.longest_ns, loop.lag_ns)
-        if loop._next:  # work that is taken in parts goes on in the next turn
+        if loop._next:  # sliced work continues in the next turn
             return 0
         return loop.wheel.wait_ns(loop.clock.now())
 
     @property
     def rev(self) -> int:
-        """The number of the last event taken."""
+        """The revision of the last event received; -1 without a discovery client."""
         discovery = self.control.discovery
         return -1 if discovery is None else discovery.rev
 
     def reload(self) -> None:
-        """Reads the configuration's file again, and goes by it."""
+        """Reads the configuration file again and applies it."""
         old, fresh = self.config, self._read()
         merged = merge(old.settings, fresh.settings)
         self.config = replace(old, board=fresh.board, boards=fresh.boards, settings=merged.settings)
@@ -159,16 +168,17 @@
         self.planner.settle(merged.settings)
 
     def stop(self) -> None:
+        """Stops polling and closes the loop."""
         self.control.stop()
         self.loop.close()
 
 
 class CacheEviction:
-    """Makes a gateway find the processor's caches as after another process, not as its neighbour left them.
+    """Overwrites the processor's caches before a gateway runs, as if another process had used the core.
 
-    A gateway alone in its process wakes up a few times a second, after others have used the core. Hundreds in
-    one process would share warm code and cost less than half. The time of the eviction is told, so that it
-    can be left out of the gateways' costs.
+    A gateway alone in its process wakes up a few times a second, after other processes have used the core.
+    Hundreds in one process would share warm code and cost less than half of that. The time that the eviction
+    takes is recorded, so that it can be subtracted from the gateways' costs.
     """
 
     def __init__(self) -> None:
@@ -176,63 +186,64 @@
         self.spent_ns = 0
 
     def evict(self) -> None:
+        """Fills the caches with a copy of EVICTED_BYTES and records the time taken."""
         began = time.thread_time_ns()
         self._target[:] = self._source
         self.spent_ns += time.thread_time_ns() - began
 
 
 class HollowFleet:
-    """Many hollow gateways on one thread, each stepped when its selector or its timers have something."""
+    """Many hollow gateways on one thread; each is stepped when its selector is ready or a timer is due."""
 
     def __init__(self, path: str, first: int, boards: Sequence[str] = ()) -> None:
-        """`first` is the number by which the first gateway's name is made."""
+        """`first` is the number in the first gateway's name; the others are numbered from there."""
         self._path, self._first, self._boards = path, first, boards
         self.gateways: list[HollowGateway] = []
         self.purges, self.changes, self.reloads = Times(), Times(), Times()
         self.eviction = CacheEviction()
-        self._ended_ns = 0  # the same time of gateways that were restarted
+        self._ended_bookkeeping_ns = 0  # bookkeeping time of gateways that have been restarted since
         self._epoll = select.epoll()
         self._watched: dict[int, Callable[[], None]] = {}
-        self._dues: list[tuple[int, int]] = []
+        self._due_heap: list[tuple[int, int]] = []
         self._due: list[int] = []
 
     def add(self, count: int) -> None:
-        """So many more gateways, each from a reading of the configuration of its own."""
-        for place in range(len(self.gateways), len(self.gateways) + count):
-            self.gateways.append(self._start(place))
+        """Adds `count` gateways, each of which reads the configuration file itself."""
+        for index in range(len(self.gateways), len(self.gateways) + count):
+            self.gateways.append(self._start(index))
             self._due.append(0)
-            self._adopt(place)
-
-    def _start(self, place: int) -> HollowGateway:
-        return HollowGateway(self._path, f"h{self._first + place}", self._took, self._boards)
-
-    def _adopt(self, place: int) -> None:
-        descriptor = self.gateways[place].loop._selector.fileno()
-        self.watch(descriptor, lambda: self._step(place))
-        self._step(place)
-
-    def restart(self, places: list[int]) -> None:
-        """Kills those gateways, all at once, and starts each from its configuration."""
-        for place in places:
-            self._ended_ns += self.gateways[place].telling_ns
-            self._watched.pop(self.gateways[place].loop._selector.fileno())
-            self.gateways[place].stop()
-        for place in places:
-            self.gateways[place] = self._start(place)
-            self._adopt(place)
+            self._watch_gateway(index)
+
+    def _start(self, index: int) -> HollowGateway:
+        return HollowGateway(self._path, f"h{self._first + index}", self._on_applied, self._boards)
+
+    def _watch_gateway(self, index: int) -> None:
+        descriptor = self.gateways[index].loop._selector.fileno()
+        self.watch(descriptor, lambda: self._step(index))
+        self._step(index)
+
+    def restart(self, indexes: list[int]) -> None:
+        """Stops the gateways with these indexes all at once, and starts each from its configuration file."""
+        for index in indexes:
+            self._ended_bookkeeping_ns += self.gateways[index].bookkeeping_ns
+            self._watched.pop(self.gateways[index].loop._selector.fileno())
+            self.gateways[index].stop()
+        for index in indexes:
+            self.gateways[index] = self._start(index)
+            self._watch_gateway(index)
 
     def reload(self, written_us: int) -> None:
-        """Each reads its configuration again, which was written at that moment."""
+        """Reloads every gateway's configuration file, which was written at `written_us` of time.monotonic."""
         for gateway in self.gateways:
             gateway.reload()
             self.reloads.add(written_us, time.monotonic_ns() // 1_000)
 
     def clear(self) -> None:
-        """Counts times from here on."""
+        """Discards all propagation times counted so far."""
         self.purges, self.changes, self.reloads = Times(), Times(), Times()
 
-    def _took(self, gateway: HollowGateway, event: w.Event, now_us: int) -> None:
-        """Counts what was published since the gateway's start; before, it could not be in force there."""
+    def _on_applied(self, gateway: HollowGateway, event: w.Event, now_us: int) -> None:
+        """Counts the propagation time of an event that was published after the gateway's start."""
         if isinstance(event, w.Purged):
             published_us = tagged_us(event.object or "0")
             times = self.purges
@@ -245,54 +256,56 @@
             times.add(published_us, now_us)
 
     def watch(self, descriptor: int, call: Callable[[], None]) -> None:
+        """Calls `call` whenever the descriptor is readable."""
         self._watched[descriptor] = call
         self._epoll.register(descriptor, select.EPOLLIN)
 
-    def _step(self, place: int) -> None:
+    def _step(self, index: int) -> None:
         self.eviction.evict()
-        wait_ns = self.gateways[place].step()
-        due = self._due[place] = time.monotonic_ns() + wait_ns
-        heapq.heappush(self._dues, (due, place))
-
-    def turn(self, most_ns: int) -> None:
-        """Steps every gateway that has something to do, after a wait for the first."""
-        wait_ns = most_ns
-        if self._dues:
-            wait_ns = min(max(self._dues[0][0] - time.monotonic_ns(), 0), most_ns)
+        wait_ns = self.gateways[index].step()
+        due = self._due[index] = time.monotonic_ns() + wait_ns
+        heapq.heappush(self._due_heap, (due, index))
+
+    def turn(self, max_wait_ns: int) -> None:
+        """Waits up to `max_wait_ns` until a gateway is ready or due, and steps all gateways that are."""
+        wait_ns = max_wait_ns
+        if self._due_heap:
+            wait_ns = min(max(self._due_heap[0][0] - time.monotonic_ns(), 0), max_wait_ns)
         for descriptor, _ in self._epoll.poll(wait_ns / 1e9, 1_024):
             call = self._watched.get(descriptor)
             if call is not None:
                 call()
         now = time.monotonic_ns()
-        while self._dues and self._dues[0][0] <= now:
-            due, place = heapq.heappop(self._dues)
-            if due == self._due[place]:
-                self._step(place)
+        while self._due_heap and self._due_heap[0][0] <= now:
+            due, index = heapq.heappop(self._due_heap)
+            if due == self._due[index]:
+                self._step(index)
 
     def run_alone(self) -> None:
-        """The only gateway waits in its own loop, as a real one does, until that is told to end."""
+        """Runs the only gateway in its own loop, as a real one runs, until that loop is stopped."""
         (gateway,) = self.gateways
         gateway.loop.run(gateway.decide)
 
     def excluded_ns(self) -> int:
-        """What this thread spent on the benchmark's own, which is no cost of a gateway."""
-        telling = sum(gateway.telling_ns for gateway in self.gateways)
-        return self.eviction.spent_ns + telling + self._ended_ns
+        """Returns the thread time spent on eviction and bookkeeping, which is not a cost of the gateways."""
+        bookkeeping = sum(gateway.bookkeeping_ns for gateway in self.gateways)
+        return self.eviction.spent_ns + bookkeeping + self._ended_bookkeeping_ns
 
     def close(self) -> None:
+        """Stops all gateways."""
         for gateway in self.gateways:
             gateway.stop()
         self._epoll.close()
 
 
 def compiled() -> bool:
-    """Whether the program's modules in use are the compiled ones."""
+    """Whether this process has imported the compiled modules of the program."""
     import olivecourse.core.planner as planner
 
     return not str(planner.__file__).endswith(".py")
 
 
 def resident_mb() -> float:
-    """Of this process, in MB."""
+    """Returns the resident memory of this process in MB."""
     with open("/proc/self/statm") as file:
         return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 2**20
--- a/benchmarks/_hollow_process.py
+++ b/benchmarks/_hollow_process.py
@@ -1,7 +1,7 @@
-"""A process of hollow gateways, driven by JSON lines on standard input, each answered by one line.
+"""A process of hollow gateways, driven by JSON lines on standard input; each command is answered by one line.
 
-Its argument is a JSON object: `config` (a path), `first` and `count` of the gateways, `seed`, and
-`boards`, the addresses to turn to where the configuration's own fails.
+Its argument is a JSON object: `config` (a path), `first` and `count` of the gateways, `seed`, and `boards`,
+the alternative discovery addresses for when the one in the configuration fails.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Commands:
-    """Carries out what the harness writes."""
+    """Carries out the commands that the benchmark writes to standard input."""
 
     def __init__(self, fleet: HollowFleet, seed: int) -> None:
         self.running = True
@@ -30,45 +30,46 @@
         self._buffer = b""
 
     def watch(self) -> None:
-        """Commands are carried out between the turns of many gateways."""
+        """Carries out commands on the gateways' own thread, between their turns."""
         os.set_blocking(0, False)
-        self._fleet.watch(0, self._ready)
+        self._fleet.watch(0, self._read_commands)
 
     def read(self) -> None:
-        """Commands are carried out on this thread, beside one gateway that waits in its own loop."""
+        """Carries out commands on the calling thread, while a single gateway waits in its own loop."""
         while self.running:
-            self._ready()
+            self._read_commands()
         self._fleet.gateways[0].loop.running = False
 
     @staticmethod
-    def say(said: dict[str, Any]) -> None:
-        sys.stdout.write(json.dumps(said) + "\n")
+    def write_message(message: dict[str, Any]) -> None:
+        """Writes one JSON line to standard output."""
+        sys.stdout.write(json.dumps(message) + "\n")
         sys.stdout.flush()
 
-    def _ready(self) -> None:
+    def _read_commands(self) -> None:
         data = os.read(0, 1 << 16)
-        if not data:  # the harness has ended
+        if not data:  # the benchmark has ended
             self.running = False
         self._buffer += data
         *lines, self._buffer = self._buffer.split(b"\n")
         for line in lines:
-            said = json.loads(line)
-            self.say({"done": True, **self._do(said.pop("do"), said)})
+            command = json.loads(line)
+            self.write_message({"done": True, **self._execute(command.pop("do"), command)})
 
-    def _do(self, do: str, said: dict[str, Any]) -> dict[str, Any]:
+    def _execute(self, command_name: str, arguments: dict[str, Any]) -> dict[str, Any]:
         fleet = self._fleet
-        if do == "clear":
+        if command_name == "clear":
             fleet.clear()
-        elif do == "reload":
-            fleet.reload(said["written_us"])
-        elif do == "restart":
-            count = max(round(len(fleet.gateways) * said["share"]), 1)
+        elif command_name == "reload":
+            fleet.reload(arguments["written_us"])
+        elif command_name == "restart":
+            count = max(round(len(fleet.gateways) * arguments["share"]), 1)
             fleet.restart(sorted(self._random.sample(range(len(fleet.gateways)), count)))
-        elif do == "times":
+        elif command_name == "times":
             times = {"purges": fleet.purges, "changes": fleet.changes, "reloads": fleet.reloads}
             return {**self._state(), **{name: found.row() for name, found in times.items()}}
-        elif do != "state":
-            raise ValueError(do)
+        elif command_name != "state":
+            raise ValueError(command_name)
         return self._state()
 
     def _state(self) -> dict[str, Any]:
@@ -86,20 +87,21 @@
         }
 
 
-def main(said: dict[str, Any]) -> None:
-    fleet = HollowFleet(said["config"], said["first"], said.get("boards", ()))
-    commands = Commands(fleet, said.get("seed", 1))
-    alone = said["count"] == 1
+def main(arguments: dict[str, Any]) -> None:
+    """Runs the gateways until the benchmark closes standard input."""
+    fleet = HollowFleet(arguments["config"], arguments["first"], arguments.get("boards", ()))
+    commands = Commands(fleet, arguments.get("seed", 1))
+    alone = arguments["count"] == 1
     if not alone:
         commands.watch()
     gc.collect()
     empty_mb = resident_mb()
-    fleet.add(said["count"])
-    # As a gateway does once it has started.
+    fleet.add(arguments["count"])
+    # The garbage collector is set as in a real gateway that has started.
     gc.collect()
     gc.set_threshold(50_000, 20, 100)
     gc.freeze()
-    commands.say(
+    commands.write_message(
         {
             "started": True,
             "compiled": compiled(),
--- a/benchmarks/_staff.py
+++ b/benchmarks/_staff.py
@@ -1,4 +1,4 @@
-"""One office with a gateway that has an operators' door, for benchmarks."""
+"""One site with stand-in stores and a gateway that has a management port, for benchmarks."""
 
 from __future__ import annotations
 
@@ -18,30 +18,31 @@
 
 
 def free_port() -> int:
+    """Returns a loopback port that is free at the moment."""
     with socket.create_server(("127.0.0.1", 0)) as sock:
         return int(sock.getsockname()[1])
 
 
 class Office:
-    """Four cache boxes, a hub cache and the archive; processes of one gateway start side by side."""
+    """Four edge stores, a parent and an origin, with one gateway that may run as several processes."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.port = folder, free_port()
-        self.boxes = [Store(f"petit-{n}", delay_s=0.05) for n in range(4)]
+        self.edge_stores = [Store(f"petit-{n}", delay_s=0.05) for n in range(4)]
         self.parent, self.origin = Store("parent-1"), Store("origin-1")
-        self.world = World([*self.boxes, self.parent, self.origin])
+        self.world = World([*self.edge_stores, self.parent, self.origin])
         members = [
             {
-                "id": s.name,
-                "host_port": s.address,
-                "flavor": s.name.split("-")[0],
+                "id": store.name,
+                "host_port": store.address,
+                "flavor": store.name.split("-")[0],
                 "cell": 0,
-                "locality": "praia" if s in self.boxes else "hub-nord",
+                "locality": "praia" if store in self.edge_stores else "hub-nord",
                 "phase": "Ready",
                 "size": 8,
                 "up_since_ms": 0,
             }
-            for s in self.world.stores
+            for store in self.world.stores
         ]
         known = {
             "rev": 1,
@@ -62,10 +63,13 @@
         )
 
     def start(self, tmpdir: str = "tmp") -> Gateway:
-        """A further process; those with the same `tmpdir` are one gateway. Its door is in `door`."""
+        """Starts a process and sets `door`, its management port.
+
+        Processes with the same `tmpdir` are one gateway.
+        """
         (self.folder / tmpdir).mkdir(exist_ok=True)
         door = free_port()
-        made = Gateway(
+        gateway = Gateway(
             None,
             "--config",
             str(self.config),
@@ -73,17 +77,20 @@
             EDGE_MGMT=f"127.0.0.1:{door}",
             TMPDIR=str(self.folder / tmpdir),
         )
-        made.door = door
-        return made
+        gateway.door = door
+        return gateway
 
     def call(
-        self, gateway: Gateway, method: str, path: str, said: str | None = None
+        self, gateway: Gateway, method: str, path: str, body: str | None = None
     ) -> tuple[int, str, float]:
-        """Status (0: nobody answered within 2 s), body, and seconds. The world stands still meanwhile."""
+        """Calls the management port; returns HTTP status, body and the seconds taken.
+
+        The status is 0 if there is no answer within 2 s. The stand-ins do not run during the call.
+        """
         began = time.monotonic()
         connection = HTTPConnection("127.0.0.1", gateway.door, timeout=2)
         try:
-            connection.request(method, path, said)
+            connection.request(method, path, body)
             reply = connection.getresponse()
             return reply.status, reply.read().decode(), time.monotonic() - began
         except (OSError, HTTPException):
@@ -92,7 +99,10 @@
             connection.close()
 
     def wait_ready(self, gateway: Gateway, seconds: float = 10.0) -> float:
-        """Turns the world till that process says yes; the seconds it took."""
+        """Runs the stand-ins until the process reports ready; returns the seconds it took.
+
+        Raises TimeoutError if it does not within `seconds`.
+        """
         began = time.monotonic()
         while time.monotonic() - began < seconds:
             if self.call(gateway, "GET", "/ops/readiness")[0] == 200:
@@ -102,8 +112,8 @@
 
 
 @contextmanager
-def ended(gateways: list[Gateway]):
-    """Ends what was started, by its own id, whatever happens."""
+def killed_at_exit(gateways: list[Gateway]):
+    """Kills the gateways of the list at the end of the block, also after an exception."""
     try:
         yield gateways
     finally:
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -1,8 +1,8 @@
-"""The operators' door beside crowds: how late and how wrong its answers are, and how long a turn takes.
+"""The management port under connection floods: late and wrong answers, and the longest event loop turn.
 
-Two crowds connect again and again for as long as it lasts: idle and half-written connections at the clients'
-address, and callers at the door who say nothing, or half a call. Between them usual requests, counted here;
-the figures of the door are compared with these counts.
+Two floods reconnect during the whole run: idle and half-written connections to the clients' port, and idle
+connections or half-written calls to the management port. Meanwhile ordinary requests are sent and counted,
+and the metrics of the management port are compared with these counts.
 """
 
 from __future__ import annotations
@@ -18,20 +18,25 @@
 from typing import Any
 
 from benchmarks._load import Load
-from benchmarks._staff import Office, ended
+from benchmarks._staff import Office, killed_at_exit
 
 RATE = 150.0  # requests a second
-CROWD = 400  # connections at the clients' address at once; over their part of 384 descriptors
-RUDE = 24  # at the door; half as many again as it holds
-HOLD_S = 4.0
-LATE_S = 1.0
+CLIENT_CONNECTIONS = (
+    400  # simultaneous connections to the clients' port; more than its part of 384 descriptors
+)
+MANAGEMENT_CONNECTIONS = 24  # simultaneous connections to the management port; 1.5 times its limit
+HOLD_S = 4.0  # how long a connection is held open
+LATE_S = 1.0  # an answer that takes longer is late
 
 
-class Crowd:
-    """A thread that keeps so many connections open, each for HOLD_S or till it is closed."""
+class ConnectionFlood:
+    """A thread that keeps `count` connections open, each for HOLD_S or until the peer closes it.
 
-    def __init__(self, port: int, count: int, half: bytes, seed: int) -> None:
-        self.port, self.count, self.half = port, count, half
+    About half of the connections send `half`, an incomplete message; the others send nothing.
+    """
+
+    def __init__(self, port: int, count: int, partial_message: bytes, seed: int) -> None:
+        self.port, self.count, self.partial_message = port, count, partial_message
         self.made = 0
         self._random = random.Random(seed)
         self._stop = threading.Event()
@@ -39,24 +44,24 @@
         self._thread.start()
 
     def _run(self) -> None:
-        held: list[tuple[float, socket.socket]] = []
+        connections: list[tuple[float, socket.socket]] = []
         while not self._stop.wait(0.01):
             now = time.monotonic()
-            for until, sock in held[:]:
+            for until, sock in connections[:]:
                 if now > until or self._closed(sock):
-                    held.remove((until, sock))
+                    connections.remove((until, sock))
                     sock.close()
-            while len(held) < self.count:
+            while len(connections) < self.count:
                 with contextlib.suppress(OSError):
                     sock = socket.create_connection(("127.0.0.1", self.port), timeout=1)
                     sock.setblocking(False)
-                    held.append((now + HOLD_S, sock))
+                    connections.append((now + HOLD_S, sock))
                     self.made += 1
                     if self._random.random() < 0.5:
-                        sock.send(self.half)
+                        sock.send(self.partial_message)
                     continue
                 break
-        for _, sock in held:
+        for _, sock in connections:
             sock.close()
 
     @staticmethod
@@ -69,16 +74,17 @@
             return True
 
     def stop(self) -> None:
+        """Closes all connections and ends the thread."""
         self._stop.set()
         self._thread.join()
 
 
-def _figures(text: str) -> dict[str, float]:
-    return {n: float(v) for n, v in re.findall(r"^(app_\S+) (\S+)$", text, re.M)}
+def _metrics(text: str) -> dict[str, float]:
+    return {name: float(value) for name, value in re.findall(r"^(app_\S+) (\S+)$", text, re.M)}
 
 
 def run(short: bool, seed: int, trials: int) -> dict[str, Any]:
-    """Within 60 s in the short form."""
+    """Runs the floods for 60 s, or for 20 s in the short form, which ends within 60 s."""
     seconds = 20.0 if short else 60.0
     found: dict[str, Any] = {
         "calls": 0,
@@ -88,46 +94,53 @@
         "turn_ms_max": 0.0,
         "figures_off_max": 0,
     }
-    with tempfile.TemporaryDirectory() as name, ended([]) as started:
+    with tempfile.TemporaryDirectory() as name, killed_at_exit([]) as started:
         office = Office(Path(name))
         gateway = office.start()
         started.append(gateway)
         office.wait_ready(gateway)
         load = Load(office.world, office.port, RATE, seed, conns=6, orders=0.05)
-        crowds = [
-            Crowd(office.port, CROWD, b"\0\0\1\0\x80\1\0\1", seed),
-            Crowd(gateway.door, RUDE, b"PUT /ops/stores/down HTTP/1.1\r\nContent-Le", seed),
+        floods = [
+            ConnectionFlood(office.port, CLIENT_CONNECTIONS, b"\0\0\1\0\x80\1\0\1", seed),
+            ConnectionFlood(
+                gateway.door, MANAGEMENT_CONNECTIONS, b"PUT /ops/stores/down HTTP/1.1\r\nContent-Le", seed
+            ),
         ]
         try:
             end, turn = time.monotonic() + seconds, 0
             while time.monotonic() < end:
                 office.world.run(0.1)
                 turn += 1
-                box = office.boxes[turn // 4 % len(office.boxes)].name
-                for method, path, said, want in (
+                store_name = office.edge_stores[turn // 4 % len(office.edge_stores)].name
+                for method, path, body, expected_status in (
                     ("GET", "/ops/readiness", None, 200),
                     ("GET", "/ops/stats", None, 200),
-                    ("PUT", "/ops/stores/" + ("down" if turn % 4 == 1 else "up"), f'{{"id": "{box}"}}', 200),
+                    (
+                        "PUT",
+                        "/ops/stores/" + ("down" if turn % 4 == 1 else "up"),
+                        f'{{"id": "{store_name}"}}',
+                        200,
+                    ),
                     ("PUT", "/ops/stores/down", '{"id": "nobody"}', 404),
                     ("GET", "/ops/stores/up", None, 405),
                     ("PUT", "/ops/stores/up", "{", 400),
                 ):
-                    status, text, took = office.call(gateway, method, path, said)
+                    status, text, seconds_taken = office.call(gateway, method, path, body)
                     found["calls"] += 1
-                    found["wrong"] += status not in (want, 0)
-                    found["late"] += status == 0 or took > LATE_S
-                    found["slowest_ms"] = max(found["slowest_ms"], round(took * 1000, 1))
+                    found["wrong"] += status not in (expected_status, 0)
+                    found["late"] += status == 0 or seconds_taken > LATE_S
+                    found["slowest_ms"] = max(found["slowest_ms"], round(seconds_taken * 1000, 1))
                     if path == "/ops/stats" and status == 200:
-                        off = _off(_figures(text), load)
-                        found["figures_off_max"] = max(found["figures_off_max"], off)
+                        count_error = _count_error(_metrics(text), load)
+                        found["figures_off_max"] = max(found["figures_off_max"], count_error)
         finally:
-            for crowd in crowds:
-                crowd.stop()
+            for flood in floods:
+                flood.stop()
         load.stop()
         office.world.run(3.0)
-        last = _figures(office.call(gateway, "GET", "/ops/stats")[1])
+        last = _metrics(office.call(gateway, "GET", "/ops/stats")[1])
         found["turn_ms_max"] = round(last["app_turn_seconds_max"] * 1000, 1)
-        found["crowd"] = [crowd.made for crowd in crowds]
+        found["crowd"] = [flood.made for flood in floods]
         found["requests"], found["closed_on"] = load.tally.asked, load.tally.closed_on
         found["unanswered"] = load.open
         load.close()
@@ -137,10 +150,10 @@
     return {**found, "seed": seed}
 
 
-def _off(told: dict[str, float], load: Load) -> int:
-    """By how many requests the answers told are away from those that clients have, the open ones aside.
+def _count_error(metrics: dict[str, float], load: Load) -> int:
+    """Returns by how many requests the gateway's metrics differ from the answers that the clients received.
 
-    What is on its way between the two is told apart: answers that were written and not yet read here.
+    Answers that the gateway has written and the clients have not read yet are not a difference.
     """
-    ended = sum(v for k, v in told.items() if k.startswith("app_transactions_total"))
-    return int(max(load.tally.answered - ended, ended - load.tally.answered - load.open, 0))
+    killed_at_exit = sum(value for key, value in metrics.items() if key.startswith("app_transactions_total"))
+    return int(max(load.tally.answered - killed_at_exit, killed_at_exit - load.tally.answered - load.open, 0))
--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -1,8 +1,8 @@
 """Gateways killed with SIGKILL at random moments while they serve, write snapshots and record order tokens.
 
-Each trial starts a gateway on the folder that the one before left, shows it tokens that were shown before
-(all that ever opened an order, or might have), gives it new ones, and kills it. Counted at the stand-in
-store: orders that ran twice. A trial's plan comes from the seed and its number alone.
+Each trial starts a gateway on the folder that the previous one left, sends orders with used tokens (all
+that started an order, or may have) and with new tokens, and kills the gateway. The stand-in store counts
+orders that ran twice. The plan of a trial depends only on the seed and the trial's number.
 """
 
 from __future__ import annotations
@@ -29,57 +29,59 @@
 PUBLIC = "https://calendriers.example"
 TARGET = "/commande/7f3a9c21e0b4d655/0?shard=17"
 SECRET = b"0123456789abcdef0123456789abcdef"
-REPLAYS = 12
-LANE = 10  # trials that share a folder, one after the other
+REPLAYS = 12  # most used tokens that a trial sends again
+TRIALS_PER_FOLDER = 10  # consecutive trials that share a folder
 
 
-class Poster:
-    """Sends orders over HTTP and notes their answers."""
+class OrderClient:
+    """Sends orders over HTTP and records the status of each answer."""
 
     def __init__(self, world: World, port: int) -> None:
         self.world, self.port = world, port
         self.answers: dict[str, int] = {}
-        self.socks: list[socket.socket] = []
+        self.sockets: list[socket.socket] = []
 
     def post(self, name: str, token: str) -> None:
+        """Sends one order on a new connection; `name` is the order's body and identifies its answer."""
         body = name.encode()
         with contextlib.suppress(OSError):
-            sock = socket.create_connection(("127.0.0.1", self.port))
-            sock.sendall(
+            connection = socket.create_connection(("127.0.0.1", self.port))
+            connection.sendall(
                 f"POST {TARGET} HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {token}\r\n"
                 f"Content-Length: {len(body)}\r\n\r\n".encode()
                 + body
             )
-            sock.setblocking(False)
-            self.socks.append(sock)
-            self.world.selector.register(sock, 1, lambda: self._read(name, sock))
+            connection.setblocking(False)
+            self.sockets.append(connection)
+            self.world.selector.register(connection, 1, lambda: self._read(name, connection))
 
-    def _read(self, name: str, sock: socket.socket) -> None:
+    def _read(self, name: str, connection: socket.socket) -> None:
         try:
-            data = sock.recv(65536)
+            data = connection.recv(65536)
         except OSError:
             data = b""
         if data.startswith(b"HTTP/1.1 "):
             self.answers[name] = int(data[9:12])
-        self.world.selector.unregister(sock)
-        sock.close()
-        self.socks.remove(sock)
+        self.world.selector.unregister(connection)
+        connection.close()
+        self.sockets.remove(connection)
 
     def close(self) -> None:
-        for sock in self.socks:
+        """Closes the connections that have no answer yet."""
+        for connection in self.sockets:
             with contextlib.suppress(KeyError):
-                self.world.selector.unregister(sock)
-            sock.close()
+                self.world.selector.unregister(connection)
+            connection.close()
 
 
-def lane(job: tuple[int, int, int]) -> dict[str, int]:
-    """`count` trials from number `first`, in one folder."""
+def run_trials(job: tuple[int, int, int]) -> dict[str, int]:
+    """Runs trials in one folder; `job` is the seed, the first trial's number and the count of trials."""
     seed, first, count = job
     store = Store("petit-1", delay_s=0.004)
     world = World([store, Store("parent-1"), Store("origin-1")])
     total: Counter[str] = Counter()
     issued: dict[str, str] = {}
-    shown: list[str] = []
+    used_tokens: list[str] = []
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         classes = [("fichiers", 2500, "idempotent", False), ("commande", 2500, "at_most_once", True)]
@@ -87,56 +89,36 @@
         (folder / "stores.csv").write_text(
             "name,address,zone,kind,size\n"
             + "".join(
-                f"{s.name},{s.address},{'praia' if s.name.startswith('petit') else 'hub-nord'},"
-                f"{s.name.split('-')[0]},8\n"
-                for s in world.stores
-            )
-        )
-        key = {"kty": "oct", "kid": "k", "alg": "HS256", "k": jwt.utils.base64url_encode(SECRET).decode()}
-        (folder / "keys.json").write_text(json.dumps({"union": {"keys": [key]}}))
-        operator = folder / "operator.yaml"
-        operator.write_text(
-            "name: praia-1\nlisten: 127.0.0.1:0\nsettings: settings.json\ninventory: stores.csv\n"
+                f"{node.name},{node.address},{'praia' if node.name.startswith('petit') else 'hub-nord'},"
+                f"{node.name.split('-')[0]},8\n"
             f"signed: {{public: '{PUBLIC}', keys: keys.json, leeway_s: 0}}\n"
             "memory: {folder: m, interval_s: 0.1}\n"
-        )
-        signer = tokens.read_keys(str(folder / "keys.json"))["k"]
-        gateway = Gateway(operator)
-        gateway.event("ready")
-        time.sleep(1.1)  # tokens of the store's very first second are void
-        gateway.kill()
-        for trial in range(first, first + count):
-            plan = random.Random(f"{seed}/{trial}")
-            life_s, orders = plan.uniform(0.0, 0.5), plan.randrange(4, 16)
-            again = plan.sample(shown, min(REPLAYS, len(shown)))
-            gateway = Gateway(operator)
-            poster = Poster(world, gateway.port())
-            ran_before = dict(store.orders)
-            for token in again:
-                poster.post(token, issued[token])
+        ) signer = tokens.read_keys(str(folder / "keys.json"))["k"] gateway = Gateway(operator)
+        gateway.event("ready") time.sleep(1.1)  # tokens that are issued in the first second of the token
+        store are not valid gateway.kill() for trial in range(first, first + count):
+            plan = random.Random(f"{seed}/{trial}") lifetime_s, orders = plan.uniform(0.0, 0.5),
+            plan.randrange(4, 16) replayed = plan.sample(used_tokens, min(REPLAYS, len(used_tokens)))
+            gateway = Gateway(operator) client = OrderClient(world, gateway.port()) ran_before =
+            dict(store.orders) for token in replayed:
+                client.post(token, issued[token])
             for n in range(orders):
                 token = f"order-{trial:05d}-{n:02d}"
                 issued[token] = tokens.issue(
                     signer, PUBLIC + TARGET, 600, time.time(), aud="praia-1", jti=token
                 )
-                shown.append(token)
+                used_tokens.append(token)
                 world.at(
-                    time.monotonic() + plan.uniform(0, life_s), lambda t=token, p=poster: p.post(t, issued[t])
+                    time.monotonic() + plan.uniform(0, lifetime_s),
+                    lambda t=token, p=client: p.post(t, issued[t]),
                 )
-            world.run(life_s)
-            gateway.kill()
-            world.run(0.02)
-            poster.close()
-            total["trials"] += 1
-            total["orders shown"] += orders
-            total["tokens shown again"] += len(again)
-            total["turned away as used"] += sum(poster.answers.get(t) == 401 for t in again)
-            total["answered 200"] += sum(a == 200 for a in poster.answers.values())
-            total["shown again, good and run once"] += sum(
-                t not in ran_before and store.orders.get(t) == 1 for t in again
+            world.run(lifetime_s) gateway.kill() world.run(0.02) client.close() total["trials"] += 1
+            total["orders shown"] += orders total["tokens shown again"] += len(replayed) total["turned away
+            as used"] += sum(client.answers.get(t) == 401 for t in replayed) total["answered 200"] += sum(a
+            == 200 for a in client.answers.values()) total["shown again, good and run once"] += sum(
+                t not in ran_before and store.orders.get(t) == 1 for t in replayed
             )
             total["opened by a token that had run"] += sum(
-                t in ran_before and poster.answers.get(t) == 200 for t in again
+                t in ran_before and client.answers.get(t) == 200 for t in replayed
             )
             total["snapshots taken up"] += len(gateway.heard("memory_taken_up"))
             total["damaged files met"] += sum(
@@ -152,13 +134,16 @@
 
 
 def run(short: bool, seed: int, trials: int) -> dict[str, Any]:
+    """Runs all trials, each group of them in a process of its own, and adds up their counts."""
     trials = trials or (30 if short else 1000)
-    jobs = [(seed, first, min(LANE, trials - first)) for first in range(0, trials, LANE)]
+    jobs = [
+        (seed, first, min(TRIALS_PER_FOLDER, trials - first)) for first in range(0, trials, TRIALS_PER_FOLDER)
+    ]
     total: Counter[str] = Counter()
     with get_context("spawn").Pool(6) as processes, ThreadPoolExecutor(6) as pool:
-        for found in pool.map(lambda j: processes.apply(lane, (j,)), jobs):
+        for found in pool.map(lambda j: processes.apply(run_trials, (j,)), jobs):
             total.update(found)
-    print(f"seed {seed}, trials 0 to {trials - 1}; one again: lane(({seed}, NUMBER, 1))")
+    print(f"seed {seed}, trials 0 to {trials - 1}; to repeat one: run_trials(({seed}, NUMBER, 1))")
     for name, count in total.items():
         print(f"{name:34} {count}")
     return {**{name.replace(" ", "_").replace(",", ""): count for name, count in total.items()}, "seed": seed}
--- a/benchmarks/notice.py
+++ b/benchmarks/notice.py
@@ -1,7 +1,7 @@
-"""Two ways to notice a storm, on generated arrivals: when each tells it, and what it tells that is none.
+"""Two retry storm detectors on generated arrivals: their detection delay and their false alarms.
 
-Ten minutes of each story by bins of 100 ms, by several seeds; a storm's true span is when repeats of failed
-requests keep the service under half of what is offered.
+Each scenario is sampled in bins of 100 ms, for several seeds. A retry storm is true while retries of failed
+requests keep the served share under half of the offered requests.
 """
 
 from __future__ import annotations
@@ -13,46 +13,46 @@
 
 from olivecourse.storm.notice import BIN_NS, BurstDetector, Detector, Notice, ShareDetector
 
-# A story gives, by bins, the mean of first tries, of repeats, and the part of both that is served in time.
-Row = tuple[float, float, float]
+# A scenario yields for each bin the mean of first attempts, of retries, and the share of both served in time.
+Bin = tuple[float, float, float]
 BINS = 600
 
 
-def _calm(n: int) -> Row:
+def _calm(bin_index: int) -> Bin:
     return 17.0, 0.3, 0.98
 
 
-def _flash_crowd(n: int) -> Row:
-    """Four times the first tries, most of them served; those turned away mostly leave it at that."""
-    return (70.0, 4.0, 0.8) if 200 <= n < 400 else _calm(n)
+def _flash_crowd(bin_index: int) -> Bin:
+    """Four times the usual first attempts, most of them served; refused clients seldom retry."""
+    return (70.0, 4.0, 0.8) if 200 <= bin_index < 400 else _calm(bin_index)
 
 
-def _overload(n: int) -> Row:
-    """First tries only, and half of them refused: much load, no storm."""
-    return (60.0, 1.0, 0.5) if 200 <= n < 400 else _calm(n)
+def _overload(bin_index: int) -> Bin:
+    """Many first attempts, half of them refused, with hardly any retries: overload without a retry storm."""
+    return (60.0, 1.0, 0.5) if 200 <= bin_index < 400 else _calm(bin_index)
 
 
-def _waves(n: int) -> Row:
-    """Popular videos at the full minute: arrivals in bursts, all served."""
-    return (60.0, 0.3, 0.97) if n % 50 < 5 else (13.0, 0.3, 0.98)
+def _waves(bin_index: int) -> Bin:
+    """Bursts of first attempts at regular intervals, nearly all of them served."""
+    return (60.0, 0.3, 0.97) if bin_index % 50 < 5 else (13.0, 0.3, 0.98)
 
 
-def _storm(n: int) -> Row:
-    """An office came back: every failed request comes again, and again."""
-    return (17.0, 60.0, 0.15) if 200 <= n < 350 else _calm(n)
+def _storm(bin_index: int) -> Bin:
+    """A retry storm as after a site's outage: every failed request is retried repeatedly."""
+    return (17.0, 60.0, 0.15) if 200 <= bin_index < 350 else _calm(bin_index)
 
 
-def _synchronous(n: int) -> Row:
-    """The same, all clients on the same clock."""
-    return (17.0, 500.0 if n % 10 == 0 else 2.0, 0.1) if 200 <= n < 350 else _calm(n)
+def _synchronous(bin_index: int) -> Bin:
+    """A retry storm in which all clients retry at the same time."""
+    return (17.0, 500.0 if bin_index % 10 == 0 else 2.0, 0.1) if 200 <= bin_index < 350 else _calm(bin_index)
 
 
-def _slow_burn(n: int) -> Row:
-    """A quarter fails and returns: a storm that never gets loud."""
-    return (17.0, 9.0, 0.45) if 200 <= n < 400 else _calm(n)
+def _slow_burn(bin_index: int) -> Bin:
+    """A retry storm with few retries: over half of all requests fail, with two first attempts per retry."""
+    return (17.0, 9.0, 0.45) if 200 <= bin_index < 400 else _calm(bin_index)
 
 
-STORIES: dict[str, tuple[Callable[[int], Row], tuple[int, int] | None]] = {
+STORIES: dict[str, tuple[Callable[[int], Bin], tuple[int, int] | None]] = {
     "calm": (_calm, None),
     "flash crowd": (_flash_crowd, None),
     "overload": (_overload, None),
@@ -63,62 +63,68 @@
 }
 
 
-def _drawn(source: random.Random, mean: float) -> int:
-    """A Poisson number; by the normal where it is large."""
+def _poisson(rng: random.Random, mean: float) -> int:
+    """Draws a Poisson-distributed count; means above 50 are approximated by a normal distribution."""
     if mean > 50:
-        return max(round(source.gauss(mean, mean**0.5)), 0)
-    count, left = 0, source.expovariate(1.0)
-    while left < mean:
-        count, left = count + 1, left + source.expovariate(1.0)
+        return max(round(rng.gauss(mean, mean**0.5)), 0)
+    count, arrival_time = 0, rng.expovariate(1.0)
+    while arrival_time < mean:
+        count, arrival_time = count + 1, arrival_time + rng.expovariate(1.0)
     return count
 
 
 def bins(story: str, seed: int) -> Iterator[tuple[int, int, int]]:
-    source = random.Random(f"{story}/{seed}")
-    for n in range(BINS):
-        first, repeats, served = STORIES[story][0](n)
-        a, b = _drawn(source, first), _drawn(source, repeats)
-        yield a, b, sum(source.random() < served for _ in range(a + b))
+    """Yields first attempts, retries and requests served in time for each bin of a scenario."""
+    rng = random.Random(f"{story}/{seed}")
+    for bin_index in range(BINS):
+        first, repeats, served = STORIES[story][0](bin_index)
+        first_count, retry_count = _poisson(rng, first), _poisson(rng, repeats)
+        yield first_count, retry_count, sum(rng.random() < served for _ in range(first_count + retry_count))
 
 
 def played(
     story: str, detector: Detector, seed: int
 ) -> tuple[list[float], list[float], tuple[float, float] | None]:
-    """When it told a beginning and an end, and the true span, in seconds."""
+    """Returns when the detector reported the beginnings and ends of storms, and the true span, in seconds."""
     notice, begins, ends = Notice(detector, 0), [], []
-    for n, (first, repeats, useful) in enumerate(bins(story, seed)):
+    for bin_index, (first, repeats, useful) in enumerate(bins(story, seed)):
         notice.arrived(False, first)
         notice.arrived(True, repeats)
         notice.served(useful)
-        for change in notice.advance((n + 1) * BIN_NS):
+        for change in notice.advance((bin_index + 1) * BIN_NS):
             (begins if change.begins else ends).append(change.at / 1e9)
-    true = STORIES[story][1]
-    return begins, ends, None if true is None else (true[0] / 10, true[1] / 10)
+    true_span = STORIES[story][1]
+    return begins, ends, None if true_span is None else (true_span[0] / 10, true_span[1] / 10)
 
 
 def run(short: bool, seed: int, trials: int) -> dict[str, Any]:
+    """Runs both detectors on every scenario and counts false alarms, missed storms and the median delay."""
     found: dict[str, Any] = {"seed": seed}
     repeats = trials or (5 if short else 20)
-    for name, made in (("share", ShareDetector), ("burst", BurstDetector)):
-        false = missed = 0
-        late: list[float] = []
+    for name, detector_type in (("share", ShareDetector), ("burst", BurstDetector)):
+        false_alarms = missed = 0
+        delays: list[float] = []
         for story in STORIES:
-            rows = [played(story, made(), seed * 100 + n) for n in range(repeats)]
-            told = []
-            for begins, _, true in rows:
-                if true is None:
-                    false += len(begins)
-                    told.append(f"{len(begins)} false")
+            rows = [played(story, detector_type(), seed * 100 + bin_index) for bin_index in range(repeats)]
+            results = []
+            for begins, _, true_span in rows:
+                if true_span is None:
+                    false_alarms += len(begins)
+                    results.append(f"{len(begins)} false")
                 else:
-                    hits = [b - true[0] for b in begins if true[0] <= b <= true[1] + 1]
-                    false += len(begins) - len(hits)
-                    missed += not hits
-                    late += hits[:1]
-                    told.append(f"{hits[0]:.1f} s" if hits else "missed")
-            print(f"{name:6} {story:12} {', '.join(told[:8])}")
+                    delays_s = [
+                        retry_count - true_span[0]
+                        for retry_count in begins
+                        if true_span[0] <= retry_count <= true_span[1] + 1
+                    ]
+                    false_alarms += len(begins) - len(delays_s)
+                    missed += not delays_s
+                    delays += delays_s[:1]
+                    results.append(f"{delays_s[0]:.1f} s" if delays_s else "missed")
+            print(f"{name:6} {story:12} {', '.join(results[:8])}")
         found |= {
-            f"{name}_false": false,
+            f"{name}_false": false_alarms,
             f"{name}_missed": missed,
-            f"{name}_notice_s": round(statistics.median(late), 2) if late else None,
+            f"{name}_notice_s": round(statistics.median(delays), 2) if delays else None,
         }
     return found
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -1,10 +1,10 @@
-"""What memory is worth in the first 5 s after a restart, and what it costs.
+"""The benefit of stored memory in the first 5 s after a restart, and its cost.
 
-Ten boxes of which two fail at once and two accept and answer nothing; a gateway learns that, is killed, and
-starts again: without its folder, with it, and with it after all has turned about (what was bad is good and
-the reverse; compared with a start without memory in that turned world). Each repeat is one process of its
-own; some run side by side. Then the loop's stalls with the writer off and on, and the time in which an order
-token becomes durable.
+Two of ten stores fail at once and two accept requests and never answer. A gateway learns this, is killed and
+starts again: without stored memory, with it, and with it after the stores have been inverted (bad ones are
+good and good ones fail), compared with a start without memory on the inverted stores. Each repeat runs in its
+own process, some of them in parallel. Also measured: the event loop's turns with the snapshot writer off and
+on, and the time until an order token is durable.
 """
 
 from __future__ import annotations
@@ -44,17 +44,25 @@
     return path
 
 
-def lane(job: tuple[str, int, float]) -> dict[str, float]:
-    """One repeat in a process of its own: learn, kill, start again, measure."""
+def run_repeat(job: tuple[str, int, float]) -> dict[str, float]:
+    """Runs one repeat: lets a gateway learn, kills it, starts it again, and measures.
+
+    `job` holds the kind of start (one of KINDS), the seed, and the seconds for learning.
+    """
     kind, seed, learn_s = job
-    stores = [Store(f"petit-{i}") for i in range(10)] + [Store("parent-1"), Store("origin-1")]
-    for i, mode in ((1, "failing"), (4, "failing"), (6, "silent"), (8, "silent")):
-        stores[i].mode = mode
+    stores = [Store(f"petit-{store_index}") for store_index in range(10)] + [
+        Store("parent-1"),
+        Store("origin-1"),
+    ]
+    for store_index, mode in ((1, "failing"), (4, "failing"), (6, "silent"), (8, "silent")):
+        stores[store_index].mode = mode
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         world = World(stores)
         operator = _files(folder, stores, kind.endswith("with"))
-        if kind.endswith("with"):  # the others have nothing to learn: a fresh start is what is measured
+        if kind.endswith(
+            "with"
+        ):  # the other kinds measure a start without memory, so nothing has to be learned
             gateway = Gateway(operator)
             load = Load(world, gateway.port(), RATE, seed)
             world.run(learn_s)
@@ -66,12 +74,12 @@
                 store.mode = "failing" if store.mode == "good" else "good"
         gateway = Gateway(operator)
         port = gateway.port()
-        before = {s.name: s.asked for s in stores}
+        before = {store.name: store.asked for store in stores}
         load = Load(world, port, RATE, seed + 1000)
         world.run(MEASURE_S)
-        bad = sum(s.asked - before[s.name] for s in stores if s.mode != "good")
+        bad = sum(store.asked - before[store.name] for store in stores if store.mode != "good")
         load.stop()
-        world.run(1.0)  # the answers of the last second
+        world.run(1.0)  # waits for the answers to the last requests
         tally = load.tally
         taken = gateway.heard("memory_taken_up")
         gateway.kill()
@@ -84,8 +92,11 @@
         }
 
 
-def stalls(seconds: float, on: bool) -> float:
-    """The p99 of a loop's turns from waking to end, in ms, with a Router of 60 stores at work on it."""
+def stalls(seconds: float, snapshots: bool) -> float:
+    """Returns the 99th percentile of an event loop's turns, in ms, while a Router with 60 stores runs on it.
+
+    `snapshots` tells whether the snapshot writer runs.
+    """
     from olivecourse import interface as w
     from olivecourse.config.settings import nested_pairs, read_settings
     from olivecourse.core.planner import Planner
@@ -95,18 +106,21 @@
 
     with tempfile.TemporaryDirectory() as name:
         loop = Loop()
-        made = read_settings(1, nested_pairs(settings([("fichiers", 2500, "idempotent", False)])))
-        planner = Planner(made, loop.clock.now(), lambda *a, **k: None)
+        parsed_settings = read_settings(1, nested_pairs(settings([("fichiers", 2500, "idempotent", False)])))
+        planner = Planner(parsed_settings, loop.clock.now(), lambda *args, **kwargs: None)
         keeper = None
-        if on:
+        if snapshots:
             section = MemorySection(name, interval_s=0.2)  # ten times as often as by default
-            keeper = Keeper(loop, MemoryConfig(Path(name), None, section), "n", lambda *a, **k: None)
+            keeper = Keeper(loop, MemoryConfig(Path(name), None, section), "n", lambda *args, **kwargs: None)
             keeper.adopt(planner.router)
             keeper.start()
-        members = tuple(w.Member(i, 8.0, 0, 1, kind=0, life=f"127.0.0.1:{i}@0") for i in range(1, 61))
+        members = tuple(
+            w.Member(store_index, 8.0, 0, 1, kind=0, life=f"127.0.0.1:{store_index}@0")
+            for store_index in range(1, 61)
+        )
         planner.decide([w.CacheList(1, w.ListKind.HELD, members)], loop.clock.now())
-        planner.decide([w.Purged(f"{i:016x}") for i in range(500)], loop.clock.now())
-        late: list[float] = []
+        planner.decide([w.Purged(f"{store_index:016x}") for store_index in range(500)], loop.clock.now())
+        turns_ms: list[float] = []
         count = 0
 
         def tick() -> None:
@@ -114,11 +128,15 @@
             count += 1
             request = f"{count:016x}"
             now = loop.clock.now()
-            acts = planner.decide([w.Request(request, 0, object=f"{count % 900:016x}", size_kb=80.0)], now)
-            for act in acts:
-                if isinstance(act, w.ReadThrough):
+            actions = planner.decide([w.Request(request, 0, object=f"{count % 900:016x}", size_kb=80.0)], now)
+            for action in actions:
+                if isinstance(action, w.ReadThrough):
                     planner.decide(
-                        [w.AttemptEnded(request, 0, act.cache, w.Status.SERVED, 1_000_000, True, w.Note.HIT)],
+                        [
+                            w.AttemptEnded(
+                                request, 0, action.cache, w.Status.SERVED, 1_000_000, True, w.Note.HIT
+                            )
+                        ],
                         now,
                     )
             loop.after(2_000_000, tick)
@@ -127,45 +145,49 @@
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             loop.turn()
-            late.append((loop.clock.now() - loop._woke) / 1e6)
+            turns_ms.append((loop.clock.now() - loop._woke) / 1e6)
         if keeper is not None:
             assert keeper.schedule.written >= seconds
             keeper.stop()
         loop.close()
-        return sorted(late)[int(len(late) * 0.99)]
+        return sorted(turns_ms)[int(len(turns_ms) * 0.99)]
 
 
 def commits(count: int, per_s: float) -> list[float]:
-    """How long each of `count` order tokens takes to be durable, in ms; open loop at `per_s`."""
+    """Returns the sorted times in ms until order tokens are durable.
+
+    `count` tokens are written at a rate of `per_s`, whether or not earlier ones are durable (open loop).
+    """
     from olivecourse.memory.section import MemoryConfig, MemorySection
     from olivecourse.memory.tokenstore import DurableSpent
     from olivecourse.net.loop import Loop
 
     with tempfile.TemporaryDirectory(dir=Path.cwd()) as name:  # on a disk: /tmp may be memory
-        loop, took = Loop(), []
+        loop, durations_ms = Loop(), []
         spent = DurableSpent(
-            loop, MemoryConfig(Path(name), None, MemorySection(name)), "n", 3.0, lambda *a, **k: None
+            loop, MemoryConfig(Path(name), None, MemorySection(name)), "n", 3.0, lambda *args, **kwargs: None
         )
 
-        def one(number: int, due: int) -> None:
+        def spend_token(number: int, due: int) -> None:
             token = f"issuer\n{number:032x}"
             spent.spend(token, time.time() + 600, time.time())
-            if spent.when_durable(token, lambda good: took.append((loop.clock.now() - due) / 1e6)):
-                took.append((loop.clock.now() - due) / 1e6)
+            if spent.when_durable(token, lambda durable: durations_ms.append((loop.clock.now() - due) / 1e6)):
+                durations_ms.append((loop.clock.now() - due) / 1e6)
 
         start = loop.clock.now()
         for number in range(count):
             due = start + int(number / per_s * 1e9)
-            loop.after(due - start, lambda n=number, d=due: one(n, d))
+            loop.after(due - start, lambda n=number, d=due: spend_token(n, d))
         end = time.monotonic() + count / per_s + 5
-        while len(took) < count and time.monotonic() < end:
+        while len(durations_ms) < count and time.monotonic() < end:
             loop.turn(5_000_000)
         spent.stop()
         loop.close()
-        return sorted(took)
+        return sorted(durations_ms)
 
 
 def run(short: bool, seed: int, trials: int) -> dict[str, Any]:
+    """Measures all kinds of start, the loop's turns, and the commits of order tokens."""
     repeats = trials or 5 if short else trials or 10
     learn_s = 4.0 if short else 10.0
     jobs = [
@@ -177,7 +199,9 @@
     with ThreadPoolExecutor(7) as pool:  # each waits for one process, which uses about a third of a core
         context = get_context("spawn")
         with context.Pool(7) as processes:
-            for job, result in zip(jobs, pool.map(lambda j: processes.apply(lane, (j,)), jobs), strict=True):
+            for job, result in zip(
+                jobs, pool.map(lambda j: processes.apply(run_repeat, (j,)), jobs), strict=True
+            ):
                 found[job[0]].append(result)
     for kind in KINDS:
         print(
@@ -189,13 +213,13 @@
     def mean(kind: str, what: str) -> float:
         return statistics.fmean(r[what] for r in found[kind])
 
-    off, on = [], []
+    off, snapshots = [], []
     for _ in range(2 if short else 5):
         off.append(stalls(1.0 if short else 5.0, False))
-        on.append(stalls(1.0 if short else 5.0, True))
-    took = commits(200 if short else 1000, 100.0)
+        snapshots.append(stalls(1.0 if short else 5.0, True))
+    durations_ms = commits(200 if short else 1000, 100.0)
     turned = mean("turned_with", "service") / max(mean("turned_without", "service"), 1e-9)
-    services = {k: [r["service"] for r in found[k]] for k in ("with", "without")}
+    services = {kwargs: [r["service"] for r in found[kwargs]] for kwargs in ("with", "without")}
     return {
         "bad_sends_without": round(mean("without", "bad"), 1),
         "bad_sends_with": round(mean("with", "bad"), 1),
@@ -205,9 +229,11 @@
         "service_with_range": [round(f(services["with"]), 4) for f in (min, max)],
         "late_fresh_box": round(turned, 4),
         "loop_stall_ms_p99_off": round(statistics.median(off), 3),
-        "loop_stall_ms_p99_on": round(statistics.median(on), 3),
-        "order_commit_ms_p50": round(took[len(took) // 2], 2) if took else None,
-        "order_commit_ms_p99": round(took[int(len(took) * 0.99)], 2) if took else None,
+        "loop_stall_ms_p99_on": round(statistics.median(snapshots), 3),
+        "order_commit_ms_p50": round(durations_ms[len(durations_ms) // 2], 2) if durations_ms else None,
+        "order_commit_ms_p99": round(durations_ms[int(len(durations_ms) * 0.99)], 2)
+        if durations_ms
+        else None,
         "repeats": repeats,
         "seed": seed,
     }
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -1,10 +1,10 @@
-"""Drains and releases agreed across a fleet of real processes, with faults between them.
+"""Drains and releases that a fleet of real gateway processes coordinates while faults are injected.
 
-A run is one seeded script of faults on a fleet at work: operators at several gateways want stores out at
-once, or a release is on its way and halted. An observer of the stores counts samples in which more were out
-than the budget allows; the form without agreement, in which each operator's call goes to every gateway as
-today, is played beside it. Bad versions, service during a release, cost from 3 to 200 members and the model
-checker are measured too.
+A run is one seeded script of faults on a working fleet, while operators at several gateways drain stores at
+the same time, or while a release is halted. Samples in which more stores are out than the budget allows are
+counted. For comparison some runs do without coordination: each operator's call goes to every gateway. Also
+measured are releases of a faulty version, the service during a release, the idle cost for 3 to 200
+gateways, and the model checker.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 from olivecourse.emulator.faults import draw
 from olivecourse.modelcheck import places as model
 
-SCRIPT_S = 2.5  # of faults
-SETTLE_S = 12.0  # by then every place is given back, or the run has failed to end
-RUNS_A_FLEET = 10  # before a fleet is started anew
+SCRIPT_S = 2.5  # length of a fault script
+SETTLE_S = 12.0  # a run has failed to end if a store is still leased out after this time
+RUNS_A_FLEET = 10  # runs on one fleet before a new one is started
 
 
 def drains(fleet: Fleet, seed: int) -> dict[str, Any]:
-    """Three to five operators want a store each, at once, while faults are on."""
+    """Three to five operators drain a store each at the same time, while faults are injected."""
     rng = random.Random(seed)
     script = draw(seed, fleet.names, SCRIPT_S)
     over, began = fleet.over, time.monotonic()
@@ -51,12 +51,15 @@
         if any(state != "in" for state in fleet.state.values()):
             return False
         found = [fleet.status(name) for name in fleet.names]
-        return all(s and not any(g["places"] or g["waiting"] for g in s["groups"].values()) for s in found)
+        return all(
+            status and not any(group["places"] or group["waiting"] for group in status["groups"].values())
+            for status in found
+        )
 
     ended = (
         fleet.until(quiet, SETTLE_S)
         if fleet.agree
-        else fleet.until(lambda: all(s == "in" for s in fleet.state.values()), SETTLE_S)
+        else fleet.until(lambda: all(status == "in" for status in fleet.state.values()), SETTLE_S)
     )
     return {
         "seed": seed,
@@ -70,8 +73,10 @@
 
 
 def halts(fleet: Fleet, seed: int) -> dict[str, Any]:
-    """A release begins and is halted at once by another gateway, with a tenth of all datagrams lost; then all
-    processes are killed in the same moment, and the halt has to be there when they are back."""
+    """A release starts and is halted at once through another gateway, while a tenth of all datagrams is lost.
+
+    Then all processes are killed at the same time, and the halt must still hold when they are back.
+    """
     rng = random.Random(seed)
     found = {
         "seed": seed,
@@ -83,23 +88,23 @@
         "halted_s": [],
     }
     over = fleet.over
-    here, there = rng.sample(fleet.names, 2)
+    planned_at, halted_at = rng.sample(fleet.names, 2)
     version = f"v{seed}"
-    before = fleet.versions[here]
+    before = fleet.versions[planned_at]
     plan = {"version": version, "before": before, "waves": [50, 100], "soak_s": 30.0, "gates": False}
     fleet.network.weather.loss = 0.1
-    steps = [fleet.say(here, "plan", plan=plan), fleet.say(here, "start")]
+    steps = [fleet.say(planned_at, "plan", plan=plan), fleet.say(planned_at, "start")]
     if not all(step.get("ok") for step in steps):
-        fleet.until(lambda: fleet.status(here)["release"]["state"] in ("planned", "running"), 2)
+        fleet.until(lambda: fleet.status(planned_at)["release"]["state"] in ("planned", "running"), 2)
     began = time.monotonic()
-    acked = fleet.say(there, "halt", why="by hand")
+    halt_answer = fleet.say(halted_at, "halt", why="by hand")
 
     def held(name: str) -> bool:
         return bool(fleet.status(name).get("release", {}).get("held_here"))
 
-    everywhere = fleet.until(lambda: all(map(held, fleet.names)), 4)
-    if acked.get("ok"):
-        found["halted_s"].append(time.monotonic() - began if everywhere else 9.0)
+    held_everywhere = fleet.until(lambda: all(map(held, fleet.names)), 4)
+    if halt_answer.get("ok"):
+        found["halted_s"].append(time.monotonic() - began if held_everywhere else 9.0)
         for name in fleet.names:
             fleet.end(name)
         for name in rng.sample(fleet.names, len(fleet.names)):
@@ -108,23 +113,27 @@
         fleet.until(lambda: all(fleet.status(n) for n in fleet.names), 6)
         found["halts_lost"] = sum(not fleet.until(lambda n=n: held(n), 3) for n in fleet.names)
     fleet.network.weather.loss = 0.0
-    fleet.until(lambda: fleet.say(here, "rollback").get("ok"), 8)
+    fleet.until(lambda: fleet.say(planned_at, "rollback").get("ok"), 8)
     found["ended"] = fleet.until(
-        lambda: fleet.status(here).get("release", {}).get("state") == "done", SETTLE_S
+        lambda: fleet.status(planned_at).get("release", {}).get("state") == "done", SETTLE_S
     )
     found["over"] = fleet.over - over
     return found
 
 
 def play(job: tuple[int, int, int, bool, str]) -> list[dict[str, Any]]:
-    """Some runs on one fleet."""
+    """Performs consecutive runs on one fleet; every fifth run with coordination is a halted release.
+
+    `job` holds the first seed, the number of runs, the number of gateways, whether they coordinate, and the
+    form of agreement. The last row counts the orders that ran twice.
+    """
     first, count, gateways, agree, agreement = job
     found = []
     with tempfile.TemporaryDirectory() as name:
         fleet = Fleet(Path(name), gateways, 3, seed=first, agree=agree, agreement=agreement)
         try:
             if not fleet.ready():
-                raise RuntimeError(f"not ready: {[g.lines[-2:] for g in fleet.running.values()]}")
+                raise RuntimeError(f"not ready: {[group.lines[-2:] for group in fleet.running.values()]}")
             for seed in range(first, first + count):
                 run = halts(fleet, seed) if agree and seed % 5 == 0 else drains(fleet, seed)
                 found.append({**run, "form": agreement if agree else "off"})
@@ -141,9 +150,11 @@
 
 
 def release(seed: int, agree: bool, bad: bool, gateways: int = 10) -> dict[str, Any]:
-    """One release through a fleet under load: the share of gateways that got the version, and the service
-    from the first word to the end. Without agreement a script replaces one gateway after the other, each as
-    soon as the last one says that it is ready, as today."""
+    """Performs one release on a fleet under load.
+
+    Returns the share of gateways that got the version, and the served share before and during the release.
+    Without coordination a script replaces the gateways one by one, each as soon as the previous one is ready.
+    """
     with tempfile.TemporaryDirectory() as name:
         fleet = Fleet(Path(name), gateways, 3, seed=seed, agree=agree, rate=12.0)
         try:
@@ -167,11 +178,12 @@
                 fleet.say("n0", "start")
                 fleet.until(lambda: fleet.state_of("n0") in ("done", "halted"), 90)
             else:
-                for one in fleet.names:
-                    fleet.replace(one, "v2")
+                for gateway in fleet.names:
+                    fleet.replace(gateway, "v2")
                     fleet.until(
-                        lambda one=one: (
-                            fleet.versions[one] == "v2" and fleet.call(one, "GET", "/ops/readiness")[0] == 200
+                        lambda gateway=gateway: (
+                            fleet.versions[gateway] == "v2"
+                            and fleet.call(gateway, "GET", "/ops/readiness")[0] == 200
                         ),
                         15,
                     )
@@ -189,7 +201,7 @@
 
 
 def cost(members: int, seed: int) -> float:
-    """Datagrams a second and gateway while nothing happens, in one process on a virtual clock."""
+    """Returns the datagrams per second that an idle gateway sends, simulated on a virtual clock."""
     from random import Random
 
     from olivecourse.rollout.budgets import Budget
@@ -199,13 +211,13 @@
     offices = {n: f"gateways:{n // 8}" for n in fleet}
     setups = [Setup(n, fleet, fleet[:5], offices, dict.fromkeys(fleet, 1.0), Budget()) for n in fleet]
     now, sent = 10**18, 0
-    made = [Member(s, 1, "v1", {}, Random(seed + s.me), now) for s in setups]
+    nodes = [Member(status, 1, "v1", {}, Random(seed + status.me), now) for status in setups]
     inbox: list[list[tuple[int, Any]]] = [[] for _ in fleet]
-    for _ in range(250):  # five seconds
+    for _ in range(250):  # 250 ticks of 20 ms are 5 s
         now += 20_000_000
-        for member in made:
-            came, inbox[member.setup.me] = inbox[member.setup.me], []
-            for sender, message in came:
+        for member in nodes:
+            arrived_messages, inbox[member.setup.me] = inbox[member.setup.me], []
+            for sender, message in arrived_messages:
                 member.heard(sender, message, now)
             member.tick(now)
             for target, message in member.taken().sends:
@@ -215,37 +227,39 @@
 
 
 def percentile(values: list[float], share: float) -> float | None:
+    """Returns the value below which `share` of the values lie, or None without values."""
     return round(sorted(values)[min(int(len(values) * share), len(values) - 1)], 3) if values else None
 
 
 def run(short: bool, seed: int, trials: int) -> dict[str, Any]:
-    """Within 55 s in the short form; 1,000 runs in the long one."""
+    """Performs 1,000 runs, or 16 in the short form, which takes at most 55 s."""
     runs = trials or (16 if short else 1000)
-    each = min(RUNS_A_FLEET, max(runs // 4, 1))
+    runs_per_fleet = min(RUNS_A_FLEET, max(runs // 4, 1))
     sizes = (3, 5, 7)
     jobs = [
-        (seed + i, min(each, runs - i), sizes[i // each % 3], True, "majority") for i in range(0, runs, each)
+        (seed + i, min(runs_per_fleet, runs - i), sizes[i // runs_per_fleet % 3], True, "majority")
+        for i in range(0, runs, runs_per_fleet)
     ]
-    off = [(seed + 500_000, 2 if short else 20, 5, False, "majority")]
-    planner = [] if short else [(seed + 600_000, 20, 5, True, "planner")]
+    uncoordinated_jobs = [(seed + 500_000, 2 if short else 20, 5, False, "majority")]
+    planner_jobs = [] if short else [(seed + 600_000, 20, 5, True, "planner")]
     with ProcessPoolExecutor(4 if short else 6) as pool, ProcessPoolExecutor(3) as others:
         checking = others.submit(model.check_all, short)
         releases = [] if short else [others.submit(release, *job) for job in repeats(seed)]
-        rows = [row for found in pool.map(play, jobs + planner + off) for row in found]
+        rows = [row for found in pool.map(play, jobs + planner_jobs + uncoordinated_jobs) for row in found]
         checked = checking.result()
         released = [future.result() for future in releases]
-    without = [row for row in rows if row.get("form") == "off"]
-    alone = [row for row in rows if row.get("form") == "planner"]
+    uncoordinated = [row for row in rows if row.get("form") == "off"]
+    planner_rows = [row for row in rows if row.get("form") == "planner"]
     played = [row for row in rows if row.get("form") == "majority"]
-    grants = [g for row in played for g in row["grants"]]
-    halted = [h for row in played for h in row["halted_s"]]
+    grants = [group for row in played for group in row["grants"]]
+    halted = [halt_s for row in played for halt_s in row["halted_s"]]
     found = {
         "runs": len(played),
         "faults": sum(row["faults"] for row in played),
         "over_budget": sum(row["over"] for row in played),
-        "over_budget_off": sum(row["over"] for row in without),
-        "granted": [len(grants), 0 if short else sum(len(r["grants"]) for r in alone)],
-        "over_budget_planner": None if short else sum(r["over"] for r in alone),
+        "over_budget_off": sum(row["over"] for row in uncoordinated),
+        "granted": [len(grants), 0 if short else sum(len(r["grants"]) for r in planner_rows)],
+        "over_budget_planner": None if short else sum(r["over"] for r in planner_rows),
         "halts": len(halted),
         "halts_lost": sum(row["halts_lost"] for row in played),
         "unsafe_twice": sum(row["unsafe"] for row in rows if "unsafe" in row),
@@ -261,18 +275,21 @@
         "bad_release_reached_off": None,
     }
     if not short:
-        found |= longer(seed, released)
+        found |= long_form_results(seed, released)
         _charts.rollout(found)
     return {**found, "seed": seed}
 
 
 def repeats(seed: int) -> list[tuple[int, bool, bool]]:
-    """Five repeats of a good and of a bad version, with agreement and without: see `release`."""
+    """Returns the arguments of `release` for five repeats of a good and of a faulty version.
+
+    Each is released with and without coordination.
+    """
     return [(seed + n, agree, bad) for n in range(5) for agree in (True, False) for bad in (False, True)]
 
 
-def longer(seed: int, played: list[dict[str, Any]]) -> dict[str, Any]:
-    """What the releases showed, and the cost for each node."""
+def long_form_results(seed: int, played: list[dict[str, Any]]) -> dict[str, Any]:
+    """Returns the results that only the long form has: releases, and the idle cost per gateway."""
     jobs = repeats(seed)
 
     def rows(what: str, agree: bool, bad: bool) -> list[float]:
