--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -89,17 +89,32 @@
         (folder / "stores.csv").write_text(
             "name,address,zone,kind,size\n"
             + "".join(
-                f"{node.name},{node.address},{'praia' if node.name.startswith('petit') else 'hub-nord'},"
-                f"{node.name.split('-')[0]},8\n"
+                f"{s.name},{s.address},{'praia' if s.name.startswith('petit') else 'hub-nord'},"
+                f"{s.name.split('-')[0]},8\n"
+                for s in world.stores
+            )
+        )
+        key = {"kty": "oct", "kid": "k", "alg": "HS256", "k": jwt.utils.base64url_encode(SECRET).decode()}
+        (folder / "keys.json").write_text(json.dumps({"union": {"keys": [key]}}))
+        operator = folder / "operator.yaml"
+        operator.write_text(
+            "name: praia-1\nlisten: 127.0.0.1:0\nsettings: settings.json\ninventory: stores.csv\n"
             f"signed: {{public: '{PUBLIC}', keys: keys.json, leeway_s: 0}}\n"
             "memory: {folder: m, interval_s: 0.1}\n"
-        ) signer = tokens.read_keys(str(folder / "keys.json"))["k"] gateway = Gateway(operator)
-        gateway.event("ready") time.sleep(1.1)  # tokens that are issued in the first second of the token
-        store are not valid gateway.kill() for trial in range(first, first + count):
-            plan = random.Random(f"{seed}/{trial}") lifetime_s, orders = plan.uniform(0.0, 0.5),
-            plan.randrange(4, 16) replayed = plan.sample(used_tokens, min(REPLAYS, len(used_tokens)))
-            gateway = Gateway(operator) client = OrderClient(world, gateway.port()) ran_before =
-            dict(store.orders) for token in replayed:
+        )
+        signer = tokens.read_keys(str(folder / "keys.json"))["k"]
+        gateway = Gateway(operator)
+        gateway.event("ready")
+        time.sleep(1.1)  # tokens of the token store's first second are refused
+        gateway.kill()
+        for trial in range(first, first + count):
+            plan = random.Random(f"{seed}/{trial}")
+            lifetime_s, orders = plan.uniform(0.0, 0.5), plan.randrange(4, 16)
+            replayed = plan.sample(used_tokens, min(REPLAYS, len(used_tokens)))
+            gateway = Gateway(operator)
+            client = OrderClient(world, gateway.port())
+            ran_before = dict(store.orders)
+            for token in replayed:
                 client.post(token, issued[token])
             for n in range(orders):
                 token = f"order-{trial:05d}-{n:02d}"
@@ -111,10 +126,16 @@
                     time.monotonic() + plan.uniform(0, lifetime_s),
                     lambda t=token, p=client: p.post(t, issued[t]),
                 )
-            world.run(lifetime_s) gateway.kill() world.run(0.02) client.close() total["trials"] += 1
-            total["orders shown"] += orders total["tokens shown again"] += len(replayed) total["turned away
-            as used"] += sum(client.answers.get(t) == 401 for t in replayed) total["answered 200"] += sum(a
-            == 200 for a in client.answers.values()) total["shown again, good and run once"] += sum(
+            world.run(lifetime_s)
+            gateway.kill()
+            world.run(0.02)
+            client.close()
+            total["trials"] += 1
+            total["orders shown"] += orders
+            total["tokens shown again"] += len(replayed)
+            total["turned away as used"] += sum(client.answers.get(t) == 401 for t in replayed)
+            total["answered 200"] += sum(a == 200 for a in client.answers.values())
+            total["shown again, good and run once"] += sum(
                 t not in ran_before and store.orders.get(t) == 1 for t in replayed
             )
             total["opened by a token that had run"] += sum(
@@ -141,7 +162,7 @@
     ]
     total: Counter[str] = Counter()
     with get_context("spawn").Pool(6) as processes, ThreadPoolExecutor(6) as pool:
-        for found in pool.map(lambda j: processes.apply(run_trials, (j,)), jobs):
+        for found in pool.map(lambda job: processes.apply(run_trials, (job,)), jobs):
             total.update(found)
     print(f"seed {seed}, trials 0 to {trials - 1}; to repeat one: run_trials(({seed}, NUMBER, 1))")
     for name, count in total.items():
