--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: `python -m benchmarks NAME [--short] [--seed N]`. The last line printed is JSON."""
+"""Benchmarks, run by `python -m benchmarks NAME [--short] [--seed N]`; the last line printed is JSON."""
--- a/benchmarks/_charts.py
+++ b/benchmarks/_charts.py
@@ -1,4 +1,4 @@
-"""Charts of what a benchmark measured, beside its page under docs/results/."""
+"""Charts of benchmark results, written to docs/results/."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 
-def rollout(found: dict[str, Any], path: Path = ROOT / "docs" / "results" / "rollout.png") -> None:
-    """Service and reach of a release with agreement and without, and the cost for each gateway."""
+def rollout(results: dict[str, Any], path: Path = ROOT / "docs" / "results" / "rollout.png") -> None:
+    """Draws the service and reach of releases with and without coordination, and the idle cost per gateway."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -20,11 +20,11 @@
         (service, "service_during", "service during a good release"),
         (reached, "bad_release_reached", "share that got a bad release"),
     ):
-        axis.boxplot([found[key], found[f"{key}_off"]], tick_labels=["agreed", "a script of today"])
+        axis.boxplot([results[key], results[f"{key}_off"]], tick_labels=["agreed", "a script of today"])
         axis.set_title(title)
     service.set_ylabel("served / asked")
-    sizes = found["datagrams_a_second"]
-    cost.plot([int(n) for n in sizes], list(sizes.values()), marker="o")
+    sizes = results["datagrams_a_second"]
+    cost.plot([int(gateways) for gateways in sizes], list(sizes.values()), marker="o")
     cost.set_xscale("log")
     cost.set_ylim(bottom=0)
     cost.set_title("idle cost of each gateway")
--- a/benchmarks/_deployment.py
+++ b/benchmarks/_deployment.py
@@ -1,4 +1,4 @@
-"""A fleet of hollow and real gateways with whatever answers their polls, as processes on loopback."""
+"""A fleet of hollow and real gateways, and the servers that answer their polls, as processes on loopback."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from types import TracebackType
 from typing import Any, Protocol
 
-from benchmarks._processes import JsonProcess, Said, native, processor_s, resident_mb, wait_until
+from benchmarks._processes import JsonObject, JsonProcess, native, processor_s, resident_mb, wait_until
 from benchmarks._program import Gateway
 from olivecourse.emulator.settings import settings
 
 CLASSES = [("fichiers", 2500, "idempotent", False), ("commande", 2500, "at_most_once", True)]
 SOCKETS = 1_024
-MAIN, CUT, REAL, IDLE, SERVED = "main", "cut", "real", "idle", "served"  # ports, by who polls there
+MAIN, CUT, REAL, IDLE, SERVED = "main", "cut", "real", "idle", "served"  # groups of gateways, one port each
 SETTLE_S = 30.0
 
 
 def store_list(count: int) -> list[dict[str, Any]]:
-    """So many stores as discovery lists them; their addresses are never connected to without a request."""
+    """Returns `count` stores as discovery lists them; nothing listens at their addresses."""
     return [
         {
             "id": f"s-{number:08x}",
@@ -37,34 +37,36 @@
     ]
 
 
-class Answerers(Protocol):
-    """Whoever answers the polls of gateways."""
+class PollServers(Protocol):
+    """The servers that answer the polls of gateways: the discovery service or relays."""
 
     def address(self, group: str) -> str:
-        """Where the gateways of a group poll."""
+        """Returns the address that the gateways of a group poll."""
         ...
 
     def others(self, group: str) -> list[str]:
-        """To whom they turn where that one fails."""
+        """Returns the addresses that the gateways of a group poll if the first one fails."""
         ...
 
     def pids(self) -> list[int]:
-        """The processes that answer polls."""
+        """Returns the ids of the processes that answer polls."""
         ...
 
     def kill(self) -> None:
-        """Ends one of them at once."""
+        """Kills one of the processes."""
         ...
 
     def restart(self) -> None:
-        """Starts again what `kill` has ended."""
+        """Starts the process again that `kill` has ended."""
         ...
 
-    def traffic(self) -> dict[str, Said]:
-        """By group, polls and bytes since the start: `polls`, `bytes_in`, `bytes_out`."""
+    def traffic(self) -> dict[str, JsonObject]:
+        """Returns polls and bytes since the start by group: `polls`, `bytes_in`, `bytes_out`."""
         ...
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Ends the processes."""
+        ...
 
 
 class Discovery:
@@ -73,46 +75,50 @@
     def __init__(self, folder: Path) -> None:
         self._state = folder / "discovery-events"
         self._ports: dict[str, tuple[int, bool]] = {}
-        self.purged: list[Said] = []  # purges of objects that clients ask for
+        self.purged: list[JsonObject] = []  # published purges of objects that clients request
         self._process = self._start()
 
     def _start(self) -> JsonProcess:
-        return JsonProcess("_standin_discovery", str(self._state), heard=self.purged.append)
+        return JsonProcess("_standin_discovery", str(self._state), on_event=self.purged.append)
 
-    def do(self, do: str, **more: Any) -> Said:
-        return self._process.do(do, **more)
+    def call(self, command: str, **more: Any) -> JsonObject:
+        """Sends a command to the process and returns its answer."""
+        return self._process.call(command, **more)
 
     def open(self, name: str, muted: bool = False) -> str:
-        """A port of its own; the address."""
-        number = self.do("port", name=name, muted=muted)["port"]
+        """Opens a port for a group and returns its address; a muted port announces no events."""
+        number = self.call("port", name=name, muted=muted)["port"]
         self._ports[name] = (number, muted)
         return f"127.0.0.1:{number}"
 
     def address(self, name: str) -> str:
+        """Returns the address of a group's port, which is opened if needed."""
         return f"127.0.0.1:{self._ports[name][0]}" if name in self._ports else self.open(name)
 
-    def state(self) -> Said:
-        return self.do("state")
+    def state(self) -> JsonObject:
+        """Returns the last revision, the number of purges and the traffic of each port."""
+        return self.call("state")
 
     @property
     def pid(self) -> int:
         return self._process.pid
 
     def kill(self) -> None:
+        """Kills the process."""
         self._process.kill()
 
     def restart(self) -> None:
-        """With the events and the ports that it had; its counts of traffic begin anew."""
+        """Starts the process again with its events and ports; traffic counts restart at zero."""
         self._process = self._start()
         for name, (number, muted) in self._ports.items():
-            self.do("port", name=name, number=number, muted=muted)
+            self.call("port", name=name, number=number, muted=muted)
 
     def close(self) -> None:
         self._process.kill()
 
 
 class Direct:
-    """Gateways poll the discovery service itself."""
+    """The poll server of gateways that poll the discovery service itself, without relays."""
 
     def __init__(self, discovery: Discovery) -> None:
         self._discovery = discovery
@@ -132,24 +138,25 @@
     def restart(self) -> None:
         self._discovery.restart()
 
-    def traffic(self) -> dict[str, Said]:
-        found: dict[str, Said] = self._discovery.state()["ports"]
+    def traffic(self) -> dict[str, JsonObject]:
+        found: dict[str, JsonObject] = self._discovery.state()["ports"]
         return found
 
     def close(self) -> None:
-        """The discovery service belongs to the deployment."""
+        """Does nothing: the deployment ends the discovery service."""
 
 
 @dataclass(frozen=True)
-class InForce:
-    """Times from a publication until it was in force, over all gateways, in ms."""
+class PropagationTimes:
+    """Statistics over all gateways of the times from a publication until a gateway has applied it."""
 
     count: int
     median_ms: float
     p99_ms: float
     longest_ms: float
 
-    def row(self) -> Said:
+    def row(self) -> JsonObject:
+        """Returns the statistics under their names in the results."""
         return {
             "count": self.count,
             "median_ms": self.median_ms,
@@ -158,15 +165,15 @@
         }
 
 
-def in_force(rows: list[Said]) -> InForce:
-    """Adds up the times that processes counted; quantiles are those of the counted milliseconds."""
+def merge_times(rows: list[JsonObject]) -> PropagationTimes:
+    """Merges the histograms of several processes; quantiles have a resolution of 1 ms."""
     counts: dict[int, int] = {}
     for row in rows:
         for ms, count in row["counts"]:
             counts[ms] = counts.get(ms, 0) + count
     total = sum(counts.values())
     longest = max((row["longest_us"] for row in rows), default=0) / 1_000
-    return InForce(total, _quantile(counts, total, 0.5), _quantile(counts, total, 0.99), longest)
+    return PropagationTimes(total, _quantile(counts, total, 0.5), _quantile(counts, total, 0.99), longest)
 
 
 def _quantile(counts: dict[int, int], total: int, share: float) -> float:
@@ -179,7 +186,7 @@
 
 
 @dataclass
-class Hollow:
+class HollowProcess:
     """A process of hollow gateways."""
 
     process: JsonProcess
@@ -187,25 +194,28 @@
     count: int
 
     def gateway_mb(self) -> float:
-        """Resident memory of one gateway, by difference to the process without any."""
+        """Returns the resident memory per gateway beyond that of the process without gateways, in MB."""
         empty: float = self.process.wait_started()["empty_mb"]
         return (resident_mb(self.process.pid) - empty) / self.count
 
 
 class Deployment:
-    """Everything that a run starts; all of it is ended, each by its id, when the block ends."""
+    """All processes of a run: discovery service, poll servers and gateways.
+
+    As a context manager it kills each of them, by its own id, at the end of the block.
+    """
 
     def __init__(self, folder: Path, stores: list[dict[str, Any]], seed: int = 1) -> None:
         self.folder, self.seed, self.stores = folder, seed, stores
         folder.mkdir(parents=True, exist_ok=True)
-        self.hollows: list[Hollow] = []
+        self.hollows: list[HollowProcess] = []
         self.reals: list[Gateway] = []
         self._first = 0
         self._files = 0
         self.discovery = Discovery(folder)
-        self.answerers: Answerers = Direct(self.discovery)
+        self.poll_servers: PollServers = Direct(self.discovery)
         self.discovery.open(IDLE, muted=True)
-        self.discovery.do("pool", pool={"revision": 1, "complete": True, "members": stores})
+        self.discovery.call("pool", pool={"revision": 1, "complete": True, "members": stores})
 
     def __enter__(self) -> Deployment:
         return self
@@ -216,125 +226,137 @@
         self.close()
 
     def close(self) -> None:
+        """Kills all processes, also those that are stopped by SIGSTOP."""
         for gateway in self.reals:
             if gateway.process.poll() is None:
                 gateway.process.send_signal(signal.SIGCONT)
             gateway.kill()
         for hollow in self.hollows:
             hollow.process.kill()
-        self.answerers.close()
+        self.poll_servers.close()
         self.discovery.close()
 
     # Gateways --------------------------------------------------------------------------------------
 
     def config(self, group: str, rev: int = 0, **more: Any) -> Path:
-        """A configuration that knows the list and the events up to `rev`."""
+        """Writes a configuration file that has the list of stores and counts events up to `rev` as known."""
         self._files += 1
         path = self.folder / f"config-{self._files}.json"
         pool = {"revision": 1, "complete": True, "members": self.stores}
         known = {"rev": max(rev, 1), "notices": [{"rev": 1, "pool": pool}]}
-        said = {
+        config = {
             "name": "n0",
             "listen": "127.0.0.1:0",
             "seed": f"{self.seed:x}",
             "limits": {"sockets": SOCKETS},
-            "board": self.answerers.address(group),
+            "board": self.poll_servers.address(group),
             "settings": settings(CLASSES),
             "known": known,
             **more,
         }
-        path.write_text(json.dumps(said))
+        path.write_text(json.dumps(config))
         return path
 
-    def hollow(self, count: int, group: str = MAIN, path: Path | None = None) -> Hollow:
-        """A process of so many; `started` waits for it."""
+    def hollow(self, count: int, group: str = MAIN, path: Path | None = None) -> HollowProcess:
+        """Starts a process of `count` hollow gateways; `process.wait_started` waits until they run."""
         path = path or self.config(group)
-        boards = self.answerers.others(group)
-        said = {
+        fallback_addresses = self.poll_servers.others(group)
+        arguments = {
             "config": str(path),
             "first": self._first,
             "count": count,
             "seed": self.seed,
-            "boards": boards,
+            "boards": fallback_addresses,
         }
         self._first += count
-        made = Hollow(JsonProcess("_hollow_process", json.dumps(said)), group, count)
+        made = HollowProcess(JsonProcess("_hollow_process", json.dumps(arguments)), group, count)
         self.hollows.append(made)
         return made
 
     def real(self, path: Path, root: Path | None = None, **env: str) -> Gateway:
-        """A gateway as an operator starts it; `root`: where it is imported from, if not from here."""
-        words = ("--config", str(path))
+        """Starts a real gateway; `root` is the folder of another build to run instead of this checkout."""
+        options = ("--config", str(path))
         if root is None:
-            made = Gateway(None, *words, native=native(), **env)
+            made = Gateway(None, *options, native=native(), **env)
         else:
-            made = Gateway(None, *words, root=root, **env)
+            made = Gateway(None, *options, root=root, **env)
         self.reals.append(made)
         return made
 
-    def end(self, hollow: Hollow) -> None:
+    def end(self, hollow: HollowProcess) -> None:
+        """Kills a process of hollow gateways."""
         hollow.process.kill()
         self.hollows.remove(hollow)
 
-    def connected(self) -> None:
-        """Waits until every hollow gateway has taken the last event."""
+    def wait_connected(self) -> None:
+        """Waits until every hollow gateway, except for the idle ones, has received the last event."""
         for hollow in self.hollows:
             hollow.process.wait_started()
         rev = self.discovery.state()["rev"]
         for hollow in self.hollows:
             if hollow.group != IDLE:
-                self.caught_up(hollow, rev)
+                self.wait_caught_up(hollow, rev)
 
-    def caught_up(self, hollow: Hollow, rev: int | None = None, seconds: float = SETTLE_S) -> None:
-        """Waits until the gateways of a process have taken the events up to `rev`, or the last."""
+    def wait_caught_up(
+        self, hollow: HollowProcess, rev: int | None = None, seconds: float = SETTLE_S
+    ) -> None:
+        """Waits until the gateways of a process have received the events up to `rev`, by default the last."""
         last = self.discovery.state()["rev"] if rev is None else rev
         wait_until(
-            lambda: hollow.process.do("state")["lowest_rev"] >= last,
+            lambda: hollow.process.call("state")["lowest_rev"] >= last,
             seconds,
-            f"a hollow gateway has not taken event {last}: {hollow.process.do('state')}",
+            f"a hollow gateway has not received event {last}: {hollow.process.call('state')}",
         )
 
     def clear(self) -> None:
-        """Counts times until in force from here on."""
+        """Discards the propagation times counted so far."""
         for hollow in self.hollows:
-            hollow.process.do("clear")
+            hollow.process.call("clear")
 
-    def times(self, what: str, group: str = MAIN) -> InForce:
-        """Of `purges`, `changes` or `reloads`, over all hollow gateways of a group."""
-        rows = [h.process.do("times")[what] for h in self.hollows if h.group == group]
-        return in_force(rows)
+    def times(self, kind: str, group: str = MAIN) -> PropagationTimes:
+        """Returns the propagation times of a kind of event at the hollow gateways of a group.
+
+        `kind` is `purges`, `changes` or `reloads`.
+        """
+        rows = [hollow.process.call("times")[kind] for hollow in self.hollows if hollow.group == group]
+        return merge_times(rows)
 
     # Costs -----------------------------------------------------------------------------------------
 
     def measure(self, seconds: float) -> Span:
-        """What each process spends, and what goes over each port, in so many seconds from now."""
+        """Measures processor time of each process and traffic of each port for `seconds` from now."""
         before = self.snapshot()
         time.sleep(seconds)
         return self.since(before)
 
     def since(self, before: Snapshot) -> Span:
-        """The same, from a snapshot on; processes that came later are left out."""
+        """Returns processor time and traffic since a snapshot; processes started later are left out."""
         after = self.snapshot()
-        took = after.at - before.at
+        elapsed_s = after.at - before.at
         processor = {
-            pid: (spent - before.processor[pid]) / took
+            pid: (spent - before.processor[pid]) / elapsed_s
             for pid, spent in after.processor.items()
             if pid in before.processor
         }
         traffic = {
             name: Rates(
-                *((now[field] - before.traffic[name][field]) / took for field in RATE_FIELDS),
+                *((now[field] - before.traffic[name][field]) / elapsed_s for field in RATE_FIELDS),
             )
             for name, now in after.traffic.items()
             if name in before.traffic
         }
-        return Span(took, processor, traffic)
+        return Span(elapsed_s, processor, traffic)
 
     def snapshot(self) -> Snapshot:
-        """What every process has spent, and the traffic at every port, by now."""
-        traffic = self.answerers.traffic()
-        excluded = {h.process.pid: h.process.do("state")["excluded_s"] for h in self.hollows}
-        pids = {*excluded, *(g.process.pid for g in self.reals), *self.answerers.pids(), self.discovery.pid}
+        """Returns the processor time of every process and the traffic of every port so far."""
+        traffic = self.poll_servers.traffic()
+        excluded = {hollow.process.pid: hollow.process.call("state")["excluded_s"] for hollow in self.hollows}
+        pids = {
+            *excluded,
+            *(gateway.process.pid for gateway in self.reals),
+            *self.poll_servers.pids(),
+            self.discovery.pid,
+        }
         spent = {pid: processor_s(pid) - excluded.get(pid, 0.0) for pid in pids}
         return Snapshot(time.monotonic(), spent, traffic)
 
@@ -344,7 +366,7 @@
 
 @dataclass(frozen=True)
 class Rates:
-    """Of one port, a second; bytes as whoever answers sees them."""
+    """Rates per second at one port; the direction of bytes is as the poll server sees it."""
 
     polls: float
     bytes_in: float
@@ -352,25 +374,27 @@
 
     @property
     def kb(self) -> float:
-        """KB both ways."""
+        """KB per second in both directions."""
         return (self.bytes_in + self.bytes_out) / 1_000
 
 
 @dataclass(frozen=True)
 class Snapshot:
+    """Processor seconds by process id and traffic by port, at the moment `at` of time.monotonic."""
+
     at: float
     processor: dict[int, float]
-    traffic: dict[str, Said]
+    traffic: dict[str, JsonObject]
 
 
 @dataclass(frozen=True)
 class Span:
-    """Over `seconds`: shares of a core by process id, and rates by port."""
+    """A measurement over `seconds`: shares of a core by process id, and traffic rates by port."""
 
     seconds: float
     processor: dict[int, float]
     traffic: dict[str, Rates]
 
     def share(self, *pids: int) -> float:
-        """Of a core, of these processes together."""
+        """Returns the share of one core that these processes use together."""
         return sum(self.processor[pid] for pid in pids)
--- a/benchmarks/_hollow.py
+++ b/benchmarks/_hollow.py
@@ -76,10 +76,12 @@
     except for those that it applied at its start.
     """
 
-    def __init__(self, path: str, name: str, on_applied: OnApplied, boards: Sequence[str] = ()) -> None:
-        """`boards` are the alternative discovery addresses that an operator's file would name."""
+    def __init__(
+        self, path: str, name: str, on_applied: OnApplied, fallback_addresses: Sequence[str] = ()
+    ) -> None:
+        """`fallback_addresses` are the alternative discovery addresses, as an operator's file names them."""
         self._path, self._name, self._on_applied = path, name, on_applied
-        self._boards = tuple(parse_address(text) for text in boards)
+        self._fallback_addresses = tuple(parse_address(text) for text in fallback_addresses)
         self.config = self._read()
         self.loop = Loop()
         self.loop.faulted = self._faulted
@@ -102,7 +104,7 @@
 
     def _read(self) -> Config:
         config = load_config({"EDGE_NAME": self._name}, self._path)
-        return replace(config, boards=self._boards)
+        return replace(config, boards=self._fallback_addresses)
 
     def log(self, event: str, **fields: Any) -> None:
         """Keeps the first 20 log lines for the benchmark's report."""
@@ -195,9 +197,9 @@
 class HollowFleet:
     """Many hollow gateways on one thread; each is stepped when its selector is ready or a timer is due."""
 
-    def __init__(self, path: str, first: int, boards: Sequence[str] = ()) -> None:
+    def __init__(self, path: str, first: int, fallback_addresses: Sequence[str] = ()) -> None:
         """`first` is the number in the first gateway's name; the others are numbered from there."""
-        self._path, self._first, self._boards = path, first, boards
+        self._path, self._first, self._fallback_addresses = path, first, fallback_addresses
         self.gateways: list[HollowGateway] = []
         self.purges, self.changes, self.reloads = Times(), Times(), Times()
         self.eviction = CacheEviction()
@@ -215,7 +217,9 @@
             self._watch_gateway(index)
 
     def _start(self, index: int) -> HollowGateway:
-        return HollowGateway(self._path, f"h{self._first + index}", self._on_applied, self._boards)
+        return HollowGateway(
+            self._path, f"h{self._first + index}", self._on_applied, self._fallback_addresses
+        )
 
     def _watch_gateway(self, index: int) -> None:
         descriptor = self.gateways[index].loop._selector.fileno()
--- a/benchmarks/_load.py
+++ b/benchmarks/_load.py
@@ -1,4 +1,4 @@
-"""An open-loop client of the platform's front, for benchmarks."""
+"""An open-loop client of the platform's protocol, for benchmarks."""
 
 from __future__ import annotations
 
@@ -15,17 +15,22 @@
 
 @dataclass
 class Tally:
+    """Counts of requests by outcome, and of connection failures."""
+
     asked: int = 0
     in_time: int = 0
     answered: int = 0
     refused: int = 0
-    closed_on: int = 0  # open when the gateway closed their connection
-    reset: int = 0  # connections that were reset, or refused
-    faults: int = 0  # answers that can't be read, or under a number that is not open
+    closed_on: int = 0  # requests without an answer when the gateway closed their connection
+    reset: int = 0  # connections that the gateway reset
+    faults: int = 0  # answers whose sequence number belongs to no open request
 
 
 class Load:
-    """Open loop: requests at their intended times, whatever has been answered. Each is timed from then."""
+    """An open-loop load, which sends requests at scheduled times whether or not earlier ones are answered.
+
+    The latency of a request counts from its scheduled time.
+    """
 
     def __init__(
         self,
@@ -39,74 +44,77 @@
         orders: float = 0.0,
         fresh: float = 0.0,
     ) -> None:
-        """`orders`: share of requests that are orders, each with a body of its own; `fresh`: share that come
-        on a new connection, which its client closes once it is answered."""
+        """Connects and schedules the first request.
+
+        `orders` is the share of requests that are orders, each with its own body. `fresh` is the share of
+        requests that use a new connection, which the client closes once the request is answered.
+        """
         self.orders, self.fresh, self.port = orders, fresh, port
         self.world, self.rate, self.aim, self.deadline = world, rate, aim_s, deadline_ms
         self.random = random.Random(seed)
         self.tally = Tally()
         self.running = True
         self._open: dict[tuple[int, int], float] = {}
-        self._numbers = [0] * conns
+        self._sequence_numbers = [0] * conns
         self._socks: list[socket.socket] = []
         self._buffers = [bytearray() for _ in range(conns)]
-        self._once: set[int] = set()  # places whose connection is for one request only
-        for i in range(conns):
-            self._connect(i)
+        self._single_use: set[int] = set()  # indexes of connections for one request only
+        for index in range(conns):
+            self._connect(index)
         self._due = time.monotonic()
-        world.at(self._due, self._ask)
+        world.at(self._due, self._send_request)
 
-    def _connect(self, i: int) -> None:
+    def _connect(self, index: int) -> None:
         sock = socket.create_connection(("127.0.0.1", self.port))
         sock.setblocking(False)
-        self._socks[i : i + 1] = [sock]
-        self._buffers[i], self._numbers[i] = bytearray(), 0
-        self.world.selector.register(sock, selectors.EVENT_READ, lambda: self._read(i, sock))
+        self._socks[index : index + 1] = [sock]
+        self._buffers[index], self._sequence_numbers[index] = bytearray(), 0
+        self.world.selector.register(sock, selectors.EVENT_READ, lambda: self._read(index, sock))
 
-    def _place(self) -> int:
-        """A connection for the next request; a new one for the share that is fresh."""
-        usual = len(self._socks) - len(self._once)
+    def _choose_connection(self) -> int:
+        """Returns the index of a connection for the next request, a new connection for the share `fresh`."""
+        usual = len(self._socks) - len(self._single_use)
         if self.random.random() >= self.fresh:
             return self.random.randrange(usual)
-        for i in sorted(self._once):  # one whose request is answered is closed and made anew
-            if not any(place == i for place, _ in self._open):
-                self._drop(i)
-                self._connect(i)
-                return i
-        self._numbers.append(0)
+        for index in sorted(self._single_use):  # reuses the index of a connection whose request is answered
+            if not any(connection == index for connection, _ in self._open):
+                self._close_connection(index)
+                self._connect(index)
+                return index
+        self._sequence_numbers.append(0)
         self._buffers.append(bytearray())
-        self._connect(len(self._numbers) - 1)
-        self._once.add(len(self._numbers) - 1)
-        return len(self._numbers) - 1
+        self._connect(len(self._sequence_numbers) - 1)
+        self._single_use.add(len(self._sequence_numbers) - 1)
+        return len(self._sequence_numbers) - 1
 
-    def _drop(self, i: int) -> None:
+    def _close_connection(self, index: int) -> None:
         with contextlib.suppress(KeyError, ValueError):
-            self.world.selector.unregister(self._socks[i])
-        self._socks[i].close()
+            self.world.selector.unregister(self._socks[index])
+        self._socks[index].close()
 
-    def _lost(self, i: int, reset: bool) -> None:
-        """The gateway closed a connection: what was open on it is gone, and the next one is made."""
-        gone = [key for key in self._open if key[0] == i]
-        for key in gone:
+    def _on_closed(self, index: int, reset: bool) -> None:
+        """Counts the open requests of a connection that the gateway closed, and reconnects."""
+        unanswered = [key for key in self._open if key[0] == index]
+        for key in unanswered:
             del self._open[key]
-        self.tally.closed_on += len(gone)
+        self.tally.closed_on += len(unanswered)
         self.tally.reset += reset
-        self._drop(i)
+        self._close_connection(index)
         if self.running:
             with contextlib.suppress(OSError):
-                self._connect(i)
+                self._connect(index)
 
     @property
     def open(self) -> int:
-        """Requests that have no answer yet."""
+        """The number of requests without an answer."""
         return len(self._open)
 
-    def _ask(self) -> None:
+    def _send_request(self) -> None:
         if not self.running:
             return
-        i = self._place()
-        self._numbers[i] += 1
-        rank = int(self.random.paretovariate(0.9)) % 4000  # few objects are asked for often
+        index = self._choose_connection()
+        self._sequence_numbers[index] += 1
+        rank = int(self.random.paretovariate(0.9)) % 4000  # few objects are requested often
         fields = {
             "c": "fichiers",
             "i": f"{self.random.getrandbits(64):016x}",
@@ -119,16 +127,18 @@
         order = self.random.random() < self.orders
         fields["c"] = "commande" if order else "fichiers"
         body = f"order {self.random.getrandbits(64):016x}".encode() if order else b""
-        frame = codec.encode("serve", 1, self._numbers[i], codec.ServeArgs(fields=fields, body=body))
-        self._open[(i, self._numbers[i])] = self._due
+        frame = codec.encode(
+            "serve", 1, self._sequence_numbers[index], codec.ServeArgs(fields=fields, body=body)
+        )
+        self._open[(index, self._sequence_numbers[index])] = self._due
         self.tally.asked += 1
         with contextlib.suppress(OSError):
-            self._socks[i].sendall(frame)
+            self._socks[index].sendall(frame)
         self._due += self.random.expovariate(self.rate)
-        self.world.at(self._due, self._ask)
+        self.world.at(self._due, self._send_request)
 
-    def _read(self, i: int, sock: socket.socket) -> None:
-        if self._socks[i] is not sock:
+    def _read(self, index: int, sock: socket.socket) -> None:
+        if self._socks[index] is not sock:
             return
         reset = False
         try:
@@ -138,27 +148,29 @@
         except OSError:
             data, reset = b"", True
         if not data:
-            self._lost(i, reset)
+            self._on_closed(index, reset)
             return
-        buffer = self._buffers[i]
+        buffer = self._buffers[index]
         buffer += data
         while len(buffer) >= 4 and len(buffer) >= 4 + (size := int.from_bytes(buffer[:4], "big")):
             frame = bytes(buffer[4 : 4 + size])
             del buffer[: 4 + size]
             _, kind, number, result = codec.decode(frame, {"serve": codec.Result})
-            since = self._open.pop((i, number), None)
-            if since is None:
+            scheduled_at = self._open.pop((index, number), None)
+            if scheduled_at is None:
                 self.tally.faults += 1
                 continue
             self.tally.answered += 1
             self.tally.refused += kind != 3 and getattr(result, "refused", None) is not None
             if kind != 3 and getattr(result, "success", None) is not None:
-                self.tally.in_time += time.monotonic() - since <= self.aim
+                self.tally.in_time += time.monotonic() - scheduled_at <= self.aim
 
     def stop(self) -> None:
+        """Stops sending requests; answers are still read."""
         self.running = False
 
     def close(self) -> None:
+        """Closes all connections."""
         for sock in self._socks:
             with contextlib.suppress(KeyError, ValueError):
                 self.world.selector.unregister(sock)
--- a/benchmarks/_observer.py
+++ b/benchmarks/_observer.py
@@ -78,7 +78,7 @@
 
 
 @dataclass(eq=False)
-class Office:
+class StandinSite:
     """Stand-in stores and clients of one real gateway, on a thread; records the reads at the stores."""
 
     asks: list[Ask] = field(default_factory=list)
--- a/benchmarks/_processes.py
+++ b/benchmarks/_processes.py
@@ -1,4 +1,4 @@
-"""Processes that a benchmark drives by JSON lines, and what any process has cost."""
+"""Processes that a benchmark drives by JSON lines, and the resource usage of any process."""
 
 from __future__ import annotations
 
@@ -17,36 +17,38 @@
 from benchmarks._program import ROOT
 from build_native import digest
 
-Said = dict[str, Any]
-PATIENCE_S = 120.0
+JsonObject = dict[str, Any]
+ANSWER_TIMEOUT_S = 120.0
 NATIVE = ROOT / ".native"
 
 
 @functools.cache
 def native() -> bool:
-    """Whether the compiled copy is there and was built from the sources as they are."""
+    """Returns whether a compiled copy exists that was built from the current sources."""
     stamp = NATIVE / "stamp"
     return stamp.exists() and stamp.read_text() == digest()
 
 
 def native_path() -> str:
-    """Where a process imports the program from: the compiled copy if it is there, and then the benchmarks."""
+    """Returns the PYTHONPATH of a child process: the compiled copy, if it is current, before the checkout."""
     return os.pathsep.join([str(NATIVE), str(ROOT)] if native() else [str(ROOT)])
 
 
 class ProcessLost(Exception):
-    """A process of a benchmark ended or said nothing in time."""
+    """A benchmark's child process ended, or did not answer within ANSWER_TIMEOUT_S."""
 
 
 class JsonProcess:
-    """A module of `benchmarks` as a process. Each command, one line, is answered by one line with `done`."""
-
-    def __init__(self, module: str, *words: str, heard: Callable[[Said], None] | None = None) -> None:
-        """`heard` is told of every other line, on a thread of its own."""
-        self._heard = heard
-        self._answers: queue.Queue[Said | None] = queue.Queue()
+    """A module of `benchmarks` run as a process, which answers each command by a line with the key `done`."""
+
+    def __init__(
+        self, module: str, *arguments: str, on_event: Callable[[JsonObject], None] | None = None
+    ) -> None:
+        """`on_event` is called with every line that is not an answer, on a reader thread."""
+        self._on_event = on_event
+        self._answers: queue.Queue[JsonObject | None] = queue.Queue()
         self.process = subprocess.Popen(
-            [sys.executable, "-P", "-m", f"benchmarks.{module}", *words],
+            [sys.executable, "-P", "-m", f"benchmarks.{module}", *arguments],
             cwd=ROOT,
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
@@ -54,53 +56,54 @@
         )
         self._reader = threading.Thread(target=self._read, daemon=True)
         self._reader.start()
-        self.started: Said = {}
+        self.started: JsonObject = {}
 
     @property
     def pid(self) -> int:
         return self.process.pid
 
-    def wait_started(self) -> Said:
-        """What it said when it was ready for commands."""
-        self.started = self.started or self._next()
+    def wait_started(self) -> JsonObject:
+        """Waits until the process is ready for commands and returns the message that announced it."""
+        self.started = self.started or self._receive()
         return self.started
 
     def _read(self) -> None:
         assert self.process.stdout is not None
         for line in self.process.stdout:
-            said = json.loads(line)
-            if "done" in said or "started" in said:
-                self._answers.put(said)
-            elif self._heard is not None:
-                self._heard(said)
+            message = json.loads(line)
+            if "done" in message or "started" in message:
+                self._answers.put(message)
+            elif self._on_event is not None:
+                self._on_event(message)
         self._answers.put(None)
 
-    def _next(self) -> Said:
+    def _receive(self) -> JsonObject:
         try:
-            said = self._answers.get(timeout=PATIENCE_S)
+            message = self._answers.get(timeout=ANSWER_TIMEOUT_S)
         except queue.Empty:
-            said = None
-        if said is None:
+            message = None
+        if message is None:
             raise ProcessLost(f"{self.process.args}: no answer")
-        return said
+        return message
 
-    def send(self, do: str, **more: Any) -> None:
-        """Writes a command; `take` gives its answer."""
+    def send(self, command: str, **more: Any) -> None:
+        """Writes a command; `receive_answer` returns its answer."""
         assert self.process.stdin is not None
-        self.process.stdin.write(json.dumps({"do": do, **more}).encode() + b"\n")
+        self.process.stdin.write(json.dumps({"do": command, **more}).encode() + b"\n")
         self.process.stdin.flush()
 
-    def take(self) -> Said:
-        return self._next()
+    def receive_answer(self) -> JsonObject:
+        """Waits for the answer to the oldest command without one; raises ProcessLost."""
+        return self._receive()
 
-    def do(self, do: str, **more: Any) -> Said:
-        """A command and its answer; raises ProcessLost."""
+    def call(self, command: str, **more: Any) -> JsonObject:
+        """Writes a command and returns its answer; raises ProcessLost."""
         self.wait_started()
-        self.send(do, **more)
-        return self._next()
+        self.send(command, **more)
+        return self._receive()
 
     def kill(self) -> None:
-        """Ends it, by its own id."""
+        """Kills the process and closes its pipes."""
         if self.process.poll() is None:
             self.process.kill()
         self.process.wait(30)
@@ -109,12 +112,12 @@
             if pipe is not None:
                 try:
                     pipe.close()
-                except OSError:  # what was buffered for it can't be written any more
+                except OSError:  # buffered data cannot be written to the ended process
                     pass
 
 
 def processor_s(pid: int) -> float:
-    """Seconds that all threads of a process have run, to the nanosecond; 0.0 once it has ended."""
+    """Returns the processor seconds of all threads of a process (resolution 1 ns); 0.0 once it has ended."""
     total = 0
     try:
         for task in Path(f"/proc/{pid}/task").iterdir():
@@ -125,7 +128,7 @@
 
 
 def resident_mb(pid: int) -> float:
-    """Resident memory in MB; 0.0 once it has ended."""
+    """Returns the resident memory of a process in MB; 0.0 once it has ended."""
     try:
         pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
     except OSError:
@@ -133,10 +136,12 @@
     return pages * os.sysconf("SC_PAGE_SIZE") / 2**20
 
 
-def wait_until(true: Callable[[], bool], seconds: float, what: str, every_s: float = 0.05) -> None:
-    """Raises TimeoutError with `what` if it does not come about."""
+def wait_until(
+    condition: Callable[[], bool], seconds: float, description: str, interval_s: float = 0.05
+) -> None:
+    """Waits until a condition holds; raises TimeoutError with `description` after `seconds`."""
     end = time.monotonic() + seconds
-    while not true():
+    while not condition():
         if time.monotonic() > end:
-            raise TimeoutError(what)
-        time.sleep(every_s)
+            raise TimeoutError(description)
+        time.sleep(interval_s)
--- a/benchmarks/_program.py
+++ b/benchmarks/_program.py
@@ -1,4 +1,4 @@
-"""A gateway as a process, for benchmarks and kill trials."""
+"""A gateway as a process, for benchmarks and tests."""
 
 from __future__ import annotations
 
@@ -16,67 +16,81 @@
 
 
 class Gateway:
-    """`python -m olivecourse serve` with an operator's file, or `words` alone; a thread reads its log."""
+    """`python -m olivecourse serve` as a process; a thread reads its log.
+
+    The command line has an operator's file, or only `arguments` if `operator` is None.
+    """
 
     def __init__(
-        self, operator: Path | None, *words: str, native: bool = False, root: Path = ROOT, **env: str
+        self, operator: Path | None, *arguments: str, native: bool = False, root: Path = ROOT, **env: str
     ) -> None:
-        """`native`: the compiled copy, as the platform runs it, if it was built. `root`: the checkout."""
+        """Starts the process.
+
+        `native` selects the compiled copy, as on the platform, if it was built. `root` is the checkout to
+        run. `env` is added to the environment.
+        """
         native = native and (ROOT / ".native" / "stamp").exists()
-        start = [sys.executable, *(("-P",) if native else ()), "-m", "olivecourse", "serve"]
+        command = [sys.executable, *(("-P",) if native else ()), "-m", "olivecourse", "serve"]
         if operator is not None:
-            words = ("--operator", str(operator), *words)
+            arguments = ("--operator", str(operator), *arguments)
         self.lines: list[dict[str, Any]] = []
-        self._came = threading.Condition()
+        self._line_arrived = threading.Condition()
         self.process = subprocess.Popen(
-            [*start, *words],
+            [*command, *arguments],
             cwd=root,
             text=True,
             stderr=subprocess.PIPE,
             env={**os.environ, "PYTHONPATH": str(ROOT / ".native" if native else root), **env},
         )
         self._reader = threading.Thread(target=self._read, daemon=True)
-        self._reader.start()
+        self._reader.command()
 
     def _read(self) -> None:
         assert self.process.stderr is not None
         for line in self.process.stderr:
-            with self._came:
-                said = json.loads(line) if line.startswith("{") else {"event": "text", "line": line}
-                self.lines.append(said)
-                self._came.notify_all()
+            with self._line_arrived:
+                record = json.loads(line) if line.startswith("{") else {"event": "text", "line": line}
+                self.lines.append(record)
+                self._line_arrived.notify_all()
 
-    def heard(self, event: str) -> list[dict[str, Any]]:
-        with self._came:
-            return [x for x in self.lines if x["event"] == event]
+    def logged(self, event: str) -> list[dict[str, Any]]:
+        """Returns the records of an event logged so far."""
+        with self._line_arrived:
+            return [line for line in self.lines if line["event"] == event]
 
     def event(self, name: str, seconds: float = 20.0) -> dict[str, Any]:
-        """Raises TimeoutError with what the gateway said instead."""
+        """Waits for an event in the log and returns its first record.
+
+        Raises TimeoutError with the last records if the event is not logged within `seconds`.
+        """
         end = time.monotonic() + seconds
-        with self._came:
+        with self._line_arrived:
             while True:
                 for line in self.lines:
                     if line["event"] == name:
                         return line
-                if not self._came.wait(max(end - time.monotonic(), 0.01)) and time.monotonic() >= end:
+                if not self._line_arrived.wait(max(end - time.monotonic(), 0.01)) and time.monotonic() >= end:
                     raise TimeoutError(f"{name} was not logged: {self.lines[-5:]}")
 
     def port(self) -> int:
+        """Waits until the gateway is ready and returns the port that it listens on."""
         return int(self.event("ready")["listen"].rpartition(":")[2])
 
-    def held(self) -> tuple[float, int]:
-        """Resident memory in MB, and open descriptors; zeros once it has ended."""
+    def resources(self) -> tuple[float, int]:
+        """Returns resident memory in MB and the number of open descriptors; zeros after the process's end."""
         try:
             status = Path(f"/proc/{self.process.pid}/status").read_text()
-            kb = next((int(x.split()[1]) for x in status.splitlines() if x.startswith("VmRSS")), 0)
+            kb = next((int(line.split()[1]) for line in status.splitlines() if line.startswith("VmRSS")), 0)
             return kb / 1024, len(os.listdir(f"/proc/{self.process.pid}/fd"))
         except OSError:
             return 0.0, 0
 
     def kill(self) -> None:
+        """Ends the process by SIGKILL."""
         self.end(signal.SIGKILL)
 
     def end(self, number: int = signal.SIGTERM) -> int:
+        """Sends a signal if the process still runs, waits for its end and returns its exit code."""
         if self.process.poll() is None:
             self.process.send_signal(number)
         code = self.process.wait(30)
--- a/benchmarks/_scale_cost.py
+++ b/benchmarks/_scale_cost.py
@@ -1,4 +1,4 @@
-"""What a real gateway spends on control, and whether a hollow one spends as much, side by side in a run."""
+"""The control cost of a real gateway, compared in the same run with that of hollow gateways."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks._deployment import IDLE, MAIN, REAL, Deployment, Hollow, Span, store_list
+from benchmarks._deployment import IDLE, MAIN, REAL, Deployment, HollowProcess, Span, store_list
 from benchmarks._processes import resident_mb
 from benchmarks._program import Gateway
 
@@ -18,48 +18,53 @@
     "those that share one find its code warm and seldom sleep. Turns of shared ones begin with an eviction "
     "of the caches, which is left out of the cost and closes a part of the gap"
 )
-WARM_S = 1.0  # of purges, before anything is measured
+WARM_S = 1.0  # seconds of purges before the first measurement
 
 
 def per_gateway(loaded: float, idle: float, count: int) -> float:
-    """The cost of one of `count` gateways that hear events, less that of as many that hear none."""
+    """Returns the cost of one of `count` gateways that receive events, less that of one that receives none."""
     return (loaded - idle) / count
 
 
 def run_cost(
     folder: Path, seed: int, count: int, processes: int, stores: int, seconds: float, repeats: int
 ) -> dict[str, Any]:
-    """Real and hollow gateways at the target's purges, with as many of each that hear nothing.
+    """Measures real and hollow gateways at the target's rate of purges, less as many that receive no events.
 
-    `count` hollow ones share a process. As many as there are real ones, `processes`, have one each, which
-    finds caches and wakes up as a real one does: that comparison shows that the classes cost the same.
+    `count` hollow gateways share a process. For comparison there are `processes` real gateways and as many
+    hollow ones with a process each. Those find cold caches and wake up as real ones do, and their comparison
+    shows that the classes cost the same.
     """
     with Deployment(folder, store_list(stores), seed) as fleet:
         reals = [fleet.real(fleet.config(REAL)) for _ in range(processes)]
         reals_idle = [fleet.real(fleet.config(IDLE)) for _ in range(processes)]
-        empty = fleet.real(fleet.config(IDLE, known={"rev": 0, "notices": []}))  # knows no store
+        empty = fleet.real(fleet.config(IDLE, known={"rev": 0, "notices": []}))  # has no list of stores
         hollow, hollow_idle = fleet.hollow(count), fleet.hollow(count, IDLE)
         alone = [fleet.hollow(1, ALONE) for _ in range(processes)]
         alone_idle = [fleet.hollow(1, IDLE) for _ in range(processes)]
         for gateway in (*reals, *reals_idle, empty):
             gateway.port()
-        fleet.connected()
+        fleet.wait_connected()
         spans = list[Span]()
         length = WARM_S + repeats * (seconds + 0.5) + 5.0
-        fleet.discovery.do("purges", rate=TARGET_PURGES_PER_S, seconds=length)
+        fleet.discovery.call("purges", rate=TARGET_PURGES_PER_S, seconds=length)
         fleet.measure(WARM_S)
         for _ in range(repeats):
             spans.append(fleet.measure(seconds))
         whole_mb = statistics.median(resident_mb(gateway.process.pid) for gateway in reals)
         own_mb = whole_mb - resident_mb(empty.process.pid)
-        fleet.discovery.do("stop_purges")
-        fleet.caught_up(hollow)
-        real_pct = [100 * per_gateway(_share(s, reals), _share(s, reals_idle), processes) for s in spans]
+        fleet.discovery.call("stop_purges")
+        fleet.wait_caught_up(hollow)
+        real_pct = [
+            100 * per_gateway(_share(span, reals), _share(span, reals_idle), processes) for span in spans
+        ]
         hollow_pct = [
-            100 * per_gateway(s.share(hollow.process.pid), s.share(hollow_idle.process.pid), count)
-            for s in spans
+            100 * per_gateway(span.share(hollow.process.pid), span.share(hollow_idle.process.pid), count)
+            for span in spans
+        ]
+        alone_pct = [
+            100 * per_gateway(_share(span, alone), _share(span, alone_idle), processes) for span in spans
         ]
-        alone_pct = [100 * per_gateway(_share(s, alone), _share(s, alone_idle), processes) for s in spans]
         started = hollow.process.wait_started()
         return {
             "purges_s": TARGET_PURGES_PER_S,
@@ -70,21 +75,21 @@
             "compiled": started["compiled"],
             "left_out": started["left_out"],
             "real_pct": _spread(real_pct),
-            "real_whole_pct": _spread([100 * _share(s, reals) / processes for s in spans]),
-            "real_idle_pct": _spread([100 * _share(s, reals_idle) / processes for s in spans]),
+            "real_whole_pct": _spread([100 * _share(span, reals) / processes for span in spans]),
+            "real_idle_pct": _spread([100 * _share(span, reals_idle) / processes for span in spans]),
             "hollow_pct": _spread(hollow_pct),
-            "hollow_idle_pct": _spread([100 * s.share(hollow_idle.process.pid) / count for s in spans]),
+            "hollow_idle_pct": _spread([100 * span.share(hollow_idle.process.pid) / count for span in spans]),
             "real_gateways": processes,
             "alone_processes": processes,
             "alone_pct": _spread(alone_pct),
-            "alone_idle_pct": _spread([100 * _share(s, alone_idle) / processes for s in spans]),
+            "alone_idle_pct": _spread([100 * _share(span, alone_idle) / processes for span in spans]),
             "hollow_over_real": _ratio(alone_pct, real_pct),
             "hollow_shared_over_real": _ratio(hollow_pct, real_pct),
             "why_shared_differs": WHY_SHARED_DIFFERS,
-            "real_kb_s": _spread([s.traffic[REAL].kb / processes for s in spans]),
-            "hollow_kb_s": _spread([s.traffic[MAIN].kb / count for s in spans]),
-            "real_polls_s": _spread([s.traffic[REAL].polls / processes for s in spans]),
-            "hollow_polls_s": _spread([s.traffic[MAIN].polls / count for s in spans]),
+            "real_kb_s": _spread([span.traffic[REAL].kb / processes for span in spans]),
+            "hollow_kb_s": _spread([span.traffic[MAIN].kb / count for span in spans]),
+            "real_polls_s": _spread([span.traffic[REAL].polls / processes for span in spans]),
+            "hollow_polls_s": _spread([span.traffic[MAIN].polls / count for span in spans]),
             "real_mb": round(whole_mb, 2),
             "real_own_mb": round(own_mb, 2),
             "hollow_mb": round(hollow.gateway_mb(), 2),
@@ -92,7 +97,7 @@
         }
 
 
-def _share(span: Span, gateways: Sequence[Hollow | Gateway]) -> float:
+def _share(span: Span, gateways: Sequence[HollowProcess | Gateway]) -> float:
     return span.share(*(gateway.process.pid for gateway in gateways))
 
 
@@ -101,7 +106,7 @@
 
 
 def _spread(values: list[float]) -> dict[str, float]:
-    """Median, least and most."""
+    """Returns the median, the least and the greatest value."""
     return {
         "median": round(statistics.median(values), 4),
         "least": round(min(values), 4),
--- a/benchmarks/_scale_previous.py
+++ b/benchmarks/_scale_previous.py
@@ -1,4 +1,4 @@
-"""The build before the scale work, side by side: what its polls cost, and its longest turn on many purges."""
+"""The build before paced polls, for comparison: the cost of its polls, and its longest turn on many purges."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 from benchmarks._processes import native, processor_s
 from benchmarks._program import ROOT, Gateway
 from benchmarks._scale_axes import Axis, Effort, Point
-from benchmarks._scale_backlog import take_bulk
+from benchmarks._scale_backlog import measure_bulk
 
 COMMIT = "789e946"
-KEPT = ROOT / ".native.previous"  # its compiled copy, for the next run
+COMPILED_FOLDER = ROOT / ".native.previous"  # folder in which its compiled copy remains for the next run
 BUILD_S = 400.0
-BULK_PATIENCE_S = 60.0
-LOGGED_WITHIN_S = 1.0  # of the end of a turn
+BULK_TIMEOUT_S = 60.0
+LOGGED_WITHIN_S = 1.0  # a long turn is logged within this time of its end
 
 
 @dataclass
 class PreviousBuild:
-    """The earlier commit's files in a folder of their own; compiled once `wait_compiled` has said so."""
+    """The files of the earlier commit in their own folder, optionally compiled there."""
 
     folder: Path
     compiled: bool = False
@@ -37,10 +37,11 @@
 
     @property
     def root(self) -> Path:
+        """The folder from which the build is imported."""
         return self.folder / ".native" if self.compiled else self.folder
 
     def start_compiling(self) -> None:
-        """In the background; as compilation takes a minute of a core."""
+        """Starts compilation in the background, since it takes a minute of a core."""
         if self.compiled:
             return
         self._builder = subprocess.Popen(
@@ -48,33 +49,37 @@
             cwd=self.folder,
             stdout=subprocess.DEVNULL,
             stderr=subprocess.DEVNULL,
-            start_new_session=True,  # its own children end with it, by the id of the group
+            start_new_session=True,  # so that `close` ends its children too, by the process group
         )
 
     def wait_compiled(self) -> None:
+        """Waits for the compilation and sets `compiled` if it succeeded."""
         if self._builder is None:
             return
         with contextlib.suppress(subprocess.TimeoutExpired):
             self.compiled = self._builder.wait(BUILD_S) == 0 and (self.folder / ".native" / "stamp").exists()
 
     def close(self) -> None:
+        """Kills a compilation that still runs."""
         if self._builder is not None and self._builder.poll() is None:
             os.killpg(self._builder.pid, 9)
             self._builder.wait()
 
 
 def check_out(folder: Path) -> PreviousBuild | None:
-    """The earlier build's sources, or None where the repository does not hold that commit. What was compiled
-    in that folder before is used again."""
+    """Extracts the earlier build's sources; returns None if the repository does not have that commit.
+
+    A compiled copy that is already in the folder is used again.
+    """
     if (folder / ".native" / "stamp").exists():
         return PreviousBuild(folder, compiled=True)
-    done = subprocess.run(
+    archive_run = subprocess.run(
         ["git", "archive", COMMIT, "olivecourse", "build_native.py"], cwd=ROOT, capture_output=True
     )
-    if done.returncode:
+    if archive_run.returncode:
         return None
     folder.mkdir(parents=True, exist_ok=True)
-    with tarfile.open(fileobj=io.BytesIO(done.stdout)) as archive:
+    with tarfile.open(fileobj=io.BytesIO(archive_run.stdout)) as archive:
         archive.extractall(folder, filter="data")
     return PreviousBuild(folder)
 
@@ -86,27 +91,27 @@
     sizes: Sequence[int],
     rate: float,
     effort: Effort,
-    said: Callable[[str], None],
+    report: Callable[[str], None],
 ) -> Axis:
-    """What whoever answers polls spends on real gateways of that build, over their number."""
+    """Measures the cost of answering polls of real gateways of that build as a function of their number."""
     axis = Axis("gateways", {"purges_s": rate, "stores": 70})
     with Deployment(folder, store_list(70), seed) as fleet:
         running = list[Gateway]()
         for size in sizes:
-            # New ones know what has been published: to take it would count as calm.
+            # New gateways know all events so far; receiving them would add to the idle cost.
             path = fleet.config(MAIN, fleet.discovery.state()["rev"])
-            fresh = [fleet.real(path, build.root) for _ in range(size - len(running))]
-            for gateway in fresh:
+            added = [fleet.real(path, build.root) for _ in range(size - len(running))]
+            for gateway in added:
                 gateway.port()
-            running += fresh
+            running += added
             calm = fleet.measure(effort.calm_s)
-            fleet.discovery.do("purges", rate=rate, seconds=effort.repeats * (effort.span_s + 0.5) + 1.0)
+            fleet.discovery.call("purges", rate=rate, seconds=effort.repeats * (effort.span_s + 0.5) + 1.0)
             time.sleep(0.5)
             for _ in range(effort.repeats):
                 axis.points.append(_point(fleet, running, effort.span_s, calm))
-            fleet.discovery.do("stop_purges")
+            fleet.discovery.call("stop_purges")
             time.sleep(0.5)
-            said(f"previous build, gateways {size}: {axis.points[-1].costs}")
+            report(f"previous build, gateways {size}: {axis.points[-1].costs}")
     return axis
 
 
@@ -120,30 +125,32 @@
             "gateway_pct": 100 * (span.share(*pids) - calm.share(*pids)) / count,
             "gateway_kb_s": traffic.kb / count,
             "gateway_polls_s": traffic.polls / count,
-            "answerer_pct": 100 * span.share(*fleet.answerers.pids()),
+            "answerer_pct": 100 * span.share(*fleet.poll_servers.pids()),
             "answerer_kb_s_out": traffic.bytes_out / 1_000,
         },
     )
 
 
 def longest_turn(folder: Path, seed: int, build: PreviousBuild | None, purges: int) -> dict[str, Any]:
-    """How long a gateway was busy with so many purges in one answer, and with its turn, as it logged it.
+    """Measures how long a gateway takes to receive purges in one answer, and its longest logged turn.
 
-    `build`: the earlier one; None for this one.
+    `build` is the earlier build, or None for this one.
     """
     with Deployment(folder, store_list(70), seed) as fleet:
         gateway = fleet.real(fleet.config(REAL), None if build is None else build.root)
         gateway.port()
-        spent = processor_s(gateway.process.pid)
-        taken = take_bulk(fleet, gateway, REAL, purges, BULK_PATIENCE_S)
-        with contextlib.suppress(TimeoutError):  # logged after the poll by which the purges were taken
+        processor_before_s = processor_s(gateway.process.pid)
+        result = measure_bulk(fleet, gateway, REAL, purges, BULK_TIMEOUT_S)
+        with contextlib.suppress(
+            TimeoutError
+        ):  # logged after the poll that shows that the purges were received
             gateway.event("loop_stalled", LOGGED_WITHIN_S)
-        stalls = [line["ms"] for line in gateway.heard("loop_stalled")]
+        stalls = [line["ms"] for line in gateway.logged("loop_stalled")]
         return {
             "purges": purges,
             "compiled": native() if build is None else build.compiled,
-            "seconds": None if taken.seconds is None else round(taken.seconds, 3),
-            "processor_s": round(processor_s(gateway.process.pid) - spent, 3),
+            "seconds": None if result.seconds is None else round(result.seconds, 3),
+            "processor_s": round(processor_s(gateway.process.pid) - processor_before_s, 3),
             # Turns under 600 ms are not logged.
             "longest_logged_turn_ms": max(stalls, default=None),
         }
--- a/benchmarks/_scale_relays.py
+++ b/benchmarks/_scale_relays.py
@@ -12,26 +12,26 @@
 from typing import Any
 
 from benchmarks._deployment import MAIN, Deployment, Discovery, store_list
-from benchmarks._processes import Said, native, processor_s, resident_mb, wait_until
+from benchmarks._processes import JsonObject, native, processor_s, resident_mb, wait_until
 from benchmarks._program import Gateway
 from benchmarks._scale_axes import Axis, Effort, Progress, gateways_axis
 from benchmarks._scale_capacity import CORES, GATEWAYS, LOAD, at_target
 from olivecourse.relay.responses import answer_head
 
-TOP = "relay upstream"  # the port at which relays poll the discovery service
-READY_S = 20.0
-BACKLOG_S = 120.0
-KILL_AFTER_S = 1.0  # of purges
-USUAL = ("ready", "relay_list_known")  # log lines of a relay's start
-REGIONS = 23  # of the target
-RELAYS_A_REGION = 2  # so that there is another to turn to
+UPSTREAM_GROUP = "relay upstream"  # the group name of the port at which relays poll the discovery service
+READY_TIMEOUT_S = 20.0
+BACKLOG_TIMEOUT_S = 120.0
+KILL_AFTER_S = 1.0  # seconds of purges before the kill
+STARTUP_EVENTS = ("ready", "relay_list_known")  # events that every relay logs at its start
+REGIONS = 23  # regions of the target
+RELAYS_A_REGION = 2  # so that gateways have another relay if one fails
 
 
 class Relay:
     """`olivecourse serve --role relay` as a process."""
 
     def __init__(self, folder: Path, name: str, upstreams: Sequence[str], reports: bool) -> None:
-        """`reports`: its upstreams are relays, which are told the low-water mark."""
+        """Starts the process; with `reports` its upstreams are relays, which get its low-water mark."""
         path = folder / f"{name}.yaml"
         section = {
             "listen": "127.0.0.1:0",
@@ -43,31 +43,42 @@
 
     @property
     def pid(self) -> int:
+        """The process id."""
         return self.gateway.process.pid
 
     @property
     def alive(self) -> bool:
+        """Whether the process runs."""
         return self.gateway.process.poll() is None
 
     def address(self) -> str:
+        """Waits until the relay is ready and returns the address that gateways poll."""
         return f"127.0.0.1:{self.gateway.port()}"
 
-    def status(self) -> Said:
+    def status(self) -> JsonObject:
+        """Returns the status that the relay reports over HTTP."""
         with urllib.request.urlopen(f"http://{self.address()}/relay/status?behind=0", timeout=20) as answer:
-            found: Said = json.load(answer)
+            found: JsonObject = json.load(answer)
         return found
 
 
 class Relays:
-    """Relays that gateways poll; the first one, and the others where it fails."""
+    """Relays as the poll servers of gateways, which poll the first relay and the others if it fails."""
 
     def __init__(
-        self, folder: Path, discovery: Discovery, count: int, above: Sequence[Relay] = (), name: str = "relay"
+        self,
+        folder: Path,
+        discovery: Discovery,
+        count: int,
+        upstream_relays: Sequence[Relay] = (),
+        name: str = "relay",
     ) -> None:
-        """`above`: relays in place of the discovery service."""
-        self._discovery, self.above = discovery, list(above)
-        upstreams = [relay.address() for relay in above] or [discovery.address(TOP)]
-        self.relays = [Relay(folder, f"{name}-{n}", upstreams, bool(above)) for n in range(count)]
+        """Starts `count` relays, which poll the relays of `above` or else the discovery service."""
+        self._discovery, self.upstream_relays = discovery, list(upstream_relays)
+        upstreams = [relay.address() for relay in upstream_relays] or [discovery.address(UPSTREAM_GROUP)]
+        self.relays = [
+            Relay(folder, f"{name}-{number}", upstreams, bool(upstream_relays)) for number in range(count)
+        ]
 
     def address(self, group: str) -> str:
         return self.relays[0].address()
@@ -76,71 +87,79 @@
         return [relay.address() for relay in self.relays[1:]]
 
     def pids(self) -> list[int]:
-        return [relay.pid for relay in (*self.above, *self.relays) if relay.alive]
+        return [relay.pid for relay in (*self.upstream_relays, *self.relays) if relay.alive]
 
     def kill(self) -> None:
-        """The first one, which a half of the gateways or all of them poll."""
+        """Kills the first relay, which half of the gateways or all of them poll."""
         self.relays[0].gateway.kill()
 
     def restart(self) -> None:
-        """It stays dead: there is another."""
-
-    def traffic(self) -> dict[str, Said]:
-        """Relays count polls, answers and bodies. Heads are added by their length; a request's bytes are
-        those of the relays' own polls, which are a gateway's to the byte but for the number."""
-        upstream: Said = self._discovery.state()["ports"][TOP]
-        told = [relay.status()["counters"] for relay in self.relays if relay.alive]
-        polls, answers, bodies = (sum(t[name] for t in told) for name in ("polls", "answers", "bytes"))
-        answers += sum(t["empty_answers"] for t in told)
+        """Does nothing: a killed relay stays dead, because gateways have another one."""
+
+    def traffic(self) -> dict[str, JsonObject]:
+        """Returns polls and bytes at the relays and at their upstream port, partly by calculation.
+
+        Relays count polls, answers and the bytes of bodies. Response heads are added by their length. The
+        size of a gateway's request is taken from the relays' own polls, which differ only in the revision.
+        """
+        upstream: JsonObject = self._discovery.state()["ports"][UPSTREAM_GROUP]
+        counters = [relay.status()["counters"] for relay in self.relays if relay.alive]
+        polls, answers, bodies = (
+            sum(relay_counters[name] for relay_counters in counters) for name in ("polls", "answers", "bytes")
+        )
+        answers += sum(relay_counters["empty_answers"] for relay_counters in counters)
         head = len(answer_head(bodies // max(answers, 1), True))
         request = upstream["bytes_in"] / max(upstream["polls"], 1)
         found = {"polls": polls, "bytes_in": polls * request, "bytes_out": bodies + answers * head}
-        return {MAIN: found, TOP: upstream}
+        return {MAIN: found, UPSTREAM_GROUP: upstream}
 
     def close(self) -> None:
-        for relay in (*self.relays, *self.above):
+        for relay in (*self.relays, *self.upstream_relays):
             relay.gateway.kill()
 
 
-def put_relays(fleet: Deployment, count: int, levels: int = 1) -> Relays:
-    """Relays before the gateways of a deployment that has none yet; of two levels, as many on each."""
-    made = Relays(fleet.folder, fleet.discovery, count, name="upper" if levels == 2 else "relay")
+def add_relays(fleet: Deployment, count: int, levels: int = 1) -> Relays:
+    """Puts relays in front of the gateways of a deployment, `count` on each of one or two levels.
+
+    The deployment must not have gateways yet.
+    """
+    relays = Relays(fleet.folder, fleet.discovery, count, name="upper" if levels == 2 else "relay")
     if levels == 2:
-        fleet.answerers = made  # ended with the deployment, whatever comes
-        made = Relays(fleet.folder, fleet.discovery, count, made.relays, "lower")
-    fleet.answerers = made
-    for relay in made.relays:
-        relay.gateway.event("relay_list_known", READY_S)
-    return made
+        fleet.poll_servers = relays  # so that the deployment ends them after an exception
+        relays = Relays(fleet.folder, fleet.discovery, count, relays.relays, "lower")
+    fleet.poll_servers = relays
+    for relay in relays.relays:
+        relay.gateway.event("relay_list_known", READY_TIMEOUT_S)
+    return relays
 
 
 def relay_axis(
-    folder: Path, seed: int, sizes: Sequence[int], rate: float, effort: Effort, said: Progress
+    folder: Path, seed: int, sizes: Sequence[int], rate: float, effort: Effort, report: Progress
 ) -> Axis:
-    """What one relay pays over the number of gateways, and the discovery service, which sees it alone."""
+    """Measures the costs of one relay, and of the discovery service behind it, over the number of gateways."""
 
     def prepare(fleet: Deployment) -> None:
-        put_relays(fleet, 1)
+        add_relays(fleet, 1)
 
-    return gateways_axis(folder, seed, sizes, rate, effort, said, prepare)
+    return gateways_axis(folder, seed, sizes, rate, effort, report, prepare)
 
 
 def run_relay_killed(
     folder: Path, seed: int, gateways: int, rate: float, seconds: float, levels: int
 ) -> dict[str, Any]:
-    """Two relays on each level, all purges of a calm stage and of one in which a relay is killed."""
+    """Publishes purges through two relays per level, first without a fault and then while a relay is killed."""
     with Deployment(folder, store_list(70), seed) as fleet:
-        relays = put_relays(fleet, 2, levels)
+        relays = add_relays(fleet, 2, levels)
         first = fleet.hollow(gateways // 2)
         relays.relays.reverse()  # the other half prefers the other relay
         fleet.hollow(gateways - first.count)
-        fleet.connected()
+        fleet.wait_connected()
         calm = _stage(fleet, rate, seconds)
         logged_in_calm = _logged(fleet)
         turns_in_calm_ms = [relay.status()["longest_turn_ms"] for relay in relays.relays]
         killed = _stage(fleet, rate, seconds, relays)
-        (left,) = [relay for relay in relays.relays if relay.alive]
-        turned = wait_until_counted(left, gateways)
+        (remaining,) = [relay for relay in relays.relays if relay.alive]
+        connection_count = wait_until_counted(remaining, gateways)
         return {
             "levels": levels,
             "relays": 2 * levels,
@@ -148,105 +167,116 @@
             "purges_s": rate,
             "calm": calm,
             "relay killed": killed,
-            "connections_left_relay": turned,
-            "longest_turn_ms": left.status()["longest_turn_ms"],
+            "connections_left_relay": connection_count,
+            "longest_turn_ms": remaining.status()["longest_turn_ms"],
             "longest_turns_in_calm_ms": turns_in_calm_ms,
             "logged_in_calm": logged_in_calm,
             "logged": _logged(fleet),
             "relays_logged": [
-                line for relay in relays.relays for line in relay.gateway.lines if line["event"] not in USUAL
+                line
+                for relay in relays.relays
+                for line in relay.gateway.lines
+                if line["event"] not in STARTUP_EVENTS
             ][:8],
         }
 
 
 def _logged(fleet: Deployment) -> list[str]:
-    """The first lines that hollow gateways logged."""
-    return [line for hollow in fleet.hollows for line in hollow.process.do("state")["logged"]][:8]
+    """Returns the first lines that hollow gateways logged."""
+    return [line for hollow in fleet.hollows for line in hollow.process.call("state")["logged"]][:8]
 
 
 def wait_until_counted(relay: Relay, gateways: int) -> int:
-    """Until all gateways poll that relay; its connections, without the one that asks."""
+    """Waits until all gateways poll the relay, and returns the number of polls that wait there."""
     wait_until(
         lambda: relay.status()["watchers"]["waiting"] >= gateways,
-        READY_S,
+        READY_TIMEOUT_S,
         "not all gateways wait at the relay that is left",
     )
     found: int = relay.status()["watchers"]["waiting"]
     return found
 
 
-def _stage(fleet: Deployment, rate: float, seconds: float, kill: Relays | None = None) -> dict[str, Any]:
-    """Purges for so long, until all gateways have the last; one relay is killed in their midst."""
+def _stage(
+    fleet: Deployment, rate: float, seconds: float, killed_relays: Relays | None = None
+) -> dict[str, Any]:
+    """Publishes purges for `seconds`, kills a relay of `kill` meanwhile, and waits for all gateways."""
     published = fleet.discovery.state()["published"]
     fleet.clear()
-    fleet.discovery.do("purges", rate=rate, seconds=seconds)
-    if kill is not None:
+    fleet.discovery.call("purges", rate=rate, seconds=seconds)
+    if killed_relays is not None:
         time.sleep(min(KILL_AFTER_S, seconds / 2))
-        kill.kill()
+        killed_relays.kill()
         time.sleep(seconds - min(KILL_AFTER_S, seconds / 2))
     else:
         time.sleep(seconds)
-    time.sleep(0.2)  # the last purge is out
+    time.sleep(0.2)  # the last purge has been published by then
     published = fleet.discovery.state()["published"] - published
     for hollow in fleet.hollows:
-        fleet.caught_up(hollow)
+        fleet.wait_caught_up(hollow)
     times = fleet.times("purges")
     count = sum(hollow.count for hollow in fleet.hollows)
     return {**times.row(), "purges": published, "missing": published * count - times.count}
 
 
 def run_relay_backlog(folder: Path, seed: int, count: int, per_s: float, repeats: int) -> dict[str, Any]:
-    """A backlog that a relay takes, and a gateway that comes after it with the first event alone."""
+    """Measures a relay that receives a backlog, and gateways that connect later and have only the first event."""
     with Deployment(folder, store_list(70), seed) as fleet:
-        (relay,) = put_relays(fleet, 1).relays
-        fleet.hollow(1).process.wait_started()  # somebody waits, as always
-        idle_mb, spent, began = resident_mb(relay.pid), processor_s(relay.pid), time.monotonic()
-        rev = fleet.discovery.do("backlog", count=count, per_s=per_s)["rev"]
-        wait_until(lambda: relay.status()["revision"] >= rev, BACKLOG_S, "the relay has not taken it")
+        (relay,) = add_relays(fleet, 1).relays
+        fleet.hollow(1).process.wait_started()  # as in operation, a poll waits at the relay
+        idle_mb, processor_before_s, began = resident_mb(relay.pid), processor_s(relay.pid), time.monotonic()
+        rev = fleet.discovery.call("backlog", count=count, per_s=per_s)["rev"]
+        wait_until(lambda: relay.status()["revision"] >= rev, BACKLOG_TIMEOUT_S, "the relay has not taken it")
         taken_s = time.monotonic() - began
         for hollow in fleet.hollows:
-            fleet.caught_up(hollow, rev, BACKLOG_S)
-        comers = [_comer(fleet, relay, rev) for _ in range(repeats)]
-        upstream = fleet.discovery.state()["ports"][TOP]
+            fleet.wait_caught_up(hollow, rev, BACKLOG_TIMEOUT_S)
+        late_gateways = [_measure_late_gateway(fleet, relay, rev) for _ in range(repeats)]
+        upstream = fleet.discovery.state()["ports"][UPSTREAM_GROUP]
         status = relay.status()
         return {
             "purges": count,
             "made_per_s": per_s,
             "relay_taken_s": round(taken_s, 3),
-            "relay_processor_s": round(processor_s(relay.pid) - spent, 3),
+            "relay_processor_s": round(processor_s(relay.pid) - processor_before_s, 3),
             "relay_mb_over_idle": round(resident_mb(relay.pid) - idle_mb, 2),
             "relay_longest_turn_ms": status["longest_turn_ms"],
             "relay_bytes_in": upstream["bytes_out"],
-            "comers": comers,
+            "comers": late_gateways,
             "counters": status["counters"]["history"],
         }
 
 
-def _comer(fleet: Deployment, relay: Relay, rev: int) -> dict[str, Any]:
-    before, spent = relay.status()["counters"], processor_s(relay.pid)
+def _measure_late_gateway(fleet: Deployment, relay: Relay, rev: int) -> dict[str, Any]:
+    before, processor_before_s = relay.status()["counters"], processor_s(relay.pid)
     hollow = fleet.hollow(1)
     hollow.process.wait_started()
     began = time.monotonic()
-    wait_until(lambda: hollow.process.do("state")["lowest_rev"] >= rev, BACKLOG_S, "no folded answer", 0.005)
+    wait_until(
+        lambda: hollow.process.call("state")["lowest_rev"] >= rev,
+        BACKLOG_TIMEOUT_S,
+        "no folded answer",
+        0.005,
+    )
     took_ms = 1_000 * (time.monotonic() - began)
     after = relay.status()["counters"]
     return {
-        "bytes": after["bytes"] - before["bytes"],  # the other gateway has had its own answer
+        "bytes": after["bytes"] - before["bytes"],  # the other gateway has received its answer before
         "until_ms": round(took_ms, 1),
-        "relay_processor_ms": round(1_000 * (processor_s(relay.pid) - spent), 2),
+        "relay_processor_ms": round(1_000 * (processor_s(relay.pid) - processor_before_s), 2),
     }
 
 
 @dataclass(frozen=True)
 class Regions:
-    """The relays that an operator runs where each region has its own."""
+    """The relays of the target if each region has its own."""
 
-    gateways: int  # of a region, all at one relay while the other is dead
-    pct_high: float  # of a core, of that relay
+    gateways: int  # gateways of a region, all of which poll one relay while the other is dead
+    pct_high: float  # use of that relay in percent of a core, upper bound
     processes: int
     cores_high: float
 
     def row(self) -> dict[str, Any]:
+        """Returns the figures under their names in the results."""
         return {
             "regions": REGIONS,
             "gateways_a_region": self.gateways,
@@ -259,7 +289,10 @@
 
 
 def by_regions(axis: Axis) -> Regions | None:
-    """Two relays a region for the target's gateways, by the line's upper end; None without a slope."""
+    """Returns the cost of two relays per region for the target's gateways, at the upper end of the slope.
+
+    Returns None without a slope.
+    """
     slope = axis.slope("answerer_pct")
     if slope is None:
         return None
@@ -278,14 +311,17 @@
     backlog: int,
     seconds: float,
     effort: Effort,
-    said: Progress,
+    report: Progress,
 ) -> dict[str, Any]:
-    """All of it; without sizes there is no axis, without a backlog neither it nor two levels."""
-    axis = relay_axis(folder / "relay-axis", seed, sizes, rate, effort, said) if sizes else None
+    """Runs all relay measurements.
+
+    Empty `sizes` leave out the axis; a `backlog` of 0 leaves out the backlog and the two levels of relays.
+    """
+    axis = relay_axis(folder / "relay-axis", seed, sizes, rate, effort, report) if sizes else None
     killed = list[dict[str, Any]]()
     for repeat in range(effort.repeats):
         killed.append(run_relay_killed(folder / f"relay-{repeat}", seed, gateways, rate, seconds, 1))
-        said(f"two relays, one killed: {killed[-1]['calm']}, {killed[-1]['relay killed']}")
+        report(f"two relays, one killed: {killed[-1]['calm']}, {killed[-1]['relay killed']}")
     regions = None if axis is None else by_regions(axis)
     found: dict[str, Any] = {
         "axis": None if axis is None else axis.row(),
@@ -297,7 +333,7 @@
     }
     if backlog:
         found["tree"] = run_relay_killed(folder / "relay-tree", seed, gateways, rate, seconds, 2)
-        said(f"two levels: {found['tree']}")
+        report(f"two levels: {found['tree']}")
         found["backlog"] = run_relay_backlog(folder / "relay-hour", seed, backlog, rate, effort.repeats)
-        said(f"backlog at a relay: {found['backlog']}")
+        report(f"backlog at a relay: {found['backlog']}")
     return found
--- a/benchmarks/_staff.py
+++ b/benchmarks/_staff.py
@@ -23,7 +23,7 @@
         return int(sock.getsockname()[1])
 
 
-class Office:
+class GatewaySite:
     """Four edge stores, a parent and an origin, with one gateway that may run as several processes."""
 
     def __init__(self, folder: Path) -> None:
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from benchmarks._load import Load
-from benchmarks._staff import Office, killed_at_exit
+from benchmarks._staff import GatewaySite, killed_at_exit
 
 RATE = 150.0  # requests a second
 CLIENT_CONNECTIONS = (
@@ -95,13 +95,13 @@
         "figures_off_max": 0,
     }
     with tempfile.TemporaryDirectory() as name, killed_at_exit([]) as started:
-        office = Office(Path(name))
-        gateway = office.start()
+        site = GatewaySite(Path(name))
+        gateway = site.start()
         started.append(gateway)
-        office.wait_ready(gateway)
-        load = Load(office.world, office.port, RATE, seed, conns=6, orders=0.05)
+        site.wait_ready(gateway)
+        load = Load(site.world, site.port, RATE, seed, conns=6, orders=0.05)
         floods = [
-            ConnectionFlood(office.port, CLIENT_CONNECTIONS, b"\0\0\1\0\x80\1\0\1", seed),
+            ConnectionFlood(site.port, CLIENT_CONNECTIONS, b"\0\0\1\0\x80\1\0\1", seed),
             ConnectionFlood(
                 gateway.door, MANAGEMENT_CONNECTIONS, b"PUT /ops/stores/down HTTP/1.1\r\nContent-Le", seed
             ),
@@ -109,9 +109,9 @@
         try:
             end, turn = time.monotonic() + seconds, 0
             while time.monotonic() < end:
-                office.world.run(0.1)
+                site.world.run(0.1)
                 turn += 1
-                store_name = office.edge_stores[turn // 4 % len(office.edge_stores)].name
+                store_name = site.edge_stores[turn // 4 % len(site.edge_stores)].name
                 for method, path, body, expected_status in (
                     ("GET", "/ops/readiness", None, 200),
                     ("GET", "/ops/stats", None, 200),
@@ -125,7 +125,7 @@
                     ("GET", "/ops/stores/up", None, 405),
                     ("PUT", "/ops/stores/up", "{", 400),
                 ):
-                    status, text, seconds_taken = office.call(gateway, method, path, body)
+                    status, text, seconds_taken = site.call(gateway, method, path, body)
                     found["calls"] += 1
                     found["wrong"] += status not in (expected_status, 0)
                     found["late"] += status == 0 or seconds_taken > LATE_S
@@ -137,14 +137,14 @@
             for flood in floods:
                 flood.stop()
         load.stop()
-        office.world.run(3.0)
-        last = _metrics(office.call(gateway, "GET", "/ops/stats")[1])
+        site.world.run(3.0)
+        last = _metrics(site.call(gateway, "GET", "/ops/stats")[1])
         found["turn_ms_max"] = round(last["app_turn_seconds_max"] * 1000, 1)
         found["crowd"] = [flood.made for flood in floods]
         found["requests"], found["closed_on"] = load.tally.asked, load.tally.closed_on
         found["unanswered"] = load.open
         load.close()
-        office.world.close()
+        site.world.close()
     for key, value in found.items():
         print(f"{key:18} {value}")
     return {**found, "seed": seed}
--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -116,15 +116,15 @@
             ran_before = dict(store.orders)
             for token in replayed:
                 client.post(token, issued[token])
-            for n in range(orders):
-                token = f"order-{trial:05d}-{n:02d}"
+            for number in range(orders):
+                token = f"order-{trial:05d}-{number:02d}"
                 issued[token] = tokens.issue(
                     signer, PUBLIC + TARGET, 600, time.time(), aud="praia-1", jti=token
                 )
                 used_tokens.append(token)
                 world.at(
                     time.monotonic() + plan.uniform(0, lifetime_s),
-                    lambda t=token, p=client: p.post(t, issued[t]),
+                    lambda token_id=token, order_client=client: order_client.post(token_id, issued[token_id]),
                 )
             world.run(lifetime_s)
             gateway.kill()
@@ -133,23 +133,23 @@
             total["trials"] += 1
             total["orders shown"] += orders
             total["tokens shown again"] += len(replayed)
-            total["turned away as used"] += sum(client.answers.get(t) == 401 for t in replayed)
+            total["turned away as used"] += sum(client.answers.get(token_id) == 401 for token_id in replayed)
             total["answered 200"] += sum(a == 200 for a in client.answers.values())
             total["shown again, good and run once"] += sum(
-                t not in ran_before and store.orders.get(t) == 1 for t in replayed
+                token_id not in ran_before and store.orders.get(token_id) == 1 for token_id in replayed
             )
             total["opened by a token that had run"] += sum(
-                t in ran_before and client.answers.get(t) == 200 for t in replayed
+                token_id in ran_before and client.answers.get(token_id) == 200 for token_id in replayed
             )
-            total["snapshots taken up"] += len(gateway.heard("memory_taken_up"))
+            total["snapshots taken up"] += len(gateway.logged("memory_taken_up"))
             total["damaged files met"] += sum(
-                x["reason"] == "damaged"
-                for e in ("memory_set_aside", "tokens_set_aside")
-                for x in gateway.heard(e)
+                record["reason"] == "damaged"
+                for event in ("memory_set_aside", "tokens_set_aside")
+                for record in gateway.logged(event)
             )
-            total["faults logged"] += len(gateway.heard("router_fault")) + len(gateway.heard("text"))
+            total["faults logged"] += len(gateway.logged("router_fault")) + len(gateway.logged("text"))
     total["orders run"] = len(store.orders)
-    total["orders run twice"] = sum(n > 1 for n in store.orders.values())
+    total["orders run twice"] = sum(number > 1 for number in store.orders.values())
     world.close()
     return dict(total)
 
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -74,14 +74,14 @@
                 store.mode = "failing" if store.mode == "good" else "good"
         gateway = Gateway(operator)
         port = gateway.port()
-        before = {store.name: store.asked for store in stores}
+        before = {stand_in.name: stand_in.asked for stand_in in stores}
         load = Load(world, port, RATE, seed + 1000)
         world.run(MEASURE_S)
         bad = sum(store.asked - before[store.name] for store in stores if store.mode != "good")
         load.stop()
         world.run(1.0)  # waits for the answers to the last requests
         tally = load.tally
-        taken = gateway.heard("memory_taken_up")
+        taken = gateway.logged("memory_taken_up")
         gateway.kill()
         load.close()
         world.close()
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -15,7 +15,7 @@
 
 from benchmarks._load import Load
 from benchmarks._program import Gateway
-from benchmarks._staff import Office, killed_at_exit
+from benchmarks._staff import GatewaySite, killed_at_exit
 
 RATE = 150.0  # requests a second
 GRACE_S = 0.3  # grace period of a drain, plus 50 ms for sockets
@@ -36,40 +36,40 @@
         "sent_to_banned": 0,
     }
     with tempfile.TemporaryDirectory() as name, killed_at_exit([]) as started:
-        office = Office(Path(name))
-        started.append(office.start("tmp0"))
-        office.wait_ready(started[0])
-        load = Load(office.world, office.port, RATE, seed, conns=6, orders=0.05, fresh=0.1)
-        office.world.run(GAP_S)
+        site = GatewaySite(Path(name))
+        started.append(site.start("tmp0"))
+        site.wait_ready(started[0])
+        load = Load(site.world, site.port, RATE, seed, conns=6, orders=0.05, fresh=0.1)
+        site.world.run(GAP_S)
         for number in range(upgrades):
             old = started[-1]
-            drained = office.edge_stores[number % len(office.edge_stores)]
+            drained = site.edge_stores[number % len(site.edge_stores)]
             drain_first = number % 2 == 0
             if drain_first and hand_over:
-                office.call(old, "PUT", "/ops/stores/down", f'{{"id": "{drained.name}"}}')
+                site.call(old, "PUT", "/ops/stores/down", f'{{"id": "{drained.name}"}}')
                 drained_at, requests_at_grace_end = time.monotonic(), -1
-            new = office.start("tmp0" if hand_over else f"tmp{number + 1}")
+            new = site.start("tmp0" if hand_over else f"tmp{number + 1}")
             started.append(new)
-            took = office.wait_ready(new)
+            took = site.wait_ready(new)
             if not drain_first and hand_over:
-                office.call(old, "PUT", "/ops/stores/down", f'{{"id": "{drained.name}"}}')
+                site.call(old, "PUT", "/ops/stores/down", f'{{"id": "{drained.name}"}}')
                 drained_at, requests_at_grace_end = time.monotonic(), -1
             found["ready_s_max"] = max(found["ready_s_max"], round(took, 2))
             old.process.send_signal(signal.SIGTERM)
             end = time.monotonic() + 6.0
             minimum_end = time.monotonic() + GAP_S
             while time.monotonic() < end and (old.process.poll() is None or time.monotonic() < minimum_end):
-                office.world.run(0.02)
+                site.world.run(0.02)
                 _record_resource_peaks(found, old, new)
                 if hand_over and requests_at_grace_end < 0 and time.monotonic() > drained_at + GRACE_S:
                     requests_at_grace_end = drained.asked
             if hand_over:
                 found["sent_to_banned"] += drained.asked - requests_at_grace_end
-                office.call(new, "PUT", "/ops/stores/up", f'{{"id": "{drained.name}"}}')
+                site.call(new, "PUT", "/ops/stores/up", f'{{"id": "{drained.name}"}}')
             found["upgrades"] += old.process.poll() == 0
             old.end()
         load.stop()
-        office.world.run(3.0)
+        site.world.run(3.0)
         tally = load.tally
         found |= {
             "requests": tally.asked,
@@ -79,11 +79,11 @@
             "unanswered": load.open,
             "served_in_time": tally.in_time,
             "orders_run_twice": sum(
-                number > 1 for store in office.world.stores for number in store.orders.values()
+                number > 1 for store in site.world.stores for number in store.orders.values()
             ),
         }
         load.close()
-        office.world.close()
+        site.world.close()
     return found
 
 
