--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -183,14 +183,14 @@
                     requests.setdefault(size, []).append(measured["per_s"])
         finally:
             fleet.close()
-    arithmetic = target.arithmetic()
-    results.add("traffic_request_us", points, arithmetic["kb_request"])
+    target_figures = target.target_figures()
+    results.add("traffic_request_us", points, target_figures["kb_request"])
     largest = ANSWER_KB[-1]
     max_us = max(us for size, us in points if size == largest)
     return {
         "mbit_s_core": rounded(largest * 8e3 / max_us),
         "pct_in_parts": rounded(
-            arithmetic["requests_s_gateway"] * arithmetic["bodies_request"] * max_us / 1e4
+            target_figures["requests_s_gateway"] * target_figures["bodies_request"] * max_us / 1e4
         ),
         **{
             f"requests_s_{size}_kb": rounded(statistics.median(measured))
@@ -200,7 +200,7 @@
 
 
 def shares(results: Results) -> dict[str, float]:
-    """Returns the use in percent of a core at the target's requests and changes, by the upper ends of intervals."""
+    """Returns percentages of a core at the target's requests and changes, by the upper ends of intervals."""
     requests_per_s = target.REQUESTS_PER_S / target.GATEWAYS
     changes_s = target.CHANGES_PER_DAY / target.DAY_S
 
@@ -223,7 +223,10 @@
 
 
 def run(short: bool, seed: int, trials: int) -> dict[str, Any]:
-    """Runs all measurements, in under 20 s in the short form; `trials` is the number of repeats, at least three."""
+    """Runs all measurements; the short form takes under 20 s.
+
+    `trials` is the number of repeats, at least three.
+    """
     previous_thresholds = gc.get_threshold()
     gc.collect()
     gc.set_threshold(*GC_THRESHOLDS)
@@ -236,7 +239,7 @@
 
 
 def reference_us() -> float:
-    """Measures the processor time of one hash, as an indication of the machine's current speed under its load."""
+    """Measures the processor time of one hash, which indicates the machine's current speed under its load."""
     return rounded(router.mean_us(lambda: hash64("reference"), REFERENCE_CALLS))
 
 
@@ -269,7 +272,7 @@
         "traffic": traffic_results,
         "traffic_compiled": traffic.compiled(),
         "descriptors": target.divided(),
-        "arithmetic": {name: rounded(value, 6) for name, value in target.arithmetic().items()},
+        "arithmetic": {name: rounded(value, 6) for name, value in target.target_figures().items()},
         "shares": shares(results),
         "request_median_us": {
             shape.name: {
--- a/benchmarks/scale_virtual.py
+++ b/benchmarks/scale_virtual.py
@@ -1,4 +1,4 @@
-"""Costs that grow with the fleet, simulated in virtual time and without I/O for fleets of up to 7,500 gateways.
+"""Costs that grow with the fleet, simulated in virtual time and without I/O for up to 7,500 gateways.
 
 Two subjects: the slow start of cold stores and cold parents behind routers, and the rollout agreement, for
 ordinary nodes and for the members that vote. Slopes are least-squares fits over repeated points (`_slopes`).
@@ -261,7 +261,7 @@
 
 
 def measure_agreement(results: Results, sizes: Sequence[int], seeds: Sequence[int]) -> None:
-    """Measures the load of each role, the propagation of one change, and the memory, over the number of nodes."""
+    """Measures the load of each role, the propagation of a change, and memory, over the number of nodes."""
     rows, points = [], dict[str, Points]()
     for nodes in sizes:
         found = [_one_fleet(nodes, MEMBERS, seed) for seed in seeds]
@@ -426,11 +426,11 @@
             spread = fleet.spread()
             all_points.append((float(nodes), float(spread.datagrams)))
             member_points.append((float(nodes), spread.member_datagrams))
-        datagrams_of_all, fleet_costs = (
+        datagrams_of_all, datagrams_of_member = (
             statistics.median(cost for _, cost in points[-len(seeds) :])
             for points in (all_points, member_points)
         )
-        rows.append((nodes, registers, datagrams_of_all, fleet_costs))
+        rows.append((nodes, registers, datagrams_of_all, datagrams_of_member))
     results.table(
         "One change with a table for each site: datagrams until all know",
         ("nodes", "tables", "of all", "of a member"),
--- a/tests/test_scale_virtual.py
+++ b/tests/test_scale_virtual.py
@@ -1,4 +1,4 @@
-"""Slopes on made-up points, and what the short form of the scale runs in virtual time must show."""
+"""Tests of slopes on synthetic points, and of the short form of the benchmark in virtual time."""
 
 import json
 from random import Random
@@ -21,45 +21,45 @@
 # Slopes ------------------------------------------------------------------------------------------------
 
 
-def test_a_line_is_found_with_its_interval_and_how_far_an_estimate_lies_beyond_it():
-    found = fit(repeated(lambda size: 10.0 + 0.5 * size))
-    assert isinstance(found, Slope) and found.is_line and found.exponent is None
-    assert found.slope_low <= 0.5 <= found.slope_high
-    assert found.fixed == pytest.approx(10.0, abs=5.0)
-    assert 0.0 < found.residual_share < 0.15 and (found.points, found.largest) == (12, 1024.0)
-    estimate = found.at(4096)
+def test_a_line_is_fitted_with_its_interval_and_estimates_know_how_far_they_extrapolate():
+    fitted = fit(repeated(lambda size: 10.0 + 0.5 * size))
+    assert isinstance(fitted, Slope) and fitted.is_line and fitted.exponent is None
+    assert fitted.slope_low <= 0.5 <= fitted.slope_high
+    assert fitted.fixed == pytest.approx(10.0, abs=5.0)
+    assert 0.0 < fitted.residual_share < 0.15 and (fitted.points, fitted.largest) == (12, 1024.0)
+    estimate = fitted.at(4096)
     assert estimate.low < 10.0 + 0.5 * 4096 < estimate.high and estimate.beyond == 4.0
-    assert found.at(512).high - found.at(512).low < estimate.high - estimate.low
+    assert fitted.at(512).high - fitted.at(512).low < estimate.high - estimate.low
 
 
-def test_a_cost_that_does_not_grow_is_a_line_without_a_slope():
-    found = fit(repeated(lambda size: 7.0))
-    assert found.is_line and found.slope_low <= 0.0 <= found.slope_high
-    assert found.at(7500).value == pytest.approx(7.0, rel=0.3)
+def test_a_constant_cost_is_a_line_whose_slope_interval_includes_zero():
+    fitted = fit(repeated(lambda size: 7.0))
+    assert fitted.is_line and fitted.slope_low <= 0.0 <= fitted.slope_high
+    assert fitted.at(7500).value == pytest.approx(7.0, rel=0.3)
 
 
-def test_a_fixed_cost_that_is_left_when_the_rest_falls_is_estimated_by_whichever_form_is_closer():
-    found = fit(repeated(lambda size: 20.0 + 300.0 / size, noise=0.0))
-    assert not found.is_line and found.exponent < 0.0
-    assert found.at(1024).value == pytest.approx(20.3, rel=found.residual_share)
+def test_a_falling_cost_with_a_fixed_part_is_estimated_by_the_closer_fit():
+    fitted = fit(repeated(lambda size: 20.0 + 300.0 / size, noise=0.0))
+    assert not fitted.is_line and fitted.exponent < 0.0
+    assert fitted.at(1024).value == pytest.approx(20.3, rel=fitted.residual_share)
 
 
-def test_a_cost_of_nothing_is_a_line():
-    found = fit(repeated(lambda size: 0.0))
-    assert (found.fixed, found.slope, found.residual_share, found.is_line) == (0.0, 0.0, 0.0, True)
+def test_zero_costs_are_a_line():
+    fitted = fit(repeated(lambda size: 0.0))
+    assert (fitted.fixed, fitted.slope, fitted.residual_share, fitted.is_line) == (0.0, 0.0, 0.0, True)
 
 
 @pytest.mark.parametrize("exponent", [0.5, 1.5, 2.0])
-def test_a_curve_is_called_one_and_its_exponent_is_found(exponent):
-    found = fit(repeated(lambda size: 3.0 * size**exponent))
-    assert not found.is_line
-    assert found.exponent == pytest.approx(exponent, abs=0.05)
-    estimate = found.at(4096)
+def test_a_power_law_is_not_a_line_and_its_exponent_is_fitted(exponent):
+    fitted = fit(repeated(lambda size: 3.0 * size**exponent))
+    assert not fitted.is_line
+    assert fitted.exponent == pytest.approx(exponent, abs=0.05)
+    estimate = fitted.at(4096)
     assert estimate.low < 3.0 * 4096**exponent * 1.1 and estimate.high > 3.0 * 4096**exponent / 1.1
     assert estimate.value == pytest.approx(3.0 * 4096**exponent, rel=0.15)
 
 
-def test_points_too_scattered_for_a_line_are_not_called_one():
+def test_points_with_large_residuals_are_not_a_line():
     assert not fit(repeated(lambda size: 10.0 + 0.5 * size, noise=0.9)).is_line
 
 
@@ -73,7 +73,7 @@
         ([], "0 sizes"),
     ],
 )
-def test_points_that_bear_no_slope_are_refused(points, why):
+def test_insufficient_points_are_rejected(points, why):
     with pytest.raises(ValueError, match=why):
         fit(points)
 
@@ -86,21 +86,21 @@
     return scale_virtual.run(short=True, seed=1, trials=0)
 
 
-def test_the_last_line_is_json_without_what_json_does_not_know(short):
+def test_results_are_strict_json_with_all_slope_keys(short):
     assert json.loads(json.dumps(short, allow_nan=False))["benchmark"] == "scale_virtual"
     needed = {"fixed", "slope", "low", "high", "residual", "largest", "is_line", "exponent", "beyond"}
     assert all(needed <= row.keys() for row in short["slopes"].values())
 
 
-def test_no_cold_one_gets_more_than_it_bears_in_any_window(short):
+def test_no_cold_server_exceeds_its_limit_in_any_window(short):
     assert short["ramp_windows"] > 10_000
     assert short["ramp_windows_over_limit"] == 0
     assert short["ramp_worst_share_of_limit"] <= 1.0
 
 
 @pytest.mark.parametrize("kind", ["store", "parent"])
-def test_cold_ones_are_warmed_by_many_gateways_as_by_few(short, kind):
-    """A share far below one request for each gateway must not round down to none."""
+def test_many_gateways_use_as_much_of_the_cold_budget_as_few(short, kind):
+    """Guards against a share of the budget far below one request per gateway being rounded down to zero."""
     few, many = (short[f"ramp_budget_used_{kind}_steady_small_{size}"] for size in (64, 256))
     assert many >= 0.9 * few >= 0.3
 
@@ -109,19 +109,19 @@
     sizes = scale_virtual.SHORT_NODES
     times = sizes[-1] / sizes[0]
     for role in ("coordinator", "member"):
-        for what in ("datagrams_in", "kb_in", "state_kb", "datagrams_out"):
-            first, last = (short[f"agreement_{role}_{what}_{size}"] for size in (sizes[0], sizes[-1]))
-            assert last <= 1.1 * times * first, (role, what)
+        for figure in ("datagrams_in", "kb_in", "state_kb", "datagrams_out"):
+            first, last = (short[f"agreement_{role}_{figure}_{size}"] for size in (sizes[0], sizes[-1]))
+            assert last <= 1.1 * times * first, (role, figure)
 
 
-def test_an_ordinary_node_sends_and_gets_no_more_in_a_larger_fleet(short):
+def test_the_load_of_an_ordinary_node_does_not_grow_with_the_fleet(short):
     sizes = scale_virtual.SHORT_NODES
-    for what in ("datagrams_out", "datagrams_in", "kb_out", "kb_in"):
-        first, last = (short[f"agreement_ordinary_{what}_{size}"] for size in (sizes[0], sizes[-1]))
-        assert last <= 1.1 * first, what
+    for figure in ("datagrams_out", "datagrams_in", "kb_out", "kb_in"):
+        first, last = (short[f"agreement_ordinary_{figure}_{size}"] for size in (sizes[0], sizes[-1]))
+        assert last <= 1.1 * first, figure
 
 
-def test_the_time_to_a_majority_does_not_depend_on_the_fleet(short):
+def test_the_time_to_a_majority_does_not_depend_on_the_fleet_size(short):
     slope = short["slopes"]["agreement_granted_s"]
     assert slope["is_line"] and slope["target"] < 1.0
 
@@ -129,33 +129,33 @@
 # The drivers -------------------------------------------------------------------------------------------
 
 
-def test_a_ramp_is_the_same_for_the_same_seed_and_another_for_another():
+def test_a_slow_start_is_determined_by_its_seed():
     first, again, other = (ramp.play(ramp.Case(64, False, "steady", 20.0, seed)).calls for seed in (1, 1, 2))
     assert first == again != other
 
 
-def test_more_requests_buy_no_more_of_a_cold_store():
+def test_a_higher_request_rate_does_not_increase_the_use_of_a_cold_store():
     used = [ramp.play(ramp.Case(64, False, "steady", 20.0, 1, offered)).used for offered in (5.0, 20.0)]
     assert used[1] <= 1.1 * used[0] and used[1] <= 1.0
 
 
-def test_windows_over_the_limit_are_seen(monkeypatch):
+def test_windows_over_the_limit_are_counted(monkeypatch):
     monkeypatch.setattr("olivecourse.choice.COLD_SAFETY", 4.0)
-    found = ramp.play(ramp.Case(64, True, "steady", 20.0, 1, 10.0))
-    assert found.over > 0 and found.worst > 1.0
+    fitted = ramp.play(ramp.Case(64, True, "steady", 20.0, 1, 10.0))
+    assert fitted.over > 0 and fitted.worst > 1.0
 
 
-def test_a_node_that_is_called_only_when_something_is_due_sends_the_same_beats():
-    """Each beat goes to all members and to two others; nothing else is said in a calm fleet but the polls."""
+def test_a_node_that_runs_only_when_due_sends_the_same_heartbeats():
+    """In an idle fleet nodes send only polls and heartbeats, each to all members and to two other nodes."""
     fleet = agreement.Fleet(64, 5, 1)
     fleet.run(3 * fleet.period_ns / agreement.S)
     loads = fleet.loads(4 * fleet.period_ns / agreement.S)
-    beats = loads["member"].datagrams_in - loads["member"].recalls_in
-    heard = 63 * agreement.S / fleet.period_ns
-    assert beats == pytest.approx(heard, rel=0.05)
+    heartbeats = loads["member"].datagrams_in - loads["member"].recalls_in
+    expected = 63 * agreement.S / fleet.period_ns
+    assert heartbeats == pytest.approx(expected, rel=0.05)
 
 
-def test_sizes_of_state_count_each_object_once():
+def test_deep_bytes_counts_each_object_once():
     shared = ["x" * 1000]
     assert agreement.deep_bytes([shared, shared]) < 2 * agreement.deep_bytes([shared])
     assert agreement.deep_bytes({"a": 1}) > agreement.deep_bytes({})
