--- a/benchmarks/_capacity_target.py
+++ b/benchmarks/_capacity_target.py
@@ -69,9 +69,9 @@
 
 
 def least_sockets(connections: int) -> int:
-    """Returns the fewest descriptors with which a gateway with a management port has `connections` for stores."""
+    """Returns the fewest descriptors that leave a gateway with a management port `connections` for stores."""
     sockets = 2 * connections
-    while descriptors.descriptor_split(sockets, MANAGEMENT_PORTS).stores < connections:
+    while descriptors.split(sockets, MANAGEMENT_PORTS).stores < connections:
         sockets += 1
     return sockets
 
@@ -80,7 +80,7 @@
     """Returns how a gateway with a management port divides its descriptors, by their number."""
     division = {}
     for sockets in SOCKETS:
-        descriptor_split = descriptors.descriptor_split(sockets, MANAGEMENT_PORTS)
+        descriptor_split = descriptors.split(sockets, MANAGEMENT_PORTS)
         division[str(sockets)] = {
             "stores": descriptor_split.stores,
             "per_store": descriptor_split.per_store,
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -183,7 +183,7 @@
                     requests.setdefault(size, []).append(measured["per_s"])
         finally:
             fleet.close()
-    target_figures = target.target_figures()
+    target_figures = target.arithmetic()
     results.add("traffic_request_us", points, target_figures["kb_request"])
     largest = ANSWER_KB[-1]
     max_us = max(us for size, us in points if size == largest)
@@ -272,7 +272,7 @@
         "traffic": traffic_results,
         "traffic_compiled": traffic.compiled(),
         "descriptors": target.divided(),
-        "arithmetic": {name: rounded(value, 6) for name, value in target.target_figures().items()},
+        "arithmetic": {name: rounded(value, 6) for name, value in target.arithmetic().items()},
         "shares": shares(results),
         "request_median_us": {
             shape.name: {
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -77,7 +77,7 @@
 
 
 def test_events_are_numbered_and_a_poll_returns_the_missing_ones(service, poller):
-    service.publish_purges([purge(tag(5_000, 1)), purge(tag(6_000, 2))])
+    service.publish([purge(tag(5_000, 1)), purge(tag(6_000, 2))])
     poller.ask(1)
     answer = poller.answer()
     assert answer["rev"] == 2 and [event["rev"] for event in answer["notices"]] == [2]
@@ -89,7 +89,7 @@
     for poller in pollers:
         poller.ask(0, 5_000)
     run_until(lambda: service.turn(0.01), until=lambda: service.ports["main"].traffic.polls == 3)
-    service.publish_purges([purge(tag(1, 1))])
+    service.publish([purge(tag(1, 1))])
     assert [poller.answer()["rev"] for poller in pollers] == [1, 1, 1]
     assert service.history.answer(0) is service.history.answer(0)
     for poller in pollers:
@@ -103,7 +103,7 @@
 
 def test_a_muted_port_announces_no_events(service):
     poller = Poller(service, service.open_port("idle", muted=True))
-    service.publish_purges([purge(tag(1, 1))])
+    service.publish([purge(tag(1, 1))])
     poller.ask(0, 20)
     assert poller.answer()["notices"] == []
     poller.sock.close()
@@ -111,10 +111,10 @@
 
 def test_late_answers_include_events_published_meanwhile(service, poller):
     service.late_share, service.late_s = 1.0, 0.05
-    service.publish_purges([purge(tag(1, 1))])
+    service.publish([purge(tag(1, 1))])
     poller.ask(0)
     run_until(lambda: service.turn(0.01), until=lambda: service.ports["main"].traffic.polls == 1)
-    service.publish_purges([purge(tag(2, 2))])
+    service.publish([purge(tag(2, 2))])
     assert [event["rev"] for event in poller.answer()["notices"]] == [1, 2]
 
 
@@ -246,9 +246,9 @@
 
 @pytest.fixture
 def fleet(service, tmp_path):
-    """Eight hollow gateways that have received a list of stores; `fleet.run_until(until)` runs all of them."""
+    """Eight hollow gateways that have received a list of stores; `fleet.run_until(until)` runs them."""
     pool = {"revision": 1, "complete": True, "members": store_list(12)}
-    service.publish_purges([b'"pool":' + json.dumps(pool).encode()])
+    service.publish([b'"pool":' + json.dumps(pool).encode()])
     path = tmp_path / "config.json"
     path.write_text(
         json.dumps(
@@ -275,7 +275,7 @@
 
 def test_a_purge_is_applied_by_every_hollow_gateway(service, fleet):
     names = [tag(time.monotonic_ns(), serial) for serial in range(5)]
-    service.publish_purges([purge(name) for name in names])
+    service.publish([purge(name) for name in names])
     fleet.run_until(lambda: fleet.purges.total == 5 * 8)
     for gateway in fleet.gateways:
         assert len(gateway.control.directory.members) == 12 and not gateway.logged
@@ -283,22 +283,22 @@
 
 
 def test_restarted_gateways_catch_up_without_counting_old_purges(service, fleet):
-    service.publish_purges([purge(tag(time.monotonic_ns(), 1))])
+    service.publish([purge(tag(time.monotonic_ns(), 1))])
     fleet.run_until(lambda: fleet.purges.total == 8)
     fleet.restart([0, 3])
     fleet.run_until(lambda: all(gateway.rev == service.history.rev for gateway in fleet.gateways))
     assert fleet.purges.total == 8
-    service.publish_purges([purge(tag(time.monotonic_ns(), 2))])
+    service.publish([purge(tag(time.monotonic_ns(), 2))])
     fleet.run_until(lambda: fleet.purges.total == 16)
 
 
 def test_a_reload_applies_new_settings_at_every_gateway(fleet):
     path = fleet.gateways[0]._path
     with open(path) as file:
-        config = json.load(file)
-    config["settings"]["limits"]["max_attempts"] = 3
+        file_content = json.load(file)
+    file_content["settings"]["limits"]["max_attempts"] = 3
     with open(path, "w") as file:
-        json.dump(config, file)
+        json.dump(file_content, file)
     fleet.reload(time.monotonic_ns() // 1_000)
     assert {gateway.config.settings.max_attempts for gateway in fleet.gateways} == {3}
     assert fleet.reloads.total == 8
