--- a/benchmarks/_fleet.py
+++ b/benchmarks/_fleet.py
@@ -31,9 +31,9 @@
 SORTS = (Sort("fichiers", 0.95), Sort("commande", 0.05, write=True))
 COLD_S = 1.0  # how long a store is cold after its start
 WORK_S = 0.5  # how long a store is down for maintenance
-OFFICE = "stores:praia"  # lease group of the edge stores
+STORE_GROUP = "stores:praia"  # lease group of the edge stores
 SAMPLE_S = 0.05
-FIRST, BLOCK, BLOCKS = 15_000, 256, 64  # first port, ports in a block, blocks
+FIRST_PORT, PORTS_PER_PROCESS, PORT_BLOCKS = 15_000, 256, 64  # first port, ports in a block, blocks
 _ports = itertools.count()
 
 
@@ -43,9 +43,9 @@
     The kernel never assigns such a port to an outgoing connection, so the port of a gateway that is down
     stays free until the gateway starts again.
     """
-    first = FIRST + os.getpid() % BLOCKS * BLOCK
+    first = FIRST_PORT + os.getpid() % PORT_BLOCKS * PORTS_PER_PROCESS
     while True:
-        found = first + next(_ports) % BLOCK
+        found = first + next(_ports) % PORTS_PER_PROCESS
         with contextlib.suppress(OSError), socket.create_server(("127.0.0.1", found)):
             return found
 
@@ -72,12 +72,12 @@
         version: str = "v1",
     ) -> None:
         self.folder, self.agree, self.budget, self.seed = folder, agree, budget, seed
-        self.names = [f"n{i}" for i in range(count)]
+        self.names = [f"n{index}" for index in range(count)]
         self.members = self.names[:1] if agreement == "planner" else self.names[:members]
         self.observer = Observer(0.25, 0.3, frozenset({"commande"}))
-        self.boxes = [Store(f"box-{n:02d}", delay_s=0.005) for n in range(stores)]
+        self.edge_stores = [Store(f"box-{n:02d}", delay_s=0.005) for n in range(stores)]
         self.hub, self.archive = Store("hub-1"), Store("archive-1")
-        self.world = World([*self.boxes, self.hub, self.archive], self.observer.asked)
+        self.world = World([*self.edge_stores, self.hub, self.archive], self.observer.asked)
         self.board = Board(self.world)
         self.network = Network(self.world, seed)
         self.ports = {n: port() for n in self.names}
@@ -86,16 +86,20 @@
         self._datagrams = {n: ("127.0.0.1", port()) for n in self.names}
         self.running: dict[str, Gateway] = {}
         self.started: dict[str, int] = dict.fromkeys(self.names, 0)
-        self.state = dict.fromkeys((b.name for b in self.boxes), "in")  # "in", "down" or "cold"
-        self.over, self.samples, self.most_out = 0, 0, 0
+        self.state = dict.fromkeys(
+            (edge_store.name for edge_store in self.edge_stores), "in"
+        )  # "in", "down" or "cold"
+        self.over_budget_samples, self.samples, self.max_stores_out = 0, 0, 0
         self.player = Player(self.network, self.names, self.pid, self.start, self.killed)
         self.sampling = True
-        self.replacing, self.bad = False, ""  # `bad`: the faulty version, which refuses all requests
+        self.replacing, self.faulty_version = False, ""  # the faulty version refuses all requests
         self.reached: set[str] = set()
         self._leaving: set[str] = set()
-        self.crowds: dict[str, Crowd] = {}
+        self.client_groups: dict[str, Crowd] = {}
         self._rate = rate
-        self._members = {s.name: self._member(s) for s in self.world.stores}
+        self._members = {
+            gateway_status.name: self._member(gateway_status) for gateway_status in self.world.stores
+        }
         self.board.publish(pool={"revision": 1, "complete": True, "members": list(self._members.values())})
         self._write(agreement)
         for name in self.names:
@@ -124,7 +128,10 @@
         (self.folder / "settings.json").write_text(json.dumps(gateway_settings))
         # The faulty version is configured as a gateway of the hub: it reports ready and refuses requests.
         (self.folder / "bad.json").write_text(json.dumps({**gateway_settings, "az": 0}))
-        rows = [f"{m['id']},{m['host_port']},{m['locality']},{m['flavor']},8" for m in self._members.values()]
+        rows = [
+            f"{member['id']},{member['host_port']},{member['locality']},{member['flavor']},8"
+            for member in self._members.values()
+        ]
         (self.folder / "stores.csv").write_text("\n".join(["name,address,zone,kind,size", *rows]) + "\n")
         (self.folder / "keys.json").write_text(json.dumps({"current": 1, "keys": {"1": "5a" * 32}}))
         for name in self.names:
@@ -180,9 +187,9 @@
         self.started[name] += 1
         tmp = self.folder / f"tmp-{name}"
         tmp.mkdir(exist_ok=True)
-        bad = "-bad" if self.versions[name] == self.bad else ""
+        file_suffix = "-bad" if self.versions[name] == self.faulty_version else ""
         self.running[name] = Gateway(
-            self.folder / f"{name}{bad}.yaml",
+            self.folder / f"{name}{file_suffix}.yaml",
             native=True,
             TMPDIR=str(tmp),
             OLIVECOURSE_VERSION=self.versions[name],
@@ -229,16 +236,18 @@
         """Returns the state of the release as this gateway knows it; empty if unknown."""
         return str(self.status(name).get("release", {}).get("state", ""))
 
-    def ask(self, name: str, do: str, **more: Any) -> dict[str, Any]:
+    def send_command(self, name: str, command: str, **more: Any) -> dict[str, Any]:
         """Sends an operator's rollout command to a gateway and returns its immediate answer."""
-        return self.call(name, "POST", "/rollout/ask", {"do": do, **more})[1]
+        return self.call(name, "POST", "/rollout/ask", {"do": command, **more})[1]
 
-    def say(self, name: str, do: str, seconds: float = 4.0, **more: Any) -> dict[str, Any]:
+    def run_release_command(
+        self, name: str, command: str, seconds: float = 4.0, **more: Any
+    ) -> dict[str, Any]:
         """Sends a release command to a gateway and waits for the majority's decision.
 
         Returns {} if there is no decision within `seconds`.
         """
-        ticket = self.ask(name, do, **more).get("ticket")
+        ticket = self.send_command(name, command, **more).get("ticket")
         end = time.monotonic() + seconds
         while ticket is not None and time.monotonic() < end:
             found = self.call(name, "GET", f"/rollout/ticket/{ticket}")[1]
@@ -263,20 +272,22 @@
             if not self.agree:
                 return well(self.ports[name])
             found = self.status(name)
-            return bool(found) and all(g["heard"] and g["service"] == "serves" for g in found["gateways"])
+            return bool(found) and all(
+                gateway["heard"] and gateway["service"] == "serves" for gateway in found["gateways"]
+            )
 
         return self.until(lambda: all(map(heard, self.names)), seconds)
 
-    def load(self) -> None:
+    def start_clients(self) -> None:
         """Starts a group of clients for each gateway, which falls back to the other gateways."""
-        for i, name in enumerate(self.names):
-            ports = [self.ports[n] for n in self.names[i:] + self.names[:i]]
-            self.crowds[name] = Crowd(
+        for index, name in enumerate(self.names):
+            ports = [self.ports[n] for n in self.names[index:] + self.names[:index]]
+            self.client_groups[name] = Crowd(
                 self.world,
                 ports,
                 SORTS,
                 self._rate,
-                self.seed + i,
+                self.seed + index,
                 self.observer.fault,
                 conns=2,
                 objects=4000,
@@ -284,74 +295,87 @@
 
     # Stores and their operators -----------------------------------------------------------------------
 
-    def drain(self, name: str, box: str) -> None:
+    def drain(self, name: str, store_name: str) -> None:
         """Asks one gateway to drain a store; without coordination every gateway is asked."""
         if self.agree:
-            self.ask(name, "drain", item=box)
+            self.send_command(name, "drain", item=store_name)
         else:
             for other in self.names:
-                self.call(other, "PUT", "/ops/stores/down", {"id": box})
-            self.world.at(time.monotonic() + 0.3, lambda: self.work(name, box))
+                self.call(other, "PUT", "/ops/stores/down", {"id": store_name})
+            self.world.at(time.monotonic() + 0.3, lambda: self.restart_store(name, store_name))
 
-    def work(self, name: str, box: str) -> None:
+    def restart_store(self, name: str, store_name: str) -> None:
         """Restarts a store, which is then cold for COLD_S, and ends its drain."""
-        if self.state[box] != "in":
+        if self.state[store_name] != "in":
             return
-        store = next(b for b in self.boxes if b.name == box)
-        self.state[box] = "down"
+        store = next(edge_store for edge_store in self.edge_stores if edge_store.name == store_name)
+        self.state[store_name] = "down"
         store.mode = "silent"
         self.world.reset(store)
 
         def up() -> None:
             store.mode = "good"
-            self.state[box] = "cold"
-            self._members[box] = self._member(store, up_since_ms=unix_ms())
+            self.state[store_name] = "cold"
+            self._members[store_name] = self._member(store, up_since_ms=unix_ms())
             self.board.publish(
-                pool={"revision": self.board.rev + 1, "complete": False, "members": [self._members[box]]}
+                pool={
+                    "revision": self.board.rev + 1,
+                    "complete": False,
+                    "members": [self._members[store_name]],
+                }
             )
-            self.world.at(time.monotonic() + COLD_S, lambda: self.state.update({box: "in"}))
-            self._back(name, box)
+            self.world.at(time.monotonic() + COLD_S, lambda: self.state.update({store_name: "in"}))
+            self._end_drain(name, store_name)
 
         self.world.at(time.monotonic() + WORK_S, up)
 
-    def _back(self, name: str, box: str) -> None:
+    def _end_drain(self, name: str, store_name: str) -> None:
         """Ends the drain of a store at the first gateway that answers, and checks later that the fleet knows.
 
         The gateway that accepted the call may be killed before it has told the others.
         """
         if not self.agree:
             for other in self.names:
-                self.call(other, "PUT", "/ops/stores/up", {"id": box})
+                self.call(other, "PUT", "/ops/stores/up", {"id": store_name})
             return
         for other in (name, *self.names):
-            if self.ask(other, "undrain", item=box).get("ok"):
+            if self.send_command(other, "undrain", item=store_name).get("ok"):
                 break
-        self.world.at(time.monotonic() + 0.8, lambda: self._check(name, box))
+        self.world.at(time.monotonic() + 0.8, lambda: self._check_drain_ended(name, store_name))
 
-    def _check(self, name: str, box: str) -> None:
-        found = [s for n in self.names if (s := self.status(n))]  # a gateway that just started has no status
+    def _check_drain_ended(self, name: str, store_name: str) -> None:
+        found = [
+            gateway_status for n in self.names if (gateway_status := self.status(n))
+        ]  # a gateway that just started has no status
         left = any(
-            p["item"] == box and p["phase"] != "back"
-            for s in found
-            for p in s["groups"].get(OFFICE, {}).get("places", ())
+            lease["item"] == store_name and lease["phase"] != "back"
+            for gateway_status in found
+            for lease in gateway_status["groups"].get(STORE_GROUP, {}).get("places", ())
         )
         if self.sampling and (left or not found):
-            self._back(name, box)
+            self._end_drain(name, store_name)
 
-    def staff(self, name: str, box: str, seconds: float) -> None:
+    def drain_and_restart(self, name: str, store_name: str, seconds: float) -> None:
         """Plays an operator who drains a store through one gateway and restarts the store once it is out.
 
         The operator gives up and ends the drain if the store is not out within `seconds`.
         """
         end = time.monotonic() + seconds
-        self.drain(name, box)
+        self.drain(name, store_name)
 
         def look() -> None:
-            work = next((x for x in self.status(name).get("works", ()) if x["item"] == box), None)
-            if work is not None and work["stage"] == "out" and self.state[box] == "in":
-                self.work(name, box)
+            drained = next(
+                (
+                    request_status
+                    for request_status in self.status(name).get("works", ())
+                    if request_status["item"] == store_name
+                ),
+                None,
+            )
+            if drained is not None and drained["stage"] == "out" and self.state[store_name] == "in":
+                self.restart_store(name, store_name)
             elif time.monotonic() > end:
-                self._back(name, box)
+                self._end_drain(name, store_name)
             else:
                 self.world.at(time.monotonic() + 0.15, look)
 
@@ -363,8 +387,8 @@
     def _sample(self) -> None:
         out = sum(state != "in" for state in self.state.values())
         self.samples += 1
-        self.most_out = max(self.most_out, out)
-        self.over += out > self.budget
+        self.max_stores_out = max(self.max_stores_out, out)
+        self.over_budget_samples += out > self.budget
         if self.replacing:
             self._replace()
         if self.sampling:
@@ -399,22 +423,22 @@
 
         ended()
 
-    def script(self, faults: list[Fault]) -> None:
+    def schedule_faults(self, faults: list[Fault]) -> None:
         """Schedules the faults of a script."""
         self.player.script(faults)
 
-    def tally(self) -> Counter[str]:
+    def outcome_counts(self) -> Counter[str]:
         """Returns how the requests of all clients ended, by outcome."""
         total: Counter[str] = Counter()
-        for crowd in self.crowds.values():
-            total.update(crowd.ends)
+        for clients in self.client_groups.values():
+            total.update(clients.ends)
         return total
 
     def close(self) -> None:
         """Ends all clients, gateways and stand-ins."""
         self.sampling = False
-        for crowd in self.crowds.values():
-            crowd.close()
+        for clients in self.client_groups.values():
+            clients.close()
         for name in self.names:
             self.end(name)
         self.network.close()
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -21,10 +21,8 @@
 from benchmarks._staff import GatewaySite, killed_at_exit
 
 RATE = 150.0  # requests a second
-CLIENT_CONNECTIONS = (
-    400  # simultaneous connections to the clients' port; more than its part of 384 descriptors
-)
-MANAGEMENT_CONNECTIONS = 24  # simultaneous connections to the management port; 1.5 times its limit
+CLIENT_CONNECTIONS = 400  # at once, to the clients' port; more than its part of 384 descriptors
+MANAGEMENT_CONNECTIONS = 24  # at once, to the management port; 1.5 times its limit
 HOLD_S = 4.0  # how long a connection is held open
 LATE_S = 1.0  # an answer that takes longer is late
 
@@ -32,7 +30,7 @@
 class ConnectionFlood:
     """A thread that keeps `count` connections open, each for HOLD_S or until the peer closes it.
 
-    About half of the connections send `half`, an incomplete message; the others send nothing.
+    About half of the connections send `partial_message`, an incomplete message; the others send nothing.
     """
 
     def __init__(self, port: int, count: int, partial_message: bytes, seed: int) -> None:
@@ -84,7 +82,7 @@
 
 
 def run(short: bool, seed: int, trials: int) -> dict[str, Any]:
-    """Runs the floods for 60 s, or for 20 s in the short form, which ends within 60 s."""
+    """Runs the floods for 60 s, or for 20 s in the short form, which takes at most 60 s in total."""
     seconds = 20.0 if short else 60.0
     found: dict[str, Any] = {
         "calls": 0,
@@ -155,5 +153,5 @@
 
     Answers that the gateway has written and the clients have not read yet are not a difference.
     """
-    killed_at_exit = sum(value for key, value in metrics.items() if key.startswith("app_transactions_total"))
-    return int(max(load.tally.answered - killed_at_exit, killed_at_exit - load.tally.answered - load.open, 0))
+    ended = sum(value for key, value in metrics.items() if key.startswith("app_transactions_total"))
+    return int(max(load.tally.answered - ended, ended - load.tally.answered - load.open, 0))
--- a/benchmarks/notice.py
+++ b/benchmarks/notice.py
@@ -1,7 +1,7 @@
 """Two retry storm detectors on generated arrivals: their detection delay and their false alarms.
 
-Each scenario is sampled in bins of 100 ms, for several seeds. A retry storm is true while retries of failed
-requests keep the served share under half of the offered requests.
+Each scenario is sampled in bins of 100 ms, for several seeds. The true span of a retry storm is the time in
+which retries of failed requests keep the served share under half of the offered requests.
 """
 
 from __future__ import annotations
@@ -105,7 +105,7 @@
         false_alarms = missed = 0
         delays: list[float] = []
         for story in STORIES:
-            rows = [played(story, detector_type(), seed * 100 + bin_index) for bin_index in range(repeats)]
+            rows = [played(story, detector_type(), seed * 100 + repeat) for repeat in range(repeats)]
             results = []
             for begins, _, true_span in rows:
                 if true_span is None:
@@ -113,9 +113,9 @@
                     results.append(f"{len(begins)} false")
                 else:
                     delays_s = [
-                        retry_count - true_span[0]
-                        for retry_count in begins
-                        if true_span[0] <= retry_count <= true_span[1] + 1
+                        begin_s - true_span[0]
+                        for begin_s in begins
+                        if true_span[0] <= begin_s <= true_span[1] + 1
                     ]
                     false_alarms += len(begins) - len(delays_s)
                     missed += not delays_s
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -60,9 +60,7 @@
         folder = Path(name)
         world = World(stores)
         operator = _files(folder, stores, kind.endswith("with"))
-        if kind.endswith(
-            "with"
-        ):  # the other kinds measure a start without memory, so nothing has to be learned
+        if kind.endswith("with"):  # the other kinds start without memory and have nothing to learn
             gateway = Gateway(operator)
             load = Load(world, gateway.port(), RATE, seed)
             world.run(learn_s)
@@ -115,11 +113,10 @@
             keeper.adopt(planner.router)
             keeper.start()
         members = tuple(
-            w.Member(store_index, 8.0, 0, 1, kind=0, life=f"127.0.0.1:{store_index}@0")
-            for store_index in range(1, 61)
+            w.Member(number, 8.0, 0, 1, kind=0, life=f"127.0.0.1:{number}@0") for number in range(1, 61)
         )
         planner.decide([w.CacheList(1, w.ListKind.HELD, members)], loop.clock.now())
-        planner.decide([w.Purged(f"{store_index:016x}") for store_index in range(500)], loop.clock.now())
+        planner.decide([w.Purged(f"{number:016x}") for number in range(500)], loop.clock.now())
         turns_ms: list[float] = []
         count = 0
 
@@ -200,7 +197,7 @@
         context = get_context("spawn")
         with context.Pool(7) as processes:
             for job, result in zip(
-                jobs, pool.map(lambda j: processes.apply(run_repeat, (j,)), jobs), strict=True
+                jobs, pool.map(lambda one_job: processes.apply(run_repeat, (one_job,)), jobs), strict=True
             ):
                 found[job[0]].append(result)
     for kind in KINDS:
@@ -213,13 +210,13 @@
     def mean(kind: str, what: str) -> float:
         return statistics.fmean(r[what] for r in found[kind])
 
-    off, snapshots = [], []
+    stalls_off, stalls_on = [], []
     for _ in range(2 if short else 5):
-        off.append(stalls(1.0 if short else 5.0, False))
-        snapshots.append(stalls(1.0 if short else 5.0, True))
+        stalls_off.append(stalls(1.0 if short else 5.0, False))
+        stalls_on.append(stalls(1.0 if short else 5.0, True))
     durations_ms = commits(200 if short else 1000, 100.0)
     turned = mean("turned_with", "service") / max(mean("turned_without", "service"), 1e-9)
-    services = {kwargs: [r["service"] for r in found[kwargs]] for kwargs in ("with", "without")}
+    services = {start: [r["service"] for r in found[start]] for start in ("with", "without")}
     return {
         "bad_sends_without": round(mean("without", "bad"), 1),
         "bad_sends_with": round(mean("with", "bad"), 1),
@@ -228,8 +225,8 @@
         "service_without_range": [round(f(services["without"]), 4) for f in (min, max)],
         "service_with_range": [round(f(services["with"]), 4) for f in (min, max)],
         "late_fresh_box": round(turned, 4),
-        "loop_stall_ms_p99_off": round(statistics.median(off), 3),
-        "loop_stall_ms_p99_on": round(statistics.median(snapshots), 3),
+        "loop_stall_ms_p99_off": round(statistics.median(stalls_off), 3),
+        "loop_stall_ms_p99_on": round(statistics.median(stalls_on), 3),
         "order_commit_ms_p50": round(durations_ms[len(durations_ms) // 2], 2) if durations_ms else None,
         "order_commit_ms_p99": round(durations_ms[int(len(durations_ms) * 0.99)], 2)
         if durations_ms
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -29,22 +29,22 @@
 def drains(fleet: Fleet, seed: int) -> dict[str, Any]:
     """Three to five operators drain a store each at the same time, while faults are injected."""
     rng = random.Random(seed)
-    script = draw(seed, fleet.names, SCRIPT_S)
-    over, began = fleet.over, time.monotonic()
-    wanted = rng.sample(fleet.boxes, rng.randint(3, 5))
+    faults = draw(seed, fleet.names, SCRIPT_S)
+    over_at_start, began = fleet.over_budget_samples, time.monotonic()
+    wanted = rng.sample(fleet.edge_stores, rng.randint(3, 5))
     grants: dict[str, float] = {}
 
     def granted() -> None:
-        for box in wanted:
-            if box.name not in grants and fleet.state[box.name] != "in":
-                grants[box.name] = time.monotonic() - began
+        for store in wanted:
+            if store.name not in grants and fleet.state[store.name] != "in":
+                grants[store.name] = time.monotonic() - began
         if time.monotonic() < began + SETTLE_S:
             fleet.world.at(time.monotonic() + 0.05, granted)
 
     granted()
-    for box in wanted:
-        fleet.staff(rng.choice(fleet.names), box.name, SCRIPT_S + 4)
-    fleet.script(script)
+    for store in wanted:
+        fleet.drain_and_restart(rng.choice(fleet.names), store.name, SCRIPT_S + 4)
+    fleet.schedule_faults(faults)
     fleet.world.run(SCRIPT_S + 0.3)
 
     def quiet() -> bool:
@@ -63,8 +63,8 @@
     )
     return {
         "seed": seed,
-        "faults": len(script),
-        "over": fleet.over - over,
+        "faults": len(faults),
+        "over": fleet.over_budget_samples - over_at_start,
         "ended": ended,
         "grants": list(grants.values()),
         "halts_lost": 0,
@@ -87,17 +87,26 @@
         "halts_lost": 0,
         "halted_s": [],
     }
-    over = fleet.over
+    over_at_start = fleet.over_budget_samples
     planned_at, halted_at = rng.sample(fleet.names, 2)
     version = f"v{seed}"
-    before = fleet.versions[planned_at]
-    plan = {"version": version, "before": before, "waves": [50, 100], "soak_s": 30.0, "gates": False}
+    previous_version = fleet.versions[planned_at]
+    plan = {
+        "version": version,
+        "before": previous_version,
+        "waves": [50, 100],
+        "soak_s": 30.0,
+        "gates": False,
+    }
     fleet.network.weather.loss = 0.1
-    steps = [fleet.say(planned_at, "plan", plan=plan), fleet.say(planned_at, "start")]
+    steps = [
+        fleet.run_release_command(planned_at, "plan", plan=plan),
+        fleet.run_release_command(planned_at, "start"),
+    ]
     if not all(step.get("ok") for step in steps):
         fleet.until(lambda: fleet.status(planned_at)["release"]["state"] in ("planned", "running"), 2)
     began = time.monotonic()
-    halt_answer = fleet.say(halted_at, "halt", why="by hand")
+    halt_answer = fleet.run_release_command(halted_at, "halt", why="by hand")
 
     def held(name: str) -> bool:
         return bool(fleet.status(name).get("release", {}).get("held_here"))
@@ -113,11 +122,11 @@
         fleet.until(lambda: all(fleet.status(n) for n in fleet.names), 6)
         found["halts_lost"] = sum(not fleet.until(lambda n=n: held(n), 3) for n in fleet.names)
     fleet.network.weather.loss = 0.0
-    fleet.until(lambda: fleet.say(planned_at, "rollback").get("ok"), 8)
+    fleet.until(lambda: fleet.run_release_command(planned_at, "rollback").get("ok"), 8)
     found["ended"] = fleet.until(
         lambda: fleet.status(planned_at).get("release", {}).get("state") == "done", SETTLE_S
     )
-    found["over"] = fleet.over - over
+    found["over"] = fleet.over_budget_samples - over_at_start
     return found
 
 
@@ -133,7 +142,7 @@
         fleet = Fleet(Path(name), gateways, 3, seed=first, agree=agree, agreement=agreement)
         try:
             if not fleet.ready():
-                raise RuntimeError(f"not ready: {[group.lines[-2:] for group in fleet.running.values()]}")
+                raise RuntimeError(f"not ready: {[running.lines[-2:] for running in fleet.running.values()]}")
             for seed in range(first, first + count):
                 run = halts(fleet, seed) if agree and seed % 5 == 0 else drains(fleet, seed)
                 found.append({**run, "form": agreement if agree else "off"})
@@ -159,10 +168,10 @@
         fleet = Fleet(Path(name), gateways, 3, seed=seed, agree=agree, rate=12.0)
         try:
             fleet.ready(30)
-            fleet.load()
+            fleet.start_clients()
             fleet.world.run(2.0)
-            calm = fleet.tally()
-            fleet.bad = "v2" if bad else ""
+            calm = fleet.outcome_counts()
+            fleet.faulty_version = "v2" if bad else ""
             if agree:
                 plan = {
                     "version": "v2",
@@ -174,8 +183,8 @@
                     "worse": 2.0,
                 }
                 fleet.replacing = True
-                fleet.say("n0", "plan", plan=plan)
-                fleet.say("n0", "start")
+                fleet.run_release_command("n0", "plan", plan=plan)
+                fleet.run_release_command("n0", "start")
                 fleet.until(lambda: fleet.state_of("n0") in ("done", "halted"), 90)
             else:
                 for gateway in fleet.names:
@@ -188,9 +197,9 @@
                         15,
                     )
             fleet.world.run(0.5)
-            ends = fleet.tally()
+            ends = fleet.outcome_counts()
             ends.subtract(calm)
-            lost = sum(crowd.lost for crowd in fleet.crowds.values())
+            lost = sum(clients.lost for clients in fleet.client_groups.values())
             return {
                 "reached": sum(v == "v2" for v in fleet.versions.values()) / gateways,
                 "service": ends["served"] / max(sum(ends.values()) + lost, 1),
@@ -237,8 +246,14 @@
     runs_per_fleet = min(RUNS_A_FLEET, max(runs // 4, 1))
     sizes = (3, 5, 7)
     jobs = [
-        (seed + i, min(runs_per_fleet, runs - i), sizes[i // runs_per_fleet % 3], True, "majority")
-        for i in range(0, runs, runs_per_fleet)
+        (
+            seed + offset,
+            min(runs_per_fleet, runs - offset),
+            sizes[offset // runs_per_fleet % 3],
+            True,
+            "majority",
+        )
+        for offset in range(0, runs, runs_per_fleet)
     ]
     uncoordinated_jobs = [(seed + 500_000, 2 if short else 20, 5, False, "majority")]
     planner_jobs = [] if short else [(seed + 600_000, 20, 5, True, "planner")]
@@ -251,15 +266,15 @@
     uncoordinated = [row for row in rows if row.get("form") == "off"]
     planner_rows = [row for row in rows if row.get("form") == "planner"]
     played = [row for row in rows if row.get("form") == "majority"]
-    grants = [group for row in played for group in row["grants"]]
+    grants = [grant_s for row in played for grant_s in row["grants"]]
     halted = [halt_s for row in played for halt_s in row["halted_s"]]
     found = {
         "runs": len(played),
         "faults": sum(row["faults"] for row in played),
         "over_budget": sum(row["over"] for row in played),
         "over_budget_off": sum(row["over"] for row in uncoordinated),
-        "granted": [len(grants), 0 if short else sum(len(r["grants"]) for r in planner_rows)],
-        "over_budget_planner": None if short else sum(r["over"] for r in planner_rows),
+        "granted": [len(grants), 0 if short else sum(len(row["grants"]) for row in planner_rows)],
+        "over_budget_planner": None if short else sum(row["over"] for row in planner_rows),
         "halts": len(halted),
         "halts_lost": sum(row["halts_lost"] for row in played),
         "unsafe_twice": sum(row["unsafe"] for row in rows if "unsafe" in row),
@@ -292,8 +307,10 @@
     """Returns the results that only the long form has: releases, and the idle cost per gateway."""
     jobs = repeats(seed)
 
-    def rows(what: str, agree: bool, bad: bool) -> list[float]:
-        return [round(r[what], 4) for job, r in zip(jobs, played, strict=True) if job[1:] == (agree, bad)]
+    def rows(figure: str, agree: bool, bad: bool) -> list[float]:
+        return [
+            round(row[figure], 4) for job, row in zip(jobs, played, strict=True) if job[1:] == (agree, bad)
+        ]
 
     return {
         "service_during": rows("service", True, False),
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -1,4 +1,4 @@
-"""Repeated upgrades of a gateway under load: a second process starts, gets ready, and the first gets SIGTERM.
+"""Repeated upgrades of a gateway under load: a second process starts and becomes ready, then the first gets SIGTERM.
 
 Results are counted at the clients and at the stand-in stores. A store is drained by hand just before or
 during each upgrade, and the drain is ended after it. For comparison the benchmark also measures the first
@@ -79,7 +79,7 @@
             "unanswered": load.open,
             "served_in_time": tally.in_time,
             "orders_run_twice": sum(
-                number > 1 for store in site.world.stores for number in store.orders.values()
+                run_count > 1 for store in site.world.stores for run_count in store.orders.values()
             ),
         }
         load.close()
