--- a/benchmarks/_capacity_rows.py
+++ b/benchmarks/_capacity_rows.py
@@ -46,8 +46,8 @@
 REGION_GATEWAYS, ZONE_GATEWAYS = round(GATEWAYS / REGIONS), round(GATEWAYS / ZONES)
 HOUR_PURGES = 540_000
 REQUESTS_A_GATEWAY = REQUESTS_PER_S / GATEWAYS
-PCT_OF_MS_S = 0.1  # of a core, for each ms a second
-PCT_OF_REQUEST_US = REQUESTS_A_GATEWAY / 1e4  # of a core, for each us a request
+PCT_OF_MS_S = 0.1  # percent of a core for each ms of processor time a second
+PCT_OF_REQUEST_US = REQUESTS_A_GATEWAY / 1e4  # percent of a core for each us of processor time a request
 MB_OF_KB = 1e-3
 TICKS_PER_S, SCANS_PER_S = (
     50.0,
--- a/benchmarks/_fleet.py
+++ b/benchmarks/_fleet.py
@@ -86,9 +86,8 @@
         self._datagrams = {n: ("127.0.0.1", port()) for n in self.names}
         self.running: dict[str, Gateway] = {}
         self.started: dict[str, int] = dict.fromkeys(self.names, 0)
-        self.state = dict.fromkeys(
-            (edge_store.name for edge_store in self.edge_stores), "in"
-        )  # "in", "down" or "cold"
+        # Each edge store is "in", "down" or "cold".
+        self.state = dict.fromkeys((edge_store.name for edge_store in self.edge_stores), "in")
         self.over_budget_samples, self.samples, self.max_stores_out = 0, 0, 0
         self.player = Player(self.network, self.names, self.pid, self.start, self.killed)
         self.sampling = True
@@ -97,9 +96,7 @@
         self._leaving: set[str] = set()
         self.client_groups: dict[str, Crowd] = {}
         self._rate = rate
-        self._members = {
-            gateway_status.name: self._member(gateway_status) for gateway_status in self.world.stores
-        }
+        self._members = {store.name: self._member(store) for store in self.world.stores}
         self.board.publish(pool={"revision": 1, "complete": True, "members": list(self._members.values())})
         self._write(agreement)
         for name in self.names:
@@ -344,9 +341,8 @@
         self.world.at(time.monotonic() + 0.8, lambda: self._check_drain_ended(name, store_name))
 
     def _check_drain_ended(self, name: str, store_name: str) -> None:
-        found = [
-            gateway_status for n in self.names if (gateway_status := self.status(n))
-        ]  # a gateway that just started has no status
+        # A gateway that has just started has an empty status.
+        found = [gateway_status for n in self.names if (gateway_status := self.status(n))]
         left = any(
             lease["item"] == store_name and lease["phase"] != "back"
             for gateway_status in found
--- a/benchmarks/_load.py
+++ b/benchmarks/_load.py
@@ -22,7 +22,7 @@
     answered: int = 0
     refused: int = 0
     closed_on: int = 0  # requests without an answer when the gateway closed their connection
-    reset: int = 0  # connections that the gateway reset
+    reset: int = 0  # connections whose read failed, such as by a reset
     faults: int = 0  # answers whose sequence number belongs to no open request
 
 
--- a/benchmarks/_scale_faults.py
+++ b/benchmarks/_scale_faults.py
@@ -31,9 +31,8 @@
     fleet: Deployment
     report: Callable[[str], None]
     began: float = field(default_factory=time.monotonic)
-    disturbances: list[tuple[float, float]] = field(
-        default_factory=list
-    )  # spans in which events could not be announced in time
+    # Time spans in which events could not be announced in time.
+    disturbances: list[tuple[float, float]] = field(default_factory=list)
     occurrences: list[str] = field(default_factory=list)
 
     def record(self, occurrence: str) -> None:
--- a/benchmarks/_scale_previous.py
+++ b/benchmarks/_scale_previous.py
@@ -141,9 +141,8 @@
         gateway.port()
         processor_before_s = processor_s(gateway.process.pid)
         result = measure_bulk(fleet, gateway, REAL, purges, BULK_TIMEOUT_S)
-        with contextlib.suppress(
-            TimeoutError
-        ):  # logged after the poll that shows that the purges were received
+        # The turn is logged after the poll that shows that the purges were received.
+        with contextlib.suppress(TimeoutError):
             gateway.event("loop_stalled", LOGGED_WITHIN_S)
         stalls = [line["ms"] for line in gateway.logged("loop_stalled")]
         return {
--- a/benchmarks/_staff.py
+++ b/benchmarks/_staff.py
@@ -63,21 +63,21 @@
         )
 
     def start(self, tmpdir: str = "tmp") -> Gateway:
-        """Starts a process and sets `door`, its management port.
+        """Starts a process and sets its attribute `management_port`.
 
         Processes with the same `tmpdir` are one gateway.
         """
         (self.folder / tmpdir).mkdir(exist_ok=True)
-        door = free_port()
+        management_port = free_port()
         gateway = Gateway(
             None,
             "--config",
             str(self.config),
             native=True,
-            EDGE_MGMT=f"127.0.0.1:{door}",
+            EDGE_MGMT=f"127.0.0.1:{management_port}",
             TMPDIR=str(self.folder / tmpdir),
         )
-        gateway.door = door
+        gateway.management_port = management_port
         return gateway
 
     def call(
@@ -88,7 +88,7 @@
         The status is 0 if there is no answer within 2 s. The stand-ins do not run during the call.
         """
         began = time.monotonic()
-        connection = HTTPConnection("127.0.0.1", gateway.door, timeout=2)
+        connection = HTTPConnection("127.0.0.1", gateway.management_port, timeout=2)
         try:
             connection.request(method, path, body)
             reply = connection.getresponse()
--- a/benchmarks/_standin_discovery.py
+++ b/benchmarks/_standin_discovery.py
@@ -135,7 +135,7 @@
     inbox: bytes = b""
     waits_at: int = -1  # the revision that the last poll has, or -1 before the first poll
     poll: int = 0  # number of polls received
-    late: bool = False  # not used
+    late: bool = False  # meant for an answer that is held back; never set
     outbox: memoryview | None = None
 
 
--- a/benchmarks/_virtual_agreement.py
+++ b/benchmarks/_virtual_agreement.py
@@ -298,7 +298,8 @@
     def hear_all(self, number: int) -> None:
         """Delivers one heartbeat of every node to this node.
 
-        A node that runs for long gets there, since every heartbeat goes to two random nodes.
+        A node that has run for a long time has received them all, since each heartbeat goes to two random
+        nodes.
         """
         node = self.nodes[number]
         for other in self.nodes:
--- a/benchmarks/deployments.py
+++ b/benchmarks/deployments.py
@@ -84,7 +84,7 @@
             self._pool(members[1:])
         else:
             self._pool(members, complete=True)
-        self.port, self.doors = free_port(), {door: free_port() for door in drawn.doors}
+        self.port, self.doors = free_port(), {management_port: free_port() for management_port in drawn.doors}
         self.config = folder / "config.json"
         self._write(drawn.settings)
         (folder / "tmp").mkdir()
@@ -138,9 +138,13 @@
             self.board.refuse()
             self.world.at(time.monotonic() + 0.4, self.board.resume)
         elif name == "drain by hand":
-            door = next(iter(self.doors.values()))
+            management_port = next(iter(self.doors.values()))
             store = self.drawn.stores[0][0]
-            if not 200 <= (status := call(door, "PUT", "/ops/stores/down", f'{{"id": "{store}"}}')) < 300:
+            if (
+                not 200
+                <= (status := call(management_port, "PUT", "/ops/stores/down", f'{{"id": "{store}"}}'))
+                < 300
+            ):
                 self.observer.fault("door", f"a store out by hand: {status}")
             self.observer.drained(store, time.monotonic())
         elif name in ("file replaced", "file spoilt"):
@@ -154,9 +158,9 @@
         name = self.drawn.stores[1][0]
         self.observer.drained(name, self._pool([{**self.members[name], "phase": "Terminating"}]))
         for asset in (f"{number:016x}" for number in range(1, 5)):
-            made = unix_ms()
-            at = self.board.publish(flush={"asset": asset, "ms": made})
-            self.observer.purged(asset, at, made)
+            deployment_run = unix_ms()
+            at = self.board.publish(flush={"asset": asset, "ms": deployment_run})
+            self.observer.purged(asset, at, deployment_run)
 
     def run(self) -> dict[str, int]:
         """Runs the deployment; returns the count of violations by rule, empty if there are none."""
@@ -198,8 +202,8 @@
 def play(seed: int, root: Path = ROOT) -> tuple[int, dict[str, int], list[str]]:
     """Draws and runs a deployment; returns its seed, the violations by rule, and their descriptions."""
     with tempfile.TemporaryDirectory() as name:
-        made = DeploymentRun(draw(seed), Path(name), root)
-        return seed, made.run(), made.observer.told
+        deployment_run = DeploymentRun(draw(seed), Path(name), root)
+        return seed, deployment_run.run(), deployment_run.observer.told
 
 
 def run(short: bool, seed: int, trials: int) -> dict[str, Any]:
@@ -212,9 +216,9 @@
     with ThreadPoolExecutor(6) as pool:
         played = list(pool.map(lambda drawn_seed: play(drawn_seed, root), range(seed, seed + count)))
     rules: Counter[str] = Counter()
-    for number, broken, told in played:
+    for number, broken, descriptions in played:
         rules.update(broken.keys())
         if broken:
-            print(number, broken, *told[:2])
+            print(number, broken, *descriptions[:2])
     failed = sum(bool(broken) for _, broken, _ in played)
     return {"deployments": count, "failed": failed, "by_rule": dict(sorted(rules.items())), "seed": seed}
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -101,7 +101,10 @@
         floods = [
             ConnectionFlood(site.port, CLIENT_CONNECTIONS, b"\0\0\1\0\x80\1\0\1", seed),
             ConnectionFlood(
-                gateway.door, MANAGEMENT_CONNECTIONS, b"PUT /ops/stores/down HTTP/1.1\r\nContent-Le", seed
+                gateway.management_port,
+                MANAGEMENT_CONNECTIONS,
+                b"PUT /ops/stores/down HTTP/1.1\r\nContent-Le",
+                seed,
             ),
         ]
         try:
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -142,7 +142,7 @@
         fleet = Fleet(Path(name), gateways, 3, seed=first, agree=agree, agreement=agreement)
         try:
             if not fleet.ready():
-                raise RuntimeError(f"not ready: {[running.lines[-2:] for running in fleet.running.values()]}")
+                raise RuntimeError(f"not ready: {[process.lines[-2:] for process in fleet.running.values()]}")
             for seed in range(first, first + count):
                 run = halts(fleet, seed) if agree and seed % 5 == 0 else drains(fleet, seed)
                 found.append({**run, "form": agreement if agree else "off"})
@@ -273,8 +273,8 @@
         "faults": sum(row["faults"] for row in played),
         "over_budget": sum(row["over"] for row in played),
         "over_budget_off": sum(row["over"] for row in uncoordinated),
-        "granted": [len(grants), 0 if short else sum(len(row["grants"]) for row in planner_rows)],
-        "over_budget_planner": None if short else sum(row["over"] for row in planner_rows),
+        "granted": [len(grants), 0 if short else sum(len(run_row["grants"]) for run_row in planner_rows)],
+        "over_budget_planner": None if short else sum(run_row["over"] for run_row in planner_rows),
         "halts": len(halted),
         "halts_lost": sum(row["halts_lost"] for row in played),
         "unsafe_twice": sum(row["unsafe"] for row in rows if "unsafe" in row),
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -1,4 +1,4 @@
-"""Repeated upgrades of a gateway under load: a second process starts and becomes ready, then the first gets SIGTERM.
+"""Repeated upgrades of a gateway under load: a second process becomes ready, then the first gets SIGTERM.
 
 Results are counted at the clients and at the stand-in stores. A store is drained by hand just before or
 during each upgrade, and the drain is ended after it. For comparison the benchmark also measures the first
