--- a/benchmarks/_capacity_router.py
+++ b/benchmarks/_capacity_router.py
@@ -302,6 +302,7 @@
         self.forwarder_s = self.codec_s = self.decide_s = 0.0
 
     def batch(self, planner: Planner, events: list[w.Event], now: int) -> list[w.Action]:
+        """Sends events through encoding, planner and decoding, and returns the planner's actions."""
         began = time.process_time()
         line = write_batch(now, events)
         written = time.process_time()
--- a/benchmarks/_capacity_rows.py
+++ b/benchmarks/_capacity_rows.py
@@ -29,9 +29,8 @@
 )
 
 SCALE, VIRTUAL, CAPACITY = "scale.json", "scale-virtual.json", "capacity.json"
-VIRTUAL_BEFORE = (
-    "scale-virtual-before.json"  # measured when non-voting nodes still polled members every 240 ms
-)
+# Measured when nodes that do not vote still polled the voting members every 240 ms.
+VIRTUAL_BEFORE = "scale-virtual-before.json"
 
 # Budgets given by the requirements.
 CORE_PCT, MEMORY_MB, KB_PER_S = 2.2, 32.0, 23.0
@@ -49,10 +48,7 @@
 PCT_OF_MS_S = 0.1  # percent of a core for each ms of processor time a second
 PCT_OF_REQUEST_US = REQUESTS_A_GATEWAY / 1e4  # percent of a core for each us of processor time a request
 MB_OF_KB = 1e-3
-TICKS_PER_S, SCANS_PER_S = (
-    50.0,
-    10.0,
-)  # a gateway's rollout ticks (every 20 ms) and store scans (every 100 ms)
+TICKS_PER_S, SCANS_PER_S = 50.0, 10.0  # rollout ticks (every 20 ms), store scans (every 100 ms)
 
 RELAYS = "relays: one poll upstream for many, one encoding"
 PACING = "paced polls"
--- a/benchmarks/_capacity_target.py
+++ b/benchmarks/_capacity_target.py
@@ -17,9 +17,7 @@
 REPLACED_PER_DAY = 480
 HOUR_S, DAY_S = 3600, 86_400
 SETTLES_S = 6.0  # how long a purge is in force, by the settings
-RETUNE_S = (
-    5.0  # the counting interval of the Router's sketches, and the interval of checks for expired purges
-)
+RETUNE_S = 5.0  # interval of the Router's sketches, and of its checks for expired purges
 PARENT_SHARE = 0.1  # share of parents among the stores; an assumption, not given with the target
 ONE_CORE_PCT = 100.0
 SOCKETS = (512, 1024, 2048, 4096)
--- a/benchmarks/_deployment.py
+++ b/benchmarks/_deployment.py
@@ -101,6 +101,7 @@
 
     @property
     def pid(self) -> int:
+        """The id of the current process."""
         return self._process.pid
 
     def kill(self) -> None:
@@ -114,6 +115,7 @@
             self.call("port", name=name, number=number, muted=muted)
 
     def close(self) -> None:
+        """Kills the process for good."""
         self._process.kill()
 
 
--- a/benchmarks/_fleet.py
+++ b/benchmarks/_fleet.py
@@ -33,7 +33,7 @@
 WORK_S = 0.5  # how long a store is down for maintenance
 STORE_GROUP = "stores:praia"  # lease group of the edge stores
 SAMPLE_S = 0.05
-FIRST_PORT, PORTS_PER_PROCESS, PORT_BLOCKS = 15_000, 256, 64  # first port, ports in a block, blocks
+FIRST_PORT, PORTS_PER_PROCESS, PORT_BLOCKS = 15_000, 256, 64
 _ports = itertools.count()
 
 
--- a/benchmarks/_observer.py
+++ b/benchmarks/_observer.py
@@ -15,7 +15,7 @@
 ROUNDING_MS = 1  # ages and times of purges are sent in whole milliseconds
 POLL_INTERVAL_S = 0.02
 ORIGIN = "origin-1"
-HOT_OBJECTS = 20  # the objects that clients ask for most
+HOT_OBJECTS = 20  # number of most requested objects
 REQUESTS_PER_S = 40.0
 MAX_WAIT_S = 3.0  # how long outstanding answers are waited for at the end
 
--- a/benchmarks/_processes.py
+++ b/benchmarks/_processes.py
@@ -60,6 +60,7 @@
 
     @property
     def pid(self) -> int:
+        """The process id."""
         return self.process.pid
 
     def wait_started(self) -> JsonObject:
--- a/benchmarks/_scale_capacity.py
+++ b/benchmarks/_scale_capacity.py
@@ -8,9 +8,7 @@
 
 GATEWAYS = 7_500
 CORES = 8  # cores of a machine
-LOAD = (
-    0.5  # share of the cores used in normal operation; the rest is a reserve for failures of other machines
-)
+LOAD = 0.5  # share of the cores in normal use; the rest is a reserve for failures of other machines
 SPARE = 1 / 3  # share of the provided machines that must remain unused
 MACHINES = 15
 
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -279,14 +279,13 @@
         "mb_gateway": cost["real_own_mb"],
         "hollow_over_real": cost["hollow_over_real"],
         "hollow_shared_over_real": cost["hollow_shared_over_real"],
-        "purge_everywhere_ms_p99": max(
-            stage["p99_ms"] for stage in calm_with_relays
-        ),  # through relays, in calm
+        # Through relays and without a fault.
+        "purge_everywhere_ms_p99": max(stage["p99_ms"] for stage in calm_with_relays),
         "purge_everywhere_ms_max": max(stage["max_ms"] for stage in calm_with_relays),
         "purge_everywhere_ms_p99_relay_killed": max(stage["p99_ms"] for stage in killed),
         "purge_everywhere_ms_max_relay_killed": max(stage["max_ms"] for stage in killed),
         "purges_missing_relay_killed": sum(stage["missing"] for stage in killed),
-        "purge_everywhere_ms_p99_direct": calm_without_relays["p99_ms"],  # no relay, in calm
+        "purge_everywhere_ms_p99_direct": calm_without_relays["p99_ms"],  # no relay, no fault
         "purge_everywhere_ms_max_direct": calm_without_relays["max_ms"],
         "purge_everywhere_ms_p99_faults": max(stage["p99_ms"] for stage in stages),  # no relay
         "purge_everywhere_ms_max_faults": max(stage["max_ms"] for stage in stages),
--- a/benchmarks/scale_virtual.py
+++ b/benchmarks/scale_virtual.py
@@ -26,12 +26,10 @@
 TARGET_STORES = 1100
 TARGET_REGISTERS = 469  # one table for the gateways of each site
 ZONE_GATEWAYS = 163  # 7,500 gateways in 46 zones
-ZONE_RATE = (
-    35.0  # requests a second of one gateway to one store: 6.3 million over 7,500 gateways and 24 stores
-)
-ZONE_WEIGHT = (
-    4800.0  # requests that a target's store handles at once: 5,700 a second of 0.5 s at a load of 0.6
-)
+# Requests a second of one gateway to one store: 6.3 million over 7,500 gateways and 24 stores in a zone.
+ZONE_RATE = 35.0
+# Requests that a store of the target handles at once: 5,700 a second of 0.5 s each, at a load of 0.6.
+ZONE_WEIGHT = 4800.0
 REPEATS = 3
 MEMBERS = 5
 MEMBER_NUMBERS = (3, 5, 7, 9)
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -18,7 +18,7 @@
 from benchmarks._staff import GatewaySite, killed_at_exit
 
 RATE = 150.0  # requests a second
-GRACE_S = 0.3  # grace period of a drain, plus 50 ms for sockets
+GRACE_S = 0.3  # grace period of a drain, including 50 ms for sockets
 GAP_S = 0.6  # seconds of load between two upgrades
 
 
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -96,9 +96,7 @@
         if row["at the target (95 %)"] == UNKNOWN or len(cited_keys) != 1:
             continue
         value = result_value(*cited_keys[0])
-        if (
-            isinstance(value, dict) and "target" not in value
-        ):  # an axis, whose figure is extrapolated from its points
+        if isinstance(value, dict) and "target" not in value:  # an axis, extrapolated from its points
             continue
         value = value["target"] if isinstance(value, dict) else value
         shown = number(row["at the target (95 %)"].split(" (")[0])
