--- a/benchmarks/_deployment.py
+++ b/benchmarks/_deployment.py
@@ -21,7 +21,10 @@
 
 
 def store_list(count: int) -> list[dict[str, Any]]:
-    """Returns `count` stores as discovery lists them; nothing listens at their addresses."""
+    """Returns `count` stores as discovery lists them.
+
+    Nothing listens at their addresses, and gateways connect to a store only for a request.
+    """
     return [
         {
             "id": f"s-{number:08x}",
