--- a/benchmarks/deployments.py
+++ b/benchmarks/deployments.py
@@ -158,9 +158,9 @@
         name = self.drawn.stores[1][0]
         self.observer.drained(name, self._pool([{**self.members[name], "phase": "Terminating"}]))
         for asset in (f"{number:016x}" for number in range(1, 5)):
-            deployment_run = unix_ms()
-            at = self.board.publish(flush={"asset": asset, "ms": deployment_run})
-            self.observer.purged(asset, at, deployment_run)
+            published_ms = unix_ms()
+            at = self.board.publish(flush={"asset": asset, "ms": published_ms})
+            self.observer.purged(asset, at, published_ms)
 
     def run(self) -> dict[str, int]:
         """Runs the deployment; returns the count of violations by rule, empty if there are none."""
