--- a/benchmarks/_capacity_page.py
+++ b/benchmarks/_capacity_page.py
@@ -96,15 +96,15 @@
 
 def ranking(results: Mapping[str, Any]) -> str:
     """Renders the rows with the largest shares of their budgets, first those of the target, then bounds."""
-    matches = [
+    entries = [
         (row.bound, -part, name, row, figure)
         for name, rows in TABLES.items()
         for row in rows
         if (figure := row.figure(results)) is not None and (part := share(figure, row.budget)) is not None
     ]
-    matches.sort(key=lambda entry: entry[:3])
+    entries.sort(key=lambda entry: entry[:3])
     lines = ["| table: row | part of its budget | verdict | next mechanism |", "| --- | --- | --- | --- |"]
-    shown = [entry for entry in matches if not entry[0]][:RANKED] + [entry for entry in matches if entry[0]]
+    shown = [entry for entry in entries if not entry[0]][:RANKED] + [entry for entry in entries if entry[0]]
     for bound, part, name, row, figure in shown:
         verdict_text = verdict(figure, row.budget) + (" (a bound, not the target)" if bound else "")
         lines.append(
@@ -119,13 +119,13 @@
 
 def missing(results: Mapping[str, Any]) -> str:
     """Renders the list of rows without a figure."""
-    matches = [
+    entries = [
         f"- {name}: {row.what}"
         for name, rows in TABLES.items()
         for row in rows
         if row.figure(results) is None
     ]
-    return "\n".join(matches) or "- nothing"
+    return "\n".join(entries) or "- nothing"
 
 
 def sections(results: Mapping[str, Any]) -> dict[str, str]:
@@ -138,8 +138,8 @@
     """Returns the page with all generated sections replaced; raises KeyError for an unknown section."""
     rendered = sections(results)
 
-    def replaced(matches: re.Match[str]) -> str:
-        return f"{matches[1]}\n\n{rendered[matches[2]]}\n\n{matches[3]}"
+    def replaced(match: re.Match[str]) -> str:
+        return f"{match[1]}\n\n{rendered[match[2]]}\n\n{match[3]}"
 
     return re.sub(r"(<!-- table (\S+) -->).*?(<!-- end -->)", replaced, page, flags=re.S)
 
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -200,26 +200,29 @@
 
 
 def shares(results: Results) -> dict[str, float]:
-    """Returns percentages of a core at the target's requests and changes, by the upper ends of intervals."""
+    """Returns the use of one core in percent, and the planner's KB/s, at the target's requests and changes.
+
+    The figures are based on the upper ends of intervals.
+    """
     requests_per_s = target.REQUESTS_PER_S / target.GATEWAYS
     changes_s = target.CHANGES_PER_DAY / target.DAY_S
 
     def high(name: str) -> float:
         return float(results.slopes[name]["target_high"])
 
-    measured = {}
+    figures = {}
     for shape in router.SHAPES:
-        measured[f"request_pct_{shape.name}"] = requests_per_s * high(f"router_request_us_{shape.name}") / 1e4
-        measured[f"tick_pct_{shape.name}"] = 10 * high(f"router_tick_us_{shape.name}") / 1e4
-        measured[f"change_pct_{shape.name}"] = changes_s * high(f"router_change_ms_{shape.name}") / 10
-    measured["tick_open_pct"] = 10 * high("router_tick_open_us") / 1e4
-    measured["sweep_pct"] = 4 * high("store_connection_sweep_us") / 1e4
-    measured["forwarder_pct"] = requests_per_s * high("planner_batch_forwarder_us") / 1e4
-    measured["planner_pct"] = requests_per_s * high("planner_batch_planner_us") / 1e4
-    measured["planner_kb_s"] = requests_per_s * (
+        figures[f"request_pct_{shape.name}"] = requests_per_s * high(f"router_request_us_{shape.name}") / 1e4
+        figures[f"tick_pct_{shape.name}"] = 10 * high(f"router_tick_us_{shape.name}") / 1e4
+        figures[f"change_pct_{shape.name}"] = changes_s * high(f"router_change_ms_{shape.name}") / 10
+    figures["tick_open_pct"] = 10 * high("router_tick_open_us") / 1e4
+    figures["sweep_pct"] = 4 * high("store_connection_sweep_us") / 1e4
+    figures["forwarder_pct"] = requests_per_s * high("planner_batch_forwarder_us") / 1e4
+    figures["planner_pct"] = requests_per_s * high("planner_batch_planner_us") / 1e4
+    figures["planner_kb_s"] = requests_per_s * (
         high("planner_batch_kb_to_planner") + high("planner_batch_kb_to_forwarder")
     )
-    return {name: rounded(value) for name, value in measured.items()}
+    return {name: rounded(value) for name, value in figures.items()}
 
 
 def run(short: bool, seed: int, trials: int) -> dict[str, Any]:
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -271,7 +271,7 @@
     relay_target, regions = relays["target"] or {}, relays["regions"] or {}
     changes = axes["changes"]["points"]
     fleet = [point["size"] for name in ("gateways", "gateways_at_target") for point in axes[name]["points"]]
-    previous_result = previous.get("target")
+    previous_target = previous.get("target")
     return {
         "gateways": max(fleet, default=0),
         "cpu_pct_gateway": cost["real_pct"]["median"],
@@ -298,7 +298,7 @@
         "mb_over_idle_backlog": backlog["mb_over_idle"],
         "mb_over_idle_backlog_all_fresh": parts["rush"]["mb_over_idle"],
         "control_machines": relay_target.get("machines"),
-        "control_machines_before": None if previous_result is None else previous_result["machines"],
+        "control_machines_before": None if previous_target is None else previous_target["machines"],
         "baseline_turn_ms": previous.get("turn", {}).get("longest_logged_turn_ms"),
         "relays": relays["killed"][0]["relays"],
         "relay_machines": relay_target.get("machines"),
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -184,7 +184,7 @@
 
 
 def test_reads_after_a_purge_are_judged_by_the_age_they_accept():
-    created = Purge("a", 100.0, 50_000)
+    published = Purge("a", 100.0, 50_000)
     asks = [
         Ask("a", 99.9, 49_900, None),  # before the purge
         Ask("a", 100.2, 50_200, None),  # within the grace period
@@ -194,7 +194,7 @@
         Ask("b", 100.5, 50_500, None),
         Ask("a", 106.5, 56_500, None),  # stores have dropped their copies by then
     ]
-    old = old_copies(asks, [created], 6.0)
+    old = old_copies(asks, [published], 6.0)
     assert [late.ask for late in old] == asks[1:4]
     assert used_late(old, lambda purge: 0.3) == 2
     assert used_late(old, lambda purge: 3.1) == 0
--- a/tests/test_scale_virtual.py
+++ b/tests/test_scale_virtual.py
@@ -141,8 +141,8 @@
 
 def test_windows_over_the_limit_are_counted(monkeypatch):
     monkeypatch.setattr("olivecourse.choice.COLD_SAFETY", 4.0)
-    fitted = ramp.play(ramp.Case(64, True, "steady", 20.0, 1, 10.0))
-    assert fitted.over > 0 and fitted.worst > 1.0
+    outcome = ramp.play(ramp.Case(64, True, "steady", 20.0, 1, 10.0))
+    assert outcome.over > 0 and outcome.worst > 1.0
 
 
 def test_a_node_that_runs_only_when_due_sends_the_same_heartbeats():
