--- a/benchmarks/deployments.py
+++ b/benchmarks/deployments.py
@@ -84,7 +84,7 @@
             self._pool(members[1:])
         else:
             self._pool(members, complete=True)
-        self.port, self.doors = free_port(), {role: free_port() for role in drawn.doors}
+        self.port, self.doors = free_port(), {door_role: free_port() for door_role in drawn.doors}
         self.config = folder / "config.json"
         self._write(drawn.settings)
         (folder / "tmp").mkdir()
