--- a/olivecourse/net/discovery_client.py
+++ b/olivecourse/net/discovery_client.py
@@ -1,4 +1,8 @@
-"""A client for discovery over HTTP/1.1 long polls: it delivers numbered events, each once and in order."""
+"""A client that follows a discovery server by HTTP/1.1 long polls.
+
+The server's events (for example drains and purges) are numbered. The client delivers each event once, in the
+order of the numbers.
+"""
 
 from __future__ import annotations
 
@@ -17,32 +21,37 @@
 from olivecourse.net.wheel import Timer
 
 MS = 1_000_000
-# Short enough that a connection lost without a reset is noticed well before the 7 s limit.
+# How long the discovery server is asked to hold a poll open while it has no new event. Short enough that a
+# connection lost without a reset is noticed well before 7 s, after which purges and drains count as known to
+# every gateway.
 LONG_POLL_WAIT_MS = 1_500
-RESPONSE_TIMEOUT_NS = 700 * MS  # added to the time for which the discovery server was asked to wait
-MIN_PROGRESS_BYTES = 1_024  # a response that delivers less within RESPONSE_TIMEOUT_NS counts as silent
+RESPONSE_TIMEOUT_NS = 700 * MS  # limit for a response, added to the wait requested
+# When the response timer expires, a response that has delivered at least this many bytes since the timer was
+# set goes on with a new timer; one that has delivered less is given up and the connection is closed.
+MIN_PROGRESS_BYTES = 1_024
 CONNECT_TIMEOUT_NS = 400 * MS
-# A retry waits between half of the backoff and all of it, so that clients of one address do not reconnect
-# simultaneously.
+# Backoff before reconnecting to a single discovery address: the initial value, doubled after each failure up
+# to the maximum. Each retry waits a random time between half of the backoff and all of it, so that the
+# clients of one address do not reconnect simultaneously.
 RECONNECT_BACKOFF_NS, MAX_RECONNECT_BACKOFF_NS = 40 * MS, 320 * MS
-# Eight reads of 4 KB each hold some 450 purges, which take 5 to 15 ms to process; further data waits for the
-# next turn.
+# Socket reads from the discovery connection in one turn of the event loop. Eight reads of 4 KB each hold some
+# 450 purges, which take 5 to 15 ms to process; further data waits for the next turn.
 READS_PER_TURN = 8
 EventsCallback = Callable[[list[Any]], None]
 
 
 class PollStream(Stream):
-    """One keep-alive connection on which polls follow each other."""
+    """One keep-alive HTTP connection to a discovery server, which carries one poll at a time."""
 
     def __init__(self, client: DiscoveryClient) -> None:
         self.client, self.address = client, client.address
         self.parser = httptools.HttpResponseParser(self)
         self.reader = ResponseReader(client.rev)
-        self.response_pending = False  # a response, or the rest of one, is outstanding
+        self.response_pending = False  # a poll was sent and its response is not complete yet
         self._poll_sent_at = 0
-        self._previous_had_events = False  # the previous response had events
-        self.failure = ""  # the reason why this connection is unusable, or an empty text
-        self._received_bytes = 0  # bytes of the response since the timer was set
+        self._previous_had_events = False  # the latest complete response on this connection had events
+        self.failure = ""  # why this connection must be closed, or an empty text
+        self._received_bytes = 0  # bytes of response body since `response_timer` was set
         super().__init__(
             client.loop, Stream.connect(client.loop, client.address), 262_144, 4096, connecting=True
         )
@@ -52,11 +61,12 @@
     def _on_timeout(self) -> None:
         if self._received_bytes < MIN_PROGRESS_BYTES:
             self.close("no answer in time")
-        else:  # a long response is still arriving
+        else:  # a long response is still arriving: give it another RESPONSE_TIMEOUT_NS
             self._await_response(0)
 
     def _await_response(self, wait_ms: int) -> None:
-        # Guards against a discovery server cut off without a reset, whose connection stays open forever.
+        # Sets the timer that closes the connection if no response arrives. It guards against a discovery
+        # server that is cut off without a reset, whose connection would stay open forever.
         self._received_bytes = 0
         self.response_timer = self.loop.after(wait_ms * MS + RESPONSE_TIMEOUT_NS, self._on_timeout)
 
@@ -64,13 +74,14 @@
         self.poll()
 
     def poll(self) -> None:
-        """Sends the next poll."""
+        """Sends the next poll, for events newer than the last one delivered, if the connection is open."""
         if not self.open:
             return
         self.response_timer.cancel()
         self._poll_sent_at = self.loop.clock.now()
         host, port = self.address
-        # The first poll does not wait: it only shows that discovery is reachable.
+        # Until the client has read its first response, the server is asked to answer at once, since that
+        # response shows that discovery is reachable.
         wait_ms = LONG_POLL_WAIT_MS if self.client.answered else 0
         self._await_response(wait_ms)
         self.reader, self.response_pending = ResponseReader(self.client.rev), True
@@ -88,14 +99,14 @@
             self.close(self.failure)
 
     def on_headers_complete(self) -> None:
-        """Called by the HTTP parser after the headers of a response."""
+        """Called by the HTTP parser after the headers of a response; any status but 200 is a failure."""
         if not self.response_pending:
             self.failure = "response without a request"
         elif self.parser.get_status_code() != 200:
             self.failure = "not a 200"
 
     def on_body(self, data: bytes) -> None:
-        """Called by the HTTP parser with each part of a body."""
+        """Called by the HTTP parser with each part of a response body; delivers the events in it."""
         if self.failure or not self.open:
             return
         self._received_bytes += len(data)
@@ -103,7 +114,7 @@
         self._check_reader()
 
     def on_message_complete(self) -> None:
-        """Called by the HTTP parser at the end of a response."""
+        """Called by the HTTP parser at the end of a response; delivers its last events and plans a poll."""
         if self.failure or not self.open:
             return
         self.response_pending = False
@@ -133,7 +144,7 @@
             self.poll()
 
     def _check_reader(self) -> None:
-        if self.reader.error is not None:  # an immediate new poll would most likely get the same response
+        if self.reader.error is not None:  # polling again at once would most likely fail the same way
             self.client.on_invalid_response(self.reader)
             self.failure = "broken answer"
 
@@ -143,7 +154,10 @@
 
 
 class DiscoveryClient:
-    """Polls one discovery address at a time, reconnects with backoff and delivers each new event."""
+    """Keeps one connection to one of several discovery addresses, polls it and delivers each new event.
+
+    After a lost connection it reconnects with a backoff, possibly to another address.
+    """
 
     def __init__(
         self,
@@ -158,14 +172,16 @@
         alternatives: Sequence[Address] = (),
         grace_ns: int = 0,
     ) -> None:
-        """`on_events` gets events newer than `rev` in ascending order, a long response in several slices.
+        """`on_events` is called with lists of events whose numbers are above `rev`, in ascending order; the
+        events of a long response come in several lists.
 
-        `query` returns further parameters of a poll, such as `&low=17`. `random` returns numbers from 0 to 1
-        by which clients of one address spread their retries. `pacer` gives the delay between polls while
-        events arrive; without a pacer, the next poll is sent at once.
+        `query` returns further query parameters for each poll, such as `&low=17`. `random` returns numbers
+        from 0 to 1, by which the clients of one address spread their retries. `pacer` decides how long to
+        wait after a response with events before the next poll; without it, the next poll is sent at once.
 
         When `address` fails, the client tries the `alternatives` in turn. Clients that lose an address which
-        had answered move to the others within half of `grace_ns`, the shortest grace in the settings.
+        had answered move to the others at random times within half of `grace_ns`, the shortest time within
+        which the settings require an event to be obeyed.
         """
         self.loop, self.address, self.rev, self._on_events, self._log = loop, address, rev, on_events, log
         self.query, self.pacer = query, pacer
@@ -173,17 +189,17 @@
         self._addresses = (address, *alternatives)
         self._upstreams = self._selector()
         self._grace_ns = grace_ns
-        self._connection_answered = False  # whether a response was read on the present connection
+        self._connection_answered = False  # whether a whole response was read on this connection
         self.address_since_ns = loop.clock.now()  # when the client switched to `address`
         self._backoff_ns = RECONNECT_BACKOFF_NS
         self._stopped = False
-        self.answered = False  # whether any response has been read since the start
+        self.answered = False  # whether this client has ever read a whole response
         self.stream: PollStream | None = None
         self._timer: Timer | None = None  # the timer of the next connection attempt
         self._connect()
 
     def _selector(self) -> UpstreamSelector | None:
-        """Returns the selector among several addresses, or None if there is only one address."""
+        """Returns an object that chooses among the discovery addresses, or None if there is only one."""
         return UpstreamSelector(self._addresses, self._random) if len(self._addresses) > 1 else None
 
     def _connect(self) -> None:
@@ -196,10 +212,11 @@
             self.on_disconnect(None, str(error))
 
     def move(self, address: Address, alternatives: Sequence[Address] = ()) -> None:
-        """Switches to the addresses of a new configuration and polls at once, from the last event received.
+        """Applies the discovery addresses of a new configuration, and reconnects if the one in use changes.
 
-        An alternative in use stays in use if the configuration still lists it. The immediate switch guards
-        against waiting for the old address, which may keep its connection open and send nothing more.
+        An alternative in use stays in use if the configuration still lists it. The new connection is opened
+        at once, since the old address may keep its connection open and send nothing more. Polls continue
+        after the last event received.
         """
         self._addresses = (address, *alternatives)
         if self._upstreams is None or not alternatives:
@@ -219,23 +236,24 @@
         self._connect()
 
     def deliver(self, reader: ResponseReader, events: list[Any]) -> None:
-        """Delivers events of a response, each newer than `rev`."""
+        """Advances `rev` to the last of these events, which are all newer, and passes them to `on_events`."""
         if events:
             self.rev = reader.rev
             self._on_events(events)
 
     def on_response(self, reader: ResponseReader) -> None:
-        """Called when a response has been read to its end."""
+        """Called when a response has been read to its end without error; resets the backoff."""
         self._backoff_ns = RECONNECT_BACKOFF_NS
         self.answered = self._connection_answered = True
         if self._upstreams is not None:
             self._upstreams.succeeded()
-        # The revision of a response may be ahead of its events, so `rev` never passes the last event read.
+        # The revision number of a whole response may be above that of its last event, so `rev` follows the
+        # events only. A response without events and with a lower revision than `rev` is logged.
         if reader.empty and reader.revision < self.rev:
             self._log("discovery_revision_decreased", rev=reader.revision, held=self.rev)
 
     def on_invalid_response(self, reader: ResponseReader) -> None:
-        """Called when a response cannot be read."""
+        """Called when a response cannot be parsed; logs it, and the caller then closes the connection."""
         self._log("discovery_response_invalid", why=str(reader.error), held=self.rev)
 
     def on_disconnect(self, stream: PollStream | None, why: str) -> None:
@@ -247,7 +265,7 @@
         self._timer = self.loop.after(self._retry_delay_ns(), self._connect)
 
     def _retry_delay_ns(self) -> int:
-        """Returns the delay before the next connection attempt, which may go to another address."""
+        """Selects the address of the next connection attempt; returns the delay before it in nanoseconds."""
         if self._upstreams is None:
             wait_ns = self._backoff_ns // 2 + int(self._random() * (self._backoff_ns // 2))
             self._backoff_ns = min(self._backoff_ns * 2, MAX_RECONNECT_BACKOFF_NS)
@@ -264,7 +282,7 @@
             self.address_since_ns = self.loop.clock.now()
 
     def stop(self) -> None:
-        """Stops polling for good."""
+        """Closes the connection and never reconnects."""
         self._stopped = True
         if self.stream is not None:
             self.stream.close()
--- a/olivecourse/net/loop.py
+++ b/olivecourse/net/loop.py
@@ -1,4 +1,8 @@
-"""The event loop: each turn runs the handlers of ready sockets and due timers, then the owner's callback."""
+"""The single-threaded event loop of a process.
+
+Each turn waits for sockets or timers, runs the handlers of the ready sockets and the due timers, and then a
+callback of the loop's owner (the gateway or relay that runs it).
+"""
 
 from __future__ import annotations
 
@@ -10,41 +14,50 @@
 from olivecourse.net.wheel import Timer, TimerWheel
 
 READ, WRITE = selectors.EVENT_READ, selectors.EVENT_WRITE
-STALL_NS = 600_000_000  # no turn waits half this long for sockets or timers
+# A turn longer than this, in nanoseconds, is reported as a stall. Waiting for sockets and timers cannot cause
+# one, since no turn waits even half as long.
+STALL_NS = 600_000_000
 ReadyCallback = Callable[[int], None]
 
 
 class Clock:
-    """A monotonic clock in nanoseconds that starts at the Unix time and ignores steps of the system clock."""
+    """A monotonic clock that is set to the Unix time once, when created, and ignores later clock steps."""
 
     def __init__(self) -> None:
         self._offset = time.time_ns() - time.monotonic_ns()
 
     def now(self) -> int:
-        """Returns the current time in nanoseconds."""
+        """Returns the current time in nanoseconds; it never runs backwards."""
         return time.monotonic_ns() + self._offset
 
     def from_unix_ms(self, ms: int) -> int:
-        """Converts a Unix time in milliseconds, by the present reading of the system clock, to this clock."""
+        """Converts a Unix time in milliseconds to nanoseconds on this clock.
+
+        The difference between the two clocks is taken now, so that earlier steps of the system clock count.
+        """
         return ms * 1_000_000 - time.time_ns() + self.now()
 
 
 class Loop:
-    """A single-threaded event loop over sockets and timers."""
+    """A single-threaded event loop over sockets and timers; an exception in a handler does not end it."""
 
     def __init__(self) -> None:
         self.clock = Clock()
         self.wheel = TimerWheel(self.clock.now(), lambda error: self.faulted("timer", error))
         self.running = True
-        self.lag_ns = 0  # for how long arriving data may have waited for the previous turn to end
-        # Called after each turn longer than STALL_NS, with its wall time and its CPU time in nanoseconds.
+        # The time from the wake-up of the previous turn to its end, in nanoseconds: data that is read in this
+        # turn may have arrived, and waited unread, for as long.
+        self.lag_ns = 0
+        # Called after each turn longer than STALL_NS, with the turn's wall time and CPU time in nanoseconds.
         self.stalled: Callable[[int, int], object] = lambda wall, cpu: None
-        self.longest_ns = 0  # the longest turn since the start, including the owner's callback
-        # Called with each exception that a handler raises, and with the kind of the handler.
+        self.longest_ns = 0  # the largest `lag_ns` since the start
+        # Called with each exception that a handler raises, after the kind of the handler: "socket", "timer"
+        # or "call" (a callback given to `soon` or `next_turn`).
         self.faulted: Callable[[str, Exception], object] = lambda where, error: None
-        # Called when the process is out of descriptors; returns whether it has freed one.
+        # Called when the process is out of file descriptors; returns whether the callback has freed one.
         self.short: Callable[[], bool] = lambda: False
-        # True while the handlers of ready sockets run: later handlers may still read new data in this turn.
+        # True while the handlers of ready sockets run: handlers that follow in this turn may still read data
+        # that matters to work in progress, so such work is postponed by `soon`.
         self.dispatching = False
         self._deferred: list[Callable[[], object]] = []
         self._next: list[Callable[[], object]] = []
@@ -52,15 +65,15 @@
         self._selector = selectors.DefaultSelector()
 
     def watch(self, sock: socket.socket, mask: int, on_ready: ReadyCallback) -> None:
-        """Calls `on_ready` with the ready events whenever the socket is ready for one of those in `mask`."""
+        """Calls `on_ready(events)` whenever the socket is ready for one in `mask` (READ, WRITE or both)."""
         self._selector.register(sock, mask, on_ready)
 
     def change(self, sock: socket.socket, mask: int, on_ready: ReadyCallback) -> None:
-        """Replaces the event mask and the callback of a watched socket."""
+        """Replaces the mask (READ, WRITE or both) and the callback of a watched socket."""
         self._selector.modify(sock, mask, on_ready)
 
     def forget(self, sock: socket.socket) -> None:
-        """Stops watching the socket."""
+        """Stops watching a socket that was given to `watch`, without closing it."""
         self._selector.unregister(sock)
 
     def after(self, delay_ns: int, callback: Callable[[], object]) -> Timer:
@@ -68,18 +81,21 @@
         return self.wheel.schedule(self.clock.now() + max(delay_ns, 0), callback)
 
     def soon(self, callback: Callable[[], object]) -> None:
-        """Calls the callback after all ready sockets of this turn are handled, or at once between turns."""
+        """Calls the callback when the ready sockets of this turn are handled; at once outside that phase."""
         if self.dispatching:
             self._deferred.append(callback)
         else:
             callback()
 
     def next_turn(self, callback: Callable[[], object]) -> None:
-        """Calls the callback in the next turn, which does not wait; for work split into bounded parts."""
+        """Calls the callback in the next turn, which then does not wait for sockets or timers.
+
+        For long work that is split into parts, so that other connections are served between them.
+        """
         self._next.append(callback)
 
     def turn(self, max_wait_ns: int | None = None) -> None:
-        """Waits once, at most `max_wait_ns` nanoseconds, for sockets or timers and runs their handlers."""
+        """Waits for sockets or timers, at most `max_wait_ns` nanoseconds, then runs all handlers due."""
         wait = self.wheel.wait_ns(self.clock.now())
         callbacks, self._next = self._next, []
         wait = 0 if callbacks else wait if max_wait_ns is None else min(wait, max_wait_ns)
@@ -121,5 +137,5 @@
             self.longest_ns = max(self.longest_ns, self.lag_ns)
 
     def close(self) -> None:
-        """Closes the selector."""
+        """Closes the selector; the sockets that it watched stay open."""
         self._selector.close()
--- a/olivecourse/net/peers.py
+++ b/olivecourse/net/peers.py
@@ -1,4 +1,4 @@
-"""Short UDP messages between the gateways of one tier."""
+"""Short UDP messages between this gateway and the other gateways of its tier (its peers)."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from olivecourse.config.address import Address
 from olivecourse.net.loop import READ, Loop
 
-MAX_DATAGRAM_BYTES = 256  # bytes; a longer datagram violates the protocol
-READS_PER_TURN = 64  # datagrams read in one turn of the loop
+MAX_DATAGRAM_BYTES = 256  # a longer datagram is neither sent nor accepted
+READS_PER_TURN = 64  # datagrams read at most in one turn of the event loop
 
 
 class Peers:
-    """The UDP socket for messages to and from the other gateways."""
+    """The UDP socket for messages to and from the peers; a received message becomes a `PeerMessage` event."""
 
     def __init__(
         self,
@@ -26,9 +26,11 @@
         log: Callable[..., None],
         shared: bool = False,
     ) -> None:
-        """`peers` are the addresses by peer number, and `group_address` is the address of all peers.
+        """`peers` lists the addresses of the other gateways, indexed by peer number. A message to all of them
+        is sent once, to `group_address`; if that is None, it is not sent. `emit` gets each received message.
 
-        `shared` lets another process bind the same address; the system then divides the datagrams among them.
+        `shared` lets another process bind the same address (SO_REUSEPORT); the system then divides the
+        datagrams among the processes.
         """
         self._loop, self._peers, self._group_address, self._emit, self._log = (
             loop,
@@ -50,7 +52,7 @@
         loop.watch(self._sock, READ, self._on_readable)
 
     def move(self, peers: list[Address], group_address: Address | None) -> None:
-        """Replaces the peer addresses by those of a new configuration."""
+        """Replaces the addresses of the peers and of their group by those of a new configuration."""
         self._peers, self._group_address = peers, group_address
         self._peer_numbers = {address: number for number, address in enumerate(peers)}
 
@@ -60,7 +62,7 @@
                 data, sender = self._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except (BlockingIOError, InterruptedError):
                 return
-            except OSError as error:  # the host of a peer that is down answers with an ICMP error
+            except OSError as error:  # for example an ICMP error, sent by the host of a peer that is down
                 self._log("peer_error", why=str(error))
                 return
             number = self._peer_numbers.get(sender)
@@ -70,7 +72,10 @@
             self._emit(w.PeerMessage(number, data))
 
     def tell(self, action: w.TellPeer) -> None:
-        """Sends the message of a TellPeer action to one peer or to all; a failed send is only logged."""
+        """Sends the message of a TellPeer action to one peer or to all.
+
+        A message that is too long, has no known address or cannot be sent is logged and dropped.
+        """
         if action.peer == "all":
             target = self._group_address
         else:
@@ -85,6 +90,6 @@
             self._log("peer_error", why=str(error))
 
     def close(self) -> None:
-        """Closes the socket."""
+        """Stops receiving and closes the UDP socket."""
         self._loop.forget(self._sock)
         self._sock.close()
--- a/olivecourse/net/ringbuf.py
+++ b/olivecourse/net/ringbuf.py
@@ -1,17 +1,17 @@
-"""A growing ring buffer of bytes; each connection has one for each direction."""
+"""A growing ring buffer of bytes; each stream connection has one for received and one for unsent bytes."""
 
 from __future__ import annotations
 
 import socket
 
-INITIAL_CAPACITY = 4096
-# An empty buffer larger than this (in bytes) is replaced by a small one, since hundreds of idle connections
-# must fit in memory.
+INITIAL_CAPACITY = 4096  # bytes allocated for a new buffer, unless its limit is lower
+# A buffer that becomes empty while its allocation is larger than this (in bytes) is replaced by one of
+# INITIAL_CAPACITY, since the buffers of hundreds of idle connections must fit in memory.
 MAX_IDLE_CAPACITY = 65536
 
 
 class BufferFull(Exception):
-    """The buffer has reached its size limit."""
+    """Raised when bytes do not fit into a `RingBuffer` because it would exceed its limit."""
 
 
 class RingBuffer:
@@ -29,7 +29,7 @@
 
     @property
     def capacity(self) -> int:
-        """The allocated size in bytes."""
+        """The number of bytes allocated, which the buffer can hold without growing."""
         return len(self._data)
 
     def _grow(self, required: int) -> None:
@@ -53,10 +53,11 @@
         self._size += len(data)
 
     def receive(self, sock: socket.socket) -> int:
-        """Reads once from the socket and returns the number of bytes read.
+        """Reads once from the socket, appends the bytes and returns their number, possibly negated.
 
-        0 means that the peer has closed. A negated count means that the read was shorter than the free space,
-        so that the socket is empty now.
+        0 means that the peer has closed. A negative result -n means that n bytes were read and that the read
+        was shorter than the free space, so that the socket is empty now. Raises BufferFull if no space is
+        left.
         """
         if len(self._data) - self._size < INITIAL_CAPACITY // 2 and len(self._data) < self.limit:
             self._grow(min(2 * len(self._data), self.limit))
@@ -86,19 +87,19 @@
         return bytes(self._data[start : start + first]) + bytes(self._data[: count - first])
 
     def shrink(self) -> None:
-        """Frees the additional memory of an empty buffer."""
+        """Reduces the allocation to INITIAL_CAPACITY if the buffer is empty; called for idle connections."""
         if not self._size and len(self._data) > INITIAL_CAPACITY:
             self._data, self._head = bytearray(INITIAL_CAPACITY), 0
 
     def skip(self, count: int) -> None:
-        """Removes the first `count` bytes."""
+        """Removes the first `count` bytes; `count` must not exceed the number of bytes in the buffer."""
         self._size -= count
         self._head = (self._head + count) % len(self._data) if self._size else 0
         if not self._size and len(self._data) > MAX_IDLE_CAPACITY:
             self._data = bytearray(INITIAL_CAPACITY)
 
     def take(self, count: int) -> bytes:
-        """Removes and returns up to `count` bytes."""
+        """Removes up to `count` bytes from the front and returns them."""
         data = self.peek(count)
         self.skip(len(data))
         return data
--- a/olivecourse/net/seam.py
+++ b/olivecourse/net/seam.py
@@ -1,6 +1,8 @@
-"""The link between forwarders and planners over a Unix socket: events go to the planner, actions come back.
+"""The Unix socket link between a forwarder process, which holds the connections, and a planner process, which
+decides: events go to the planner, actions come back.
 
-Each batch is one line of JSON: the forwarder's clock, then [type, field, ...] for each event or action.
+Each batch is one line of JSON, [clock, messages]: the forwarder's clock in nanoseconds, and an array
+[type, field, ...] for each event or action.
 """
 
 from __future__ import annotations
@@ -20,9 +22,10 @@
 from olivecourse.net.stream import Stream, listen_unix
 
 MS = 1_000_000
-MAX_BATCH_BYTES = 8 * 2**20
-RECONNECT_DELAY_NS = 200 * MS
-# The Router sets a timer every 100 ms, so a planner that is silent for longer than this hangs.
+MAX_BATCH_BYTES = 8 * 2**20  # limit of one line, and of the bytes queued for sending on one connection
+RECONNECT_DELAY_NS = 200 * MS  # from a lost or failed connection to the planner to the next attempt
+# A forwarder closes its connection to a planner from which it has received nothing for this long. The Router
+# in the planner sets a timer every 100 ms, so a planner that is silent for longer hangs.
 SILENCE_TIMEOUT_NS = 1_000 * MS
 
 MESSAGE_TYPES: dict[str, type] = {
@@ -75,7 +78,7 @@
 
 
 def encode_message(message: Any) -> list[Any]:
-    """Converts an event, an action or a member to a JSON array: its type's name, then its fields in order."""
+    """Converts an event, action or cache member to a JSON array: the type's name, then the field values."""
     return [
         type(message).__name__,
         *(_encode_field(getattr(message, f.name)) for f in dataclasses.fields(message)),
@@ -83,7 +86,10 @@
 
 
 def unpack(row: Any) -> Any:
-    """Rebuilds the object from the array that `encode_message` made; raises ValueError or KeyError."""
+    """Rebuilds the event, action or member from an array made by `encode_message`.
+
+    An array of another form raises ValueError, KeyError, TypeError or IndexError.
+    """
     kind = MESSAGE_TYPES[row[0]]
     dataclass_fields = dataclasses.fields(kind)
     if len(dataclass_fields) != len(row) - 1:
@@ -97,12 +103,12 @@
 
 
 def write_batch(now: int, messages: Sequence[Any]) -> bytes:
-    """Encodes the clock `now` (nanoseconds) and the events or actions as one line."""
+    """Encodes the forwarder's clock `now` (nanoseconds) and events or actions as one line of JSON."""
     return json.dumps([now, [encode_message(r) for r in messages]], separators=(",", ":")).encode() + b"\n"
 
 
 class LineStream(Stream):
-    """A connection that decodes received lines into batches; the common base of both ends."""
+    """The common base of both ends of the link; decodes each received line into a batch of messages."""
 
     def __init__(self, loop: Loop, sock: socket.socket, log: Callable[..., None], connecting: bool) -> None:
         self.log = log
@@ -126,12 +132,16 @@
             self.close("batch too long")
 
     def batch_received(self, now: int, batch: list[Any]) -> None:
-        """Called with each received batch and the forwarder's clock in nanoseconds."""
+        """Called with each received batch of events or actions.
+
+        `now` is the clock that the batch carries: the forwarder's, in nanoseconds, which a planner sends
+        back with its actions.
+        """
         raise NotImplementedError
 
 
 class _PlannerConnection(LineStream):
-    """A forwarder's connection to its planner."""
+    """The forwarder's end of one connection to its planner; a `RemotePlanner` owns it."""
 
     def __init__(self, owner: RemotePlanner) -> None:
         self.owner = owner
@@ -154,10 +164,10 @@
 
 
 class RemotePlanner:
-    """A forwarder's end of the link, which reconnects after each loss.
+    """A planner in another process, as its forwarder sees it; reconnects whenever the connection is lost.
 
-    `on_connected` is called for each connection, `on_disconnected` once for each lost one, and `on_actions`
-    for each batch of actions.
+    `on_connected` is called for each new connection, `on_disconnected` once for each lost one, and
+    `on_actions` with each batch of actions that the planner sends.
     """
 
     def __init__(
@@ -196,7 +206,7 @@
             self.loop.after(SILENCE_TIMEOUT_NS // 4, self._check_silence)
 
     def connection_lost(self, why: str) -> None:
-        """Handles the loss of the connection: reports it and schedules a new one."""
+        """Called when the connection has closed: calls `on_disconnected` and schedules a reconnection."""
         self.stream = None
         if self._stopped:
             return
@@ -205,21 +215,25 @@
         self.loop.after(RECONNECT_DELAY_NS, self._connect)
 
     def send(self, events: Sequence[w.Event], now: int) -> bool:
-        """Sends events to the planner and returns whether one is connected."""
+        """Sends events with the forwarder's clock `now`; returns whether a planner is still connected."""
         if self.stream is None:
             return False
         self.stream.write(write_batch(now, events))
         return self.stream is not None
 
     def close(self) -> None:
-        """Closes the connection for good."""
+        """Closes the connection to the planner and never reconnects."""
         self._stopped = True
         if self.stream is not None:
             self.stream.close("end")
 
 
 class _ForwarderConnection(LineStream):
-    """The connection of one forwarder, with the planner that decides for it."""
+    """The planner process's end of one forwarder's connection.
+
+    The `Planner` that decides for this forwarder is created with the first batch and lives as long as the
+    connection.
+    """
 
     def __init__(self, server: PlannerServer, sock: socket.socket) -> None:
         self.server = server
@@ -244,9 +258,10 @@
 
 
 class PlannerServer:
-    """Serves forwarders in a separate planner process: each connection gets a Planner of its own.
+    """Accepts forwarders in a planner process; each connection gets a `Planner` of its own.
 
-    `on_planner_created` and `on_planner_removed` are called as forwarders connect and disconnect.
+    `on_planner_created` is called when a forwarder's first batch has created its planner,
+    `on_planner_removed` when that forwarder has disconnected.
     """
 
     def __init__(
@@ -262,7 +277,7 @@
         self.on_planner_created, self.on_planner_removed = on_planner_created, on_planner_removed
         self.streams: set[_ForwarderConnection] = set()
         if os.path.exists(path) and stat.S_ISSOCK(os.stat(path).st_mode):
-            os.unlink(path)  # the socket file of a planner that was killed
+            os.unlink(path)  # left behind by a planner process that was killed
         self._sock = listen_unix(path, 16)
         loop.watch(self._sock, READ, self._accept)
 
--- a/olivecourse/net/stores.py
+++ b/olivecourse/net/stores.py
@@ -1,4 +1,8 @@
-"""Connections to stores, parents and the origin, and the line protocol on them."""
+"""Connections to stores (cache servers), parents and the origin, and the line protocol spoken on them.
+
+A request is a line `fetch ID FIELDS LENGTH` and a body; a response is a line `ID STATUS FIELDS LENGTH` and a
+body. All three kinds of servers speak this protocol and are called stores here.
+"""
 
 from __future__ import annotations
 
@@ -17,18 +21,25 @@
 from olivecourse.net.stream import Stream
 
 MS = 1_000_000
-MAX_LINE_BYTES = 2048
-MAX_WAITING_WHILE_CONNECTING = 16  # attempts that share a connection which is still connecting
-SILENCE_NS = 500 * MS  # a connection that received data within this time counts as alive
-# The whole response was measured to arrive within 0.4 ms of its first byte; a response that stops in between
-# never ends. The first limit is the time without a further byte, the second the time for the whole response.
+MAX_LINE_BYTES = 2048  # of a response's first line; a longer one closes the connection
+# While a store has no established connection, up to this many attempts wait together on one connection that
+# is still connecting, before a further connection is opened.
+MAX_WAITING_WHILE_CONNECTING = 16
+# A connection that received data within this time is kept when its store is reported to have ended.
+SILENCE_NS = 500 * MS
+# Limits for a response that has begun to arrive: the time without a further byte, and the time from the first
+# byte to the last. When one is reached, the connection is closed. A whole response was measured to arrive
+# within 0.4 ms of its first byte; one that stops in between never ends.
 RESPONSE_PROGRESS_TIMEOUT_NS, RESPONSE_TIMEOUT_NS = 250 * MS, 2_000 * MS
-# If an attempt is cancelled after this time and the store has sent nothing since the attempt was sent, its
-# response is lost.
+# If an attempt is cancelled more than this time after it was sent, and the connection has received nothing
+# since, the response counts as lost: no further request is sent on the connection.
 LOST_RESPONSE_NS = 150 * MS
-DEADLINE_MARGIN_NS = 50 * MS  # the decision module cancels attempts a little before their deadline
+# An attempt that is cancelled within this time of its deadline, or later, has timed out, since the decision
+# module cancels attempts a little before their deadline. One sent less than this time ago says nothing about
+# the store.
+DEADLINE_MARGIN_NS = 50 * MS
 TAG = re.compile(r"[0-9A-Za-z_.-]{1,64}")
-MOST_BODY = 240_000  # bytes
+MOST_BODY = 240_000  # largest response body that is accepted from a store, in bytes
 STATUSES = {
     "data": w.Status.SERVED,
     "unchanged": w.Status.SERVED,
@@ -59,17 +70,17 @@
 
 @dataclass(frozen=True)
 class Limits:
-    """Timeouts in nanoseconds and connection counts that the settings and the descriptor limit allow."""
+    """Limits on connections to stores, from the settings and from the process's limit of file descriptors."""
 
-    connect_ns: int
-    idle_ns: int
-    streams: int
-    per_store: int
-    total: int
+    connect_ns: int  # a connection not established within this time is closed
+    idle_ns: int  # a connection that has carried no attempt for longer than this is closed
+    streams: int  # attempts at a time on one connection, sent or waiting
+    per_store: int  # connections to one store
+    total: int  # connections to all stores; `Pool._pick` may exceed it by `per_store`
 
 
 def _parse_fields(text: str) -> dict[str, str]:
-    """Parses `name=value,name=value`, or `-` for no fields; raises ValueError."""
+    """Parses the fields of a response line, `name=value,name=value` or `-` for none; raises ValueError."""
     if text == "-":
         return {}
     if text.count("=") != text.count(",") + 1:
@@ -80,16 +91,17 @@
 def _has_required_fields(
     attempt: Attempt, status_word: str, response_fields: dict[str, str], size: int
 ) -> bool:
-    """Returns whether a response has the fields and the body that its status word requires.
+    """Returns whether a response has the fields, and a body size in bytes, that its status word requires.
 
-    A damaged response must not be taken for a good one.
+    Guards against a damaged response that would be passed on as a good one.
     """
     if status_word not in ("data", "unchanged"):
         return not size
     entry = attempt.entry
     if status_word == "unchanged" and (size or not entry.holds or entry.cls.write):
         return False
-    # The origin's response to a write is not a copy, so it has neither a tag nor an age.
+    # The origin's response to a write is not a cached copy, so it needs neither a version tag nor `stamp`,
+    # the time in Unix milliseconds from which a copy's age counts.
     return entry.cls.write or (
         TAG.fullmatch(response_fields.get("version", "")) is not None
         and response_fields.get("stamp", "").isdecimal()
@@ -101,9 +113,10 @@
 
 
 def read_report(text: str, fields: tuple[str, ...]) -> tuple[float | None, ...] | None:
-    """Parses a load report `name:value;name:value` into the values of `fields`, in their order.
+    """Parses a store's load report `name:value;name:value`; returns the values of `fields`, in their order.
 
-    Returns None for an unreadable report, which does not invalidate the response.
+    A field that is absent from the report has the value None. The result is None if the report cannot be
+    parsed or has a value that is not finite; the response that carried the report is valid all the same.
     """
     try:
         reported = {
@@ -118,19 +131,21 @@
 
 
 class StoreStream(Stream):
-    """One connection to a store, with several requests at a time and responses in any order."""
+    """One connection to a store, which carries several attempts at a time; responses come in any order."""
 
     def __init__(self, pool: Pool, cache: int, address: Address) -> None:
         self.pool, self.cache, self.address = pool, cache, address
         self.waiting: deque[Attempt] = deque()
         self.in_flight: dict[str, Attempt] = {}
-        # True once a response was lost: no new request is sent here, and the connection closes when idle.
+        # True once a response on this connection was lost: no new attempt is assigned to it, and it is closed
+        # when it carries no attempt.
         self.spent = False
-        self._incomplete_since = 0  # when the still incomplete response began to arrive; 0 if there is none
+        self._incomplete_since = 0  # when the response now arriving began to arrive; 0 if none is
         self._response_head: tuple[str, str, dict[str, str], int] | None = None
         self._pumping = False
-        self.writing: Attempt | None = None  # the attempt whose bytes are being written to the socket
-        self._partly = False  # the socket has not yet accepted the last byte of an attempt
+        # Set only while `_send_attempt` writes this attempt to the socket.
+        self.writing: Attempt | None = None
+        self._partly = False  # whether the socket has still to accept the last byte of an attempt
         self.fault = ""
         super().__init__(
             pool.loop,
@@ -144,7 +159,7 @@
 
     @property
     def load(self) -> int:
-        """The number of attempts sent or waiting on this connection."""
+        """The number of attempts on this connection: sent and without a response, or waiting to be sent."""
         return len(self.in_flight) + len(self.waiting)
 
     def _on_connect_timeout(self) -> None:
@@ -165,10 +180,11 @@
         self.send_waiting()
 
     def send_waiting(self) -> None:
-        """Sends waiting attempts, each after the previous one has left and after a last check of the rules.
+        """Sends the attempts that wait on this connection once the ready sockets of this turn are handled.
 
-        The attempts are sent after the socket handlers of this turn have run, since these may still report
-        disconnected clients, or changes from discovery, that make an attempt void.
+        Those handlers may still report disconnected clients, or changes from discovery, that make an attempt
+        pointless. Each attempt is sent after the socket has accepted the previous one completely, and only if
+        `Pool.may_go` still permits it.
         """
         if self.waiting and not self._pumping and not self.connecting:
             self.loop.soon(self._send_waiting)
@@ -180,14 +196,14 @@
         try:
             while self.waiting and self.open and not len(self.outbox):
                 if self.waiting[0].entry.cls.effect is w.Effect.AT_MOST_ONCE:
-                    # If the store has closed already, the attempt has certainly not run; after a send, that
-                    # would no longer be known.
+                    # If the store has closed the connection, this read notices it before anything is sent,
+                    # so the attempt has certainly not run. After a send, that would not be certain.
                     self.read()
                     if not self.open or not self.waiting:
                         continue
                 attempt = self.waiting.popleft()
                 if not attempt.ended:
-                    attempt.entry.reply.look()  # the client may have disconnected while the attempt waited
+                    attempt.entry.reply.look()  # ends the attempt if its client has disconnected meanwhile
                 if attempt.ended:
                     continue
                 if not self.pool.may_go(attempt):
@@ -196,13 +212,14 @@
                     continue
                 if not self._send_attempt(attempt):
                     break
-        finally:  # after a fault, the connection must still be able to send
+        finally:  # also after an exception, or this connection would never send again
             self._pumping = False
 
     def _send_attempt(self, attempt: Attempt) -> bool:
-        """Sends an attempt and returns whether a byte of it was sent or the connection was closed.
+        """Writes an attempt to the socket; returns True if any byte was sent or the connection closed.
 
-        Otherwise the attempt goes back to the head of the queue and is checked again before the next try.
+        Returns False if the socket accepts no byte now: the attempt is then back at the head of the queue,
+        and is checked again before the next try.
         """
         request = attempt.entry.ask.request
         self.in_flight[request] = attempt
@@ -230,7 +247,10 @@
             self.loop.after(RESPONSE_PROGRESS_TIMEOUT_NS, self._check_incomplete)
 
     def _check_incomplete(self) -> None:
-        """Closes the connection if a response stays incomplete, since no later response can then be read."""
+        """Closes the connection if the arriving response has exceeded one of its two time limits.
+
+        No later response could be read behind it. Otherwise the check is repeated.
+        """
         if not self.open or not self._incomplete_since:
             return
         now = self.loop.clock.now()
@@ -243,7 +263,7 @@
             self.loop.after(RESPONSE_PROGRESS_TIMEOUT_NS, self._check_incomplete)
 
     def _read_responses(self) -> int:
-        """Processes all complete responses in the inbox and returns their number."""
+        """Handles every response that has arrived completely in `inbox`, and returns their number."""
         completed = 0
         while self.open:
             if self._response_head is None:
@@ -280,7 +300,7 @@
 
     def _handle_response(self, request: str, status_word: str, fields: dict[str, str], body: bytes) -> None:
         attempt = self.in_flight.get(request)
-        if attempt is None:  # a late response, a duplicate, or an id that was never sent on this connection
+        if attempt is None:  # cancelled, answered already, or never sent on this connection
             return
         if not _has_required_fields(attempt, status_word, fields, len(body)):
             self._close_broken(f"{status_word} lacks required fields")
@@ -308,16 +328,19 @@
         if not self.load:
             self.idle_since = self.loop.clock.now()
             self.pool.move_waiting_to(self)
-            if self.spent:  # closed in the next turn, as this turn may still read responses from the inbox
+            if self.spent:  # closed by a timer, after the responses that are still in the inbox
                 self.loop.after(0, lambda: None if self.load else self.close("a response never arrived"))
 
     def abort(self, attempt: Attempt) -> None:
-        """Cancels an attempt: sends `abort` if the attempt was sent, else removes it from the queue."""
+        """Cancels an attempt: sends the line `abort ID` if it was sent, else removes it from the queue.
+
+        Marks the connection as `spent` if the attempt has timed out or its response counts as lost.
+        """
         request = attempt.entry.ask.request
         if self.in_flight.get(request) is attempt:
             del self.in_flight[request]
             now = self.loop.clock.now()
-            # Guards against a connection whose responses no longer arrive: no new request is sent on it.
+            # Guards against sending further requests on a connection whose responses no longer arrive.
             age = now - attempt.sent_at
             self.spent |= (
                 now >= attempt.deadline - DEADLINE_MARGIN_NS
@@ -336,7 +359,7 @@
 
 
 class Pool:
-    """The connections to all stores, bounded by the descriptor limit."""
+    """The connections to all stores; chooses one for each attempt, within the limits on connections."""
 
     def __init__(
         self,
@@ -348,20 +371,24 @@
         reports: tuple[str, ...],
         log: Callable[..., None],
     ) -> None:
-        """`classes` are the names of the request classes, `reports` the fields of load reports, if any."""
+        """`classes` lists the names of the request classes by class number. `reports` names the fields that
+        are taken from the load reports of stores; if it is empty, the reports are ignored.
+        """
         self.reports = reports
         self.loop, self.directory, self.ledger, self.limits = loop, directory, ledger, limits
         self.log = log
         self.classes = classes
         self._stores: dict[int, list[StoreStream]] = {}
         self.count = 0
-        self.sends = 0  # attempts whose last byte the socket has accepted, since the start
+        self.sends = 0  # attempts sent to their last byte since the start, on all connections
         self._sweep()
 
     def may_go(self, attempt: Attempt) -> bool:
         """Returns whether an attempt may still be sent, checked immediately before its first byte.
 
-        The store and the source must not be drained, and the request itself must still allow the attempt.
+        The store, and the parent or origin from which it is to fill, must be ready according to discovery,
+        and the ledger must still permit the attempt (request open, deadline not reached, object not purged
+        since).
         """
         source = attempt.source
         return (
@@ -371,7 +398,7 @@
         )
 
     def encode_request(self, attempt: Attempt) -> bytes:
-        """Encodes the `fetch` line and the body of an attempt."""
+        """Encodes the `fetch` line and the body by which an attempt asks its store."""
         fetch_action, entry, names = attempt.action, attempt.entry, self.directory.names
         remaining_ms = max(attempt.deadline - self.loop.clock.now(), MS) // MS
         request_event = entry.ask
@@ -383,11 +410,13 @@
         ]
         if isinstance(fetch_action, w.ReadThrough):
             if attempt.source is not None:
-                fields.append(f"fetch={names[attempt.source]}")  # may_go has just found the source ready
+                # `may_go` has just found the source ready, so it has a name.
+                fields.append(f"fetch={names[attempt.source]}")
             if fetch_action.rank:
                 fields.append(f"retain={fetch_action.rank}")
             if fetch_action.max_age_ns:
-                # The age limit is rounded down and counts from now: a delay must never admit an older copy.
+                # The largest age of a copy that the store may serve, in ms. It is rounded down, and the store
+                # counts it from the arrival of this line, so that no delay admits an older copy.
                 fields.append(f"newer={max(fetch_action.max_age_ns // MS, 1)}")
             if fetch_action.how:
                 fields.append(
@@ -404,7 +433,7 @@
         )
 
     def send(self, attempt: Attempt) -> None:
-        """Queues an attempt on a connection to its store, or fails it if there can be none."""
+        """Queues an attempt on a connection to its store; without one, ends the attempt as CONNECT_FAILED."""
         stream = self._pick(attempt)
         if stream is None:
             self.ledger.end(attempt, w.Status.CONNECT_FAILED)
@@ -414,19 +443,22 @@
         stream.send_waiting()
 
     def abort(self, attempt: Attempt) -> None:
-        """Cancels an attempt on the connection that carries it."""
+        """Cancels an attempt on the store connection that carries it, if there is one."""
         if isinstance(attempt.place, StoreStream):
             attempt.place.abort(attempt)
 
     def _pick(self, attempt: Attempt) -> StoreStream | None:
-        """Returns the least loaded connection that has not carried this request, or a new one."""
+        """Returns the connection for an attempt: the least loaded one that may carry it, or a new one.
+
+        Returns None if the store has no address, or no connection can be used or opened.
+        """
         cache, asked_on = attempt.action.cache, attempt.entry.asked_on
         address = self.directory.addresses.get(cache)
         if address is None:
             return None
         streams = self._stores.setdefault(cache, [])
-        # A request id is never sent twice on one connection: a duplicate of the first attempt's response
-        # would be taken for the response to the second attempt.
+        # A request id is never sent twice on one connection: a late or duplicate response to the first
+        # attempt would be taken for the response to the second one.
         candidates = [
             s
             for s in streams
@@ -434,7 +466,8 @@
         ]
         best = min(candidates, key=lambda s: (s.load, s.connecting), default=None)
         # A store with no established connection may have vanished. Attempts that wait together on one
-        # connection then fail together and early; a new connection for each would restart the timeout.
+        # connection then fail together when it times out; a new connection for each attempt would begin a new
+        # connect timeout each time.
         unconfirmed = best is not None and best.connecting and all(s.connecting for s in streams)
         if best is not None and (
             not best.load
@@ -450,13 +483,13 @@
             stream = StoreStream(self, cache, address)
         except OSError as error:
             self.log("store_connect_failed", store=self.directory.names.get(cache), why=str(error))
-            return best  # for example when out of descriptors: the open connections are still usable
+            return best  # for example out of file descriptors: share an open connection
         streams.append(stream)
         self.count += 1
         return stream
 
     def move_waiting_to(self, idle_stream: StoreStream) -> None:
-        """Moves one attempt from a connection of the same store that is still connecting to `idle_stream`."""
+        """Moves one attempt to `idle_stream` from a connection to the same store that is still opening."""
         if idle_stream.connecting or idle_stream.spent or not idle_stream.open:
             return
         for connecting_stream in self._stores.get(idle_stream.cache, ()):
@@ -474,7 +507,10 @@
                 return
 
     def connection_closed(self, stream: StoreStream, why: str) -> None:
-        """Ends the attempts of a closed connection: those sent may have run, those still waiting have not."""
+        """Ends the attempts of a closed connection.
+
+        Those that were sent end as RESET, since they may have run; those still waiting as CONNECT_FAILED.
+        """
         self.count -= 1
         streams = self._stores.get(stream.cache, [])
         if stream in streams:
@@ -495,13 +531,17 @@
             attempt.place = None
             self.ledger.end(attempt, w.Status.CONNECT_FAILED)
         for attempt in in_flight:
-            # The attempt whose first byte the socket did not accept has not been sent.
+            # If the connection closed while the socket had accepted no byte of this attempt, it has not run.
             not_sent = stream.unsent and attempt is stream.writing
             self.ledger.end(attempt, w.Status.CONNECT_FAILED if not_sent else w.Status.RESET)
 
     def _sweep(self) -> None:
-        """Closes idle connections before the store does: a request that crosses its close may have run."""
-        self.loop.after(250 * MS, self._sweep)  # first, so that a fault below does not end the sweeps
+        """Every 250 ms, closes idle connections that are old, lost a response, or whose store has moved.
+
+        They are closed before the store closes them, since a request that crosses the store's close may have
+        run.
+        """
+        self.loop.after(250 * MS, self._sweep)  # first, so that an exception below does not end the sweeps
         now = self.loop.clock.now()
         for cache, streams in list(self._stores.items()):
             unlisted = cache not in self.directory.states
@@ -513,9 +553,10 @@
                 del self._stores[cache]
 
     def drop(self, cache: int, died_at: int) -> None:
-        """Closes silent connections to a store that died at the time `died_at` at the latest.
+        """Closes connections to a store whose process, as discovery reports, ended at `died_at` or earlier.
 
-        Guards against attempts that wait until their deadlines for a host that vanished without a reset.
+        Only connections that have received nothing since `died_at` and for SILENCE_NS are closed. Guards
+        against attempts that wait until their deadlines for a host that vanished without a reset.
         """
         silent_since = self.loop.clock.now() - SILENCE_NS
         for stream in list(self._stores.get(cache, ())):
@@ -523,7 +564,7 @@
                 stream.close("store reported dead")
 
     def close_idle(self, cache: int) -> None:
-        """Closes the connections to a store that carry no attempt."""
+        """Closes those connections to a store that carry no attempt, when the decision module asks for it."""
         for stream in list(self._stores.get(cache, ())):
             if not stream.load:
                 stream.close("idle")
--- a/olivecourse/net/stream.py
+++ b/olivecourse/net/stream.py
@@ -10,14 +10,17 @@
 from olivecourse.net.loop import READ, WRITE, Loop
 from olivecourse.net.ringbuf import BufferFull, RingBuffer
 
-READS = 16  # reads from one connection in one turn: a flood on one connection must not starve the others
+# Socket reads from one connection in one turn of the event loop, so that a flood of data on one connection
+# does not starve the others.
+READS = 16
 
 
 def listen(address: Address, shared: bool = False) -> socket.socket:
-    """Returns a listening socket; `shared` lets another process listen at the same address (SO_REUSEPORT)."""
+    """Returns a listening TCP socket; `shared` lets other processes listen at its address (SO_REUSEPORT)."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        # After a restart, connections of the previous process may still be in TIME_WAIT on the address.
+        # After a restart, connections of the previous process may still be in TIME_WAIT on the address, and
+        # without this option the bind would fail.
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         if shared:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
@@ -31,7 +34,10 @@
 
 
 def listen_unix(path: str, backlog: int) -> socket.socket:
-    """Returns a listening Unix socket to which only this user may connect; raises OSError."""
+    """Returns a Unix socket that listens at `path`, to which only the process's user may connect.
+
+    Raises OSError, for example if the path exists already.
+    """
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
     try:
         sock.bind(path)
@@ -45,10 +51,10 @@
 
 
 class Stream:
-    """A connection watched by the loop.
+    """A non-blocking connection watched by the event loop, with buffers for received and for unsent bytes.
 
-    Subclasses override `opened`, `received` and `closed`; `closed` is called exactly once, unless the socket
-    is detached.
+    Subclasses override `opened`, `received` and `closed`. `closed` is called exactly once, unless `detach`
+    has given the socket to another owner.
     """
 
     def __init__(
@@ -63,17 +69,18 @@
         self.inbox, self.outbox = RingBuffer(max_inbox_bytes), RingBuffer(max_outbox_bytes)
         self.connecting, self.open = connecting, True
         self.reads = READS
-        self.unsent = False  # closed because the socket accepted no byte of the last write
-        self._blocked = False  # data refused by `try_send`, which is not in the outbox, waits for writability
+        self.unsent = False  # whether a failed send, of which no byte has left, closed the stream
+        # True after `try_send` returned False, until the socket is writable: its data is not in the outbox.
+        self._blocked = False
         self._mask = WRITE if connecting else READ
         loop.watch(sock, self._mask, self._ready)
 
     @staticmethod
     def connect(loop: Loop, address: Address) -> socket.socket:
-        """Returns a socket that is connecting.
+        """Returns a new non-blocking TCP socket whose connection to `address` is being established.
 
-        Raises OSError if the connection is refused at once, or if no file descriptor is available and the
-        loop's owner cannot free one.
+        Raises OSError if the connection is refused at once, or if no file descriptor is available and
+        `Loop.short` cannot free one.
         """
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -90,21 +97,21 @@
         return sock
 
     def opened(self) -> None:
-        """Called once when an outgoing connection is established."""
+        """Called once when an outgoing connection (`connecting=True`) is established."""
         ...
 
     def received(self) -> None:
-        """Called after each read that has added bytes to `inbox`."""
+        """Called after each read that has added bytes to `inbox`; takes out the bytes that it can process."""
         ...
 
     def closed(self, why: str) -> None:
-        """Called once when the connection has been closed, with the reason."""
+        """Called once when the connection has been closed; `why` is the reason, a short text for the log."""
         ...
 
     def _ready(self, mask: int) -> None:
         try:
             self._handle(mask)
-        except Exception as error:  # without the close, the fault would occur again in every turn
+        except Exception as error:  # without the close, the same exception would be raised in every turn
             self.close(f"fault: {type(error).__name__}")
             raise
 
@@ -124,7 +131,10 @@
             self.read()
 
     def read(self) -> None:
-        """Reads available bytes into `inbox`, in at most `reads` reads, and calls `received` after each."""
+        """Reads up to `reads` times, until the socket is empty; calls `received` after each read.
+
+        Closes the connection at its end, on an error, or if the inbox is full.
+        """
         for _ in range(self.reads):
             try:
                 read_count = self.inbox.receive(self.sock)
@@ -145,11 +155,11 @@
                 return
 
     def write(self, data: bytes) -> None:
-        """Sends the bytes and queues those that the socket does not accept; closes if the queue is full."""
+        """Sends bytes; queues in `outbox` what the socket does not accept, and closes if that is full."""
         if not self.open:
             return
         if not self.connecting and not len(self.outbox):
-            # The socket mostly accepts all bytes at once; only the rest goes through the ring buffer.
+            # The socket mostly accepts all bytes at once; only those left over are copied to the outbox.
             sent = self._send(data)
             if not self.open:
                 return
@@ -160,10 +170,11 @@
         self._queue(data)
 
     def try_send(self, data: bytes) -> bool:
-        """Like `write`, but queues nothing and returns False if the socket accepts no byte now.
+        """Sends bytes like `write`, but returns False and queues nothing if the socket accepts no byte now.
 
-        `drained` is then called once the socket is writable again. Used for data that is checked immediately
-        before its first byte is sent and must be checked again after a delay.
+        In that case, if the stream is open, `drained` is called once it can send again. Used for a request
+        whose permission is checked immediately before its first byte is sent and must be checked again after
+        a delay.
         """
         if not self.open or self.connecting or len(self.outbox):
             return False
@@ -179,7 +190,7 @@
         return True
 
     def _send(self, data: bytes) -> int:
-        """Returns how many bytes the socket accepted; closes the stream if the send fails."""
+        """Sends once and returns how many bytes the socket accepted; closes the stream if the send fails."""
         try:
             return self.sock.send(data)
         except (BlockingIOError, InterruptedError):
@@ -199,7 +210,7 @@
             self._want()
 
     def flush(self) -> None:
-        """Sends as much of the outbox as the socket accepts."""
+        """Sends as much of `outbox` as the socket accepts; called when the socket has become writable."""
         self._blocked = False
         try:
             while len(self.outbox):
@@ -214,7 +225,7 @@
             self.drained()
 
     def drained(self) -> None:
-        """Called when all written bytes are sent, or the socket is writable after a refused `try_send`."""
+        """Called when all written bytes are sent, or the socket is writable after a failed `try_send`."""
 
     def _want(self) -> None:
         mask = READ | (WRITE if len(self.outbox) or self._blocked else 0)
@@ -223,7 +234,7 @@
             self.loop.change(self.sock, mask, self._ready)
 
     def detach(self) -> socket.socket:
-        """Stops watching the socket and returns it open, for another owner; `closed` is not called."""
+        """Returns the socket, still open and no longer watched, for another owner; `closed` is not called."""
         self.open = False
         self.loop.forget(self.sock)
         return self.sock
--- a/olivecourse/net/worker.py
+++ b/olivecourse/net/worker.py
@@ -1,4 +1,4 @@
-"""A thread for blocking jobs beside the event loop: jobs run one at a time, results return on the loop."""
+"""A thread for blocking jobs, such as disk writes, that must not hold up the event loop."""
 
 from __future__ import annotations
 
@@ -15,10 +15,13 @@
 
 
 class Worker:
-    """Runs jobs in order on one daemon thread, which starts with the first job."""
+    """Runs jobs one at a time, in order, on a daemon thread that starts with the first job.
+
+    The result of each job is passed to a callback on the event loop's thread.
+    """
 
     def __init__(self, loop: Loop, name: str, most: int = 16) -> None:
-        """`name` is the name of the thread; at most `max_pending` jobs wait for it."""
+        """`name` is the name of the thread; at most `most` jobs wait for it, besides the one that it runs."""
         self._loop, self._name, self._max_pending = loop, name, most
         self._jobs: deque[tuple[Job, Done]] = deque()
         self._results: deque[tuple[Done, Any, Exception | None]] = deque()
@@ -31,7 +34,11 @@
         loop.watch(self._wake_receiver, READ, self._on_wake)
 
     def submit(self, job: Job, done: Done) -> bool:
-        """Queues the job and returns whether it was accepted; `done(result, error)` is called on the loop."""
+        """Queues the job; returns False, without queueing it, if the queue is full or the worker is stopping.
+
+        After the job, `done(result, error)` is called on the event loop's thread; `error` is the exception
+        that the job raised, or None.
+        """
         with self._condition:
             if self._stopping or len(self._jobs) >= self._max_pending:
                 return False
@@ -54,12 +61,12 @@
             job_error: Exception | None = None
             try:
                 result = job()
-            except Exception as error:  # reported on the loop: a job's fault must not end the thread
+            except Exception as error:  # passed to `done`: a job's exception must not end the thread
                 job_error = error
             self._results.append((done, result, job_error))
             try:
                 self._wake_sender.send(b"\0")
-            except OSError:  # the socket is full, so the loop wakes up anyway, or closed, so nothing waits
+            except OSError:  # full, so the event loop wakes up anyway; or closed after `stop`
                 pass
 
     def _on_wake(self, mask: int) -> None:
@@ -70,15 +77,16 @@
         self.settle()
 
     def settle(self) -> None:
-        """Calls the `done` callbacks of all finished jobs."""
+        """Calls the `done` callbacks of all finished jobs; must be called on the event loop's thread."""
         while self._results:
             done, result, job_error = self._results.popleft()
             done(result, job_error)
 
     def stop(self, timeout_s: float) -> bool:
-        """Waits up to `timeout_s` seconds for the accepted jobs and returns whether all have ended.
+        """Refuses new jobs, waits up to `timeout_s` seconds for the others; returns whether all have ended.
 
-        A job that hangs on a disk is abandoned: the daemon thread does not keep the process alive.
+        A job that still hangs then, for example on a disk, is abandoned: the daemon thread does not keep the
+        process alive.
         """
         with self._condition:
             self._stopping = True
