--- a/olivecourse/fronts/__init__.py
+++ b/olivecourse/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""The servers that clients connect to: Thrift, and HTTP with signed links and tokens."""
+"""The servers that clients connect to: one for Thrift, one for HTTP with signed links and Bearer tokens."""
--- a/olivecourse/fronts/listener.py
+++ b/olivecourse/fronts/listener.py
@@ -1,4 +1,4 @@
-"""Common base of the Thrift and HTTP servers: the listening socket, client connections and their timeouts."""
+"""Common base of the Thrift and HTTP servers: listening, client connections, their limits and timeouts."""
 
 from __future__ import annotations
 
@@ -18,91 +18,108 @@
 from olivecourse.net.stream import READS, Stream, listen
 
 MS = 1_000_000
-SWEEP_NS = 200 * MS
-# The time until the first complete request. Together with the sweep interval, it stays below the 3 s which
-# every client must be given.
+SWEEP_NS = 200 * MS  # the interval of `Listener._sweep`, which applies the timeouts below
+# A new connection that has had no response and has no open request after this time is closed, at most one
+# sweep interval later. The sum, 2.5 s, stays below the 3 s that every client is owed.
 FIRST_NS = 2_300 * MS
-# The time for receiving an incomplete request: if no other request is open on the connection, and if one is.
+# A connection is closed if a request takes longer than this to arrive completely. The first limit applies if
+# no other request is open on the connection, the second if one is.
 PARTIAL_REQUEST_TIMEOUT_NS, MAX_PARTIAL_REQUEST_TIMEOUT_NS = 2_300 * MS, 6_000 * MS
-IDLE_NS = 5_000 * MS  # the time between two requests; well-behaved clients close after 4 s
-MIN_EVICTION_AGE_NS = 100 * MS  # a connection younger than this may still be about to send its first request
-LINGER_NS = 500 * MS  # how long a lingering close waits for the client to close its side
-ACCEPT_RETRY_NS = 50 * MS  # the delay before accepting again after no file descriptor was available
+# A connection without an open request is closed this long after its last response. Well-behaved clients close
+# their idle connections after 4 s.
+IDLE_NS = 5_000 * MS
+# A connection that is new, or idle, for less than this time is closed for a new client only if no other can
+# be, since its client may be about to send a request.
+MIN_EVICTION_AGE_NS = 100 * MS
+LINGER_NS = 500 * MS  # how long `Client.linger` waits for the client to close its side
+ACCEPT_RETRY_NS = 50 * MS  # pause in accepting after no file descriptor was free
 
 
 def has_peer_closed(sock: socket.socket) -> bool:
-    """Returns whether the peer has closed its sending side, even if data from it is still unread."""
+    """Returns whether the peer has closed its sending side, also while data from it is still unread."""
     poller = select.poll()
     poller.register(sock, select.POLLRDHUP)
     return bool(poller.poll(0))
 
 
 class RequestCore(Protocol):
-    """The request core, as the servers see it."""
+    """The part of the gateway that serves requests (the `Ledger`), as the Thrift and HTTP servers use it."""
 
     def take(
         self, ask: w.Request, body: bytes, holds: str | None, reply: Any, key: str | None = None
     ) -> None:
-        """Accepts a request, which is answered through `reply`; `holds` is the tag of the client's copy."""
+        """Accepts a request, which then gets exactly one answer through `reply`.
+
+        `holds` is the version tag of the copy that the client holds, `key` the client's idempotency key; both
+        are None if the client sent none. Raises `Duplicate` or `Crowded` if it does not accept the request.
+        """
         ...
 
     def leave(self, request: str) -> None:
-        """Ends the request with this id because its client no longer waits for it."""
+        """Ends the request with this id without an answer: its client has disconnected or cancelled it."""
         ...
 
     def turned_away(self, cls: int) -> None:
-        """Counts a request of the class `cls` that the server refused without accepting it."""
+        """Counts a request of class number `cls` that the Thrift or HTTP server itself has refused."""
         ...
 
 
 class HandoverPeer(Protocol):
-    """Another process of this gateway that has taken over a client's connection, or has handed it over."""
+    """The other process in the handover of a client's connection between two processes of one gateway.
+
+    It is the next process, which has taken the connection over (`answer`), or the previous one, which has
+    handed it over and still serves requests that were open then (`forget`, `gone`).
+    """
 
     def answer(self, number: int, frame: bytes) -> None:
-        """Sends the response frame for a sequence number to the process that now holds the connection."""
+        """Sends a response frame for a sequence number to the next process, which passes it to the client."""
         ...
 
     def forget(self, number: int) -> None:
-        """Tells the previous process that the client has cancelled a request which is still open there."""
+        """Tells the previous process that the client has cancelled this sequence number, still open there."""
         ...
 
     def gone(self) -> None:
-        """Tells the previous process that the client has disconnected."""
+        """Tells the previous process that the client has disconnected, so that it ends all its requests."""
         ...
 
 
 @dataclass(frozen=True)
 class Handed:
-    """The state of a client's connection when it is handed over to another process."""
+    """The state of a client's Thrift connection when it is handed over to another process."""
 
-    last: int  # the highest sequence number so far
-    taken: int  # the number of valid requests
-    open: list[int]  # sequence numbers whose responses are still to come from another process
-    read: bytes  # received but not yet processed
-    unsent: bytes  # responses, or the rest of one, that the socket has not accepted
+    last: int  # the highest sequence number of a `serve` call so far
+    taken: int  # how many valid requests the connection has carried so far
+    open: list[int]  # sequence numbers whose responses the previous process still sends to the next one
+    read: bytes  # received from the client but not yet processed
+    unsent: bytes  # response bytes that the socket has not accepted yet
 
 
 class Client(Stream):
-    """One client's connection; subclasses call `update_group` whenever its set of open requests changes."""
+    """One client's connection. Its open requests are those that have been received and not answered yet.
+
+    Subclasses call `update_group` when the connection becomes idle (no open request) or busy.
+    """
 
     def __init__(self, front: Listener, sock: socket.socket, most_in: int, most_out: int) -> None:
         self.listener = front
         self.connected_at = front.loop.clock.now()
-        self.incomplete_since = 0  # when the still incomplete request began to arrive; 0 if there is none
-        self.answered = False
-        self.taken = 0  # the number of valid requests
+        self.incomplete_since = 0  # when the request now arriving began to arrive; 0 if none is
+        self.answered = False  # whether any response has been written
+        self.taken = 0  # how many valid requests the connection has carried so far
         self._client_address: int | None = None
-        self.lingers = False  # the sending side is closed; data that still arrives is read and discarded
+        self.lingers = False  # in a lingering close: data that still arrives is discarded
         super().__init__(front.loop, sock, most_in, most_out)
 
     def load(self) -> int:
-        """Returns the number of requests on this connection that have no response yet."""
+        """Returns the number of open requests: received on this connection and not answered yet."""
         raise NotImplementedError
 
     def client_address(self) -> int | None:
-        """Returns the client's IP address as a number, or None unless the listener identifies clients.
+        """Returns the client's IP address as a number, by which the retry storm guard identifies the client.
 
-        The port is left out, since a returning client comes from a new port.
+        The port is left out, since a returning client comes from a new port. Returns None if the guard is not
+        in use (`Listener.names` is False) or the client has disconnected already.
         """
         if self._client_address is None and self.listener.names:
             try:
@@ -112,14 +129,14 @@
         return self._client_address
 
     def write(self, data: bytes) -> None:
-        """Sends response bytes to the client."""
+        """Sends response bytes to the client and notes that the connection has had a response."""
         self.answered = True
         super().write(data)
 
     def read(self) -> None:
-        """Reads all available data before any of it is processed.
+        """Reads the available data (at most READS times) before any of it is processed.
 
-        The requests of a client that sends them and closes at once are therefore never started.
+        If the client has closed already, the connection is closed and the requests just read are not started.
         """
         if self.lingers:
             self._discard_input()
@@ -127,7 +144,7 @@
         still_open = True
         for _ in range(READS):
             if len(self.inbox) >= self.inbox.limit:
-                # The end of the stream may follow data that does not fit into the buffer now.
+                # The inbox is full, so a close by the client cannot be noticed by reading up to it.
                 still_open = not has_peer_closed(self.sock)
                 break
             try:
@@ -146,16 +163,19 @@
             self.process_inbox()
 
     def process_inbox(self) -> None:
-        """Calls `received` for the data read, and closes the connection if the buffer is still full then."""
+        """Calls `received` for the data read; closes the connection if the inbox is still full afterwards."""
         self.received()
         if self.open and len(self.inbox) >= self.inbox.limit:
             self.close(f"{len(self.inbox)} bytes that could not be parsed")
 
     def linger(self, why: str) -> None:
-        """Closes the sending side and waits for the client to close its own: lingering close, RFC 9112, 9.6.
+        """Closes the sending side and waits, at most LINGER_NS, for the client to close its own.
 
-        Closing with unread data would reset the connection, and the reset may destroy the last response. Data
-        read from now on crossed the close; the client sends it again, so it must not be processed here.
+        This is the lingering close of RFC 9112, section 9.6.
+
+        Closing a socket with unread data would reset the connection, and the reset may destroy the last
+        response before the client has read it. Data that arrives from now on was sent before the client knew
+        of the close; the client sends it again on another connection, so it must not be processed here.
         """
         if not self.open or self.lingers:
             return
@@ -181,7 +201,11 @@
                 return
 
     def resting(self) -> bool:
-        """Reads once more and returns whether no request is open, unsent or partly received."""
+        """Reads what has arrived, then returns whether the connection may be closed without loss.
+
+        That is: it is open and not lingering, no request is open, no response byte is unsent, and no request
+        has arrived in part.
+        """
         if self.open and not self.lingers:
             self.read()
         return (
@@ -193,7 +217,7 @@
         )
 
     def update_group(self) -> None:
-        """Reclassifies this connection in its listener."""
+        """Makes the listener classify this connection again, because it became idle or busy."""
         self.listener.classify(self)
 
     def closed(self, why: str) -> None:
@@ -201,11 +225,11 @@
 
 
 class Listener:
-    """Accepts up to `max_clients` connections; subclasses create the stream of each.
+    """Accepts up to `max_clients` connections; subclasses create a `Client` for each.
 
-    At the limit, a new client replaces the connection that is least likely to be needed; if all connections
-    have open requests, the new one is closed. This guards against hundreds of connections that send nothing,
-    or send one request and stay open.
+    At that limit, one connection without an open request is closed for a new client, in the order given at
+    `make_room`; if all connections have open requests, the new one is closed. This guards against hundreds of
+    connections that send nothing, or send one request and stay open.
     """
 
     def __init__(
@@ -222,9 +246,11 @@
         sock: socket.socket | None = None,
     ) -> None:
         """`classes` maps the name of a request class to its number and whether it writes. `wait_ns` is the
-        retry delay sent with a refusal, and `max_unread_bytes` limits unread responses over all clients.
+        retry delay sent when the server itself refuses a request. `max_unread_bytes` limits the response
+        bytes that all clients together have not accepted yet.
 
-        `sock` is a socket that listens already, possibly also in another process, and replaces `address`.
+        `shared` lets other processes listen at `address` (SO_REUSEPORT). `sock` is a socket that listens
+        already, possibly also in another process, and is used in place of `address`.
         """
         self.loop, self.core, self.classes = loop, core, classes
         self.wait_ns, self.log, self._most, self._max_unread_bytes = (
@@ -234,10 +260,12 @@
             max_unread_bytes,
         )
         self.clients: set[Client] = set()
-        self._new_clients: dict[Client, int] = {}  # clients without any response and without an open request
-        # Idle clients that have had a response, with the start of their idle time, the longest idle first.
-        # Clients with a single request are kept apart: a crowd of them would otherwise displace regular
-        # clients, whose reconnections would add to the crowd.
+        # Clients that have had no response and have no open request, with the time at which they connected.
+        self._new_clients: dict[Client, int] = {}
+        # Idle clients (with a response and without an open request) and the time since which they are idle,
+        # the longest idle first. Clients that have sent only one valid request are kept apart and closed
+        # first: a crowd of them would otherwise displace regular clients, whose reconnections would add to
+        # the crowd.
         self._single_request_clients: dict[Client, int] = {}
         self._idle_clients: dict[Client, int] = {}
         self._sock = listen(address, shared) if sock is None else sock
@@ -245,14 +273,16 @@
         self.port: int = self._sock.getsockname()[1]
         self._closed = self._paused = False
         self._lingering: dict[Client, None] = {}  # connections in a lingering close, the oldest first
-        # True while clients shall move to another gateway: each connection is closed once it is idle.
+        # True while clients shall move to another gateway: each connection is closed when it has no open
+        # request.
         self.draining = False
-        self.names = False  # whether requests carry the identity of their client
+        # Whether each request event carries its client's IP address, which the retry storm guard needs.
+        self.names = False
         loop.watch(self._sock, READ, self._accept)
         loop.after(SWEEP_NS, self._sweep)
 
     def client(self, sock: socket.socket) -> Client:
-        """Creates the stream of an accepted connection."""
+        """Creates the `Client` for an accepted connection, as the protocol (Thrift or HTTP) needs it."""
         raise NotImplementedError
 
     def _accept(self, mask: int) -> None:
@@ -263,7 +293,7 @@
                 return
             except ConnectionError:  # the client disconnected before the accept
                 continue
-            except OSError as error:  # out of descriptors
+            except OSError as error:  # mostly out of file descriptors
                 self.log("accept_failed", why=str(error))
                 if not self.make_room():
                     self._pause()
@@ -280,9 +310,10 @@
             self.classify(client)
 
     def _pause(self) -> None:
-        """Stops accepting for ACCEPT_RETRY_NS, so that new connections wait in the backlog.
+        """Stops accepting for ACCEPT_RETRY_NS; new connections wait in the listening socket's backlog.
 
-        Guards against a loop that only fails to accept while the work that would free a descriptor waits.
+        Called when no file descriptor is free. Guards against an event loop that fails to accept in every
+        turn, while the work that would free a file descriptor is delayed.
         """
         self.loop.forget(self._sock)
         self._paused = True
@@ -294,17 +325,20 @@
             self.loop.watch(self._sock, READ, self._accept)
 
     def fileno(self) -> int:
-        """Returns the descriptor of the listening socket, for sharing with another process; -1 if closed."""
+        """Returns the listening socket's descriptor, which another process may share; -1 if it is closed."""
         return self._sock.fileno()
 
     def limit(self, max_clients: int, max_unread_bytes: int) -> None:
-        """Sets new limits on clients and on unread response bytes; closes idle clients above the limit."""
+        """Applies new limits on clients and on unsent response bytes over all clients.
+
+        Connections above the limit on clients are closed if they have no open request.
+        """
         self._most, self._max_unread_bytes = max_clients, max_unread_bytes
         while len(self.clients) > max_clients and self.make_room():
             pass
 
     def no_more(self) -> None:
-        """Stops accepting; another process that shares the socket continues to accept all clients."""
+        """Closes the listening socket; a process that shares it continues to accept clients from it."""
         if self._sock.fileno() >= 0:
             if not self._paused:
                 self.loop.forget(self._sock)
@@ -312,9 +346,9 @@
             self._sock.close()
 
     def drain(self, draining: bool) -> None:
-        """Starts or stops draining, in which each connection is closed as soon as no request is open on it.
+        """Starts or stops draining: while it lasts, each connection is closed once it has no open request.
 
-        New connections are still served, since their clients have not learned of the drain yet.
+        New connections are still accepted and served, since their clients do not know of the drain yet.
         """
         self.draining = draining
         if draining:
@@ -326,7 +360,10 @@
             client.linger("draining")
 
     def classify(self, client: Client) -> None:
-        """Puts a client into the group that matches its open requests and its history."""
+        """Puts a client without an open request into one of three groups, from which `make_room` chooses.
+
+        The groups are: no response yet, one valid request, several. A client with an open request is in none.
+        """
         self._remove_from_groups(client)
         if client.open and not client.lingers and not client.load():
             if self.draining:
@@ -346,21 +383,23 @@
         self._idle_clients.pop(client, None)
 
     def mark_lingering(self, client: Client) -> None:
-        """Records that a client's connection is in a lingering close."""
+        """Called when a client's lingering close begins; `make_room` closes such connections first."""
         self._remove_from_groups(client)
         self._lingering[client] = None
 
     def remove_client(self, client: Client) -> None:
-        """Removes a client whose connection is closed or belongs to another process now."""
+        """Stops counting a client, whose connection is closed or has been handed over to another process."""
         self._remove_from_groups(client)
         self._lingering.pop(client, None)
         self.clients.discard(client)
 
     def make_room(self) -> bool:
-        """Closes one connection and returns whether there was one to close.
+        """Closes one connection to free its place; returns False if there was none to close.
 
-        Lingering connections are closed first, then those without any request, then the longest idle ones.
-        Connections that are new, or idle, for less than MIN_EVICTION_AGE_NS come last.
+        The order is: connections in a lingering close; those without any response; those idle after one valid
+        request; other idle ones, each time the oldest first. Connections that are new, or idle, for less than
+        MIN_EVICTION_AGE_NS come last; among these, new ones come after idle ones. Those with open requests
+        are never closed.
         """
         for client in self._lingering:
             client.close("replaced by another client")
@@ -375,17 +414,21 @@
         ):
             for group in groups:
                 for client in list(islice((c for c, idle_since in group.items() if idle_since <= cutoff), 8)):
-                    if client.resting():  # otherwise a request of the client has just arrived
+                    if client.resting():  # False if a request of the client has just arrived
                         client.close("replaced by another client")
                     if not client.open:
                         return True
         return False
 
     def _sweep(self) -> None:
-        """Closes connections without a request, with an incomplete request, or idle for too long."""
+        """Every SWEEP_NS, closes connections that have exceeded a timeout.
+
+        The timeouts are FIRST_NS without a request, the two for an incomplete request, and IDLE_NS. If unsent
+        response bytes exceed their limit, the clients with the most of them are closed as well.
+        """
         if self._closed:
             return
-        self.loop.after(SWEEP_NS, self._sweep)  # first, so that a fault below does not end the sweeps
+        self.loop.after(SWEEP_NS, self._sweep)  # first, so that an exception below does not end the sweeps
         now, unread = self.loop.clock.now(), 0
         for client in list(self.clients):
             partial_ns = now - client.incomplete_since if client.incomplete_since else 0
@@ -402,7 +445,7 @@
                 and client.resting()
             ):
                 client.linger("idle")
-        # Clients that do not read must not use up the memory of the others.
+        # Guards against clients that do not read their responses, which wait in memory until then.
         while unread > self._max_unread_bytes:
             slowest = max(self.clients, key=lambda c: len(c.outbox))
             unread -= len(slowest.outbox)
@@ -410,14 +453,14 @@
             slowest.close("does not read")
 
     def flushed(self) -> bool:
-        """Returns whether every response has been sent."""
+        """Returns whether the sockets have accepted all response bytes written so far."""
         return not any(len(c.outbox) for c in self.clients)
 
     def retire(self) -> None:
         """Prepares for the end of the process.
 
-        Connections in the backlog are accepted, further ones are not, and each connection is closed as soon
-        as no request is open on it.
+        Accepts the connections that wait in the listening socket's backlog, then closes that socket. Each
+        connection is closed as soon as it has no open request.
         """
         if not self._closed and not self._paused and self._sock.fileno() >= 0:
             self._accept(READ)
@@ -425,7 +468,7 @@
         self.drain(True)
 
     def close(self) -> None:
-        """Stops accepting and closes all connections at once."""
+        """Closes the listening socket and all client connections at once, also those with open requests."""
         self._closed = True
         self.no_more()
         for client in list(self.clients):
--- a/olivecourse/fronts/signed.py
+++ b/olivecourse/fronts/signed.py
@@ -1,4 +1,5 @@
-"""The HTTP server, for signed links and Bearer tokens. It translates between HTTP and the request core.
+"""The HTTP server, for signed links and Bearer tokens. It translates HTTP requests for the request core (the
+ledger) and its answers into HTTP responses. A write is called an order; its Bearer token permits one write.
 
 GET  /CLASS/OBJECT/PART?shard=G&kb=SIZE&URISigningPackage=TOKEN    a read
 POST /CLASS/OBJECT/PART?shard=G                                    a write, with an Authorization header
@@ -23,8 +24,8 @@
 from olivecourse.net.loop import Loop
 
 MS = 1_000_000
-MAX_HEAD_BYTES = 16_384
-MAX_PIPELINED_REQUESTS = 8  # pipelined requests that wait for the response to the previous one
+MAX_HEAD_BYTES = 16_384  # of a request's target, header names and header values together
+MAX_PIPELINED_REQUESTS = 8  # per connection, that wait until the requests before them are answered
 REASONS = {
     200: "OK",
     304: "Not Modified",
@@ -41,7 +42,7 @@
 
 
 class HttpRequest:
-    """One HTTP request as parsed."""
+    """One HTTP request, filled in as the parser reads it; header names are in lower case."""
 
     def __init__(self) -> None:
         self.method, self.target, self.keep_alive = "", b"", True
@@ -52,13 +53,16 @@
 
 
 class SignedReply:
-    """Sends the one response to a request; `mark` identifies the order token that the request has used up."""
+    """Sends the one response to a request over HTTP.
+
+    `mark` identifies the order token that a write has used up (see `Tokens.check_order`), None for a read.
+    """
 
     def __init__(self, client: SignedClient, keep_alive: bool, mark: str | None) -> None:
         self._client, self._keep_alive, self.mark = client, keep_alive, mark
 
     def served(self, body: bytes, tag: str | None, same: bool) -> None:
-        """Sends the object, or a 304 if the client's copy is the same."""
+        """Sends a 200, or a 304 if the client's copy is current (`same`); `tag` becomes the ETag."""
         headers = [f'ETag: "{tag}"'] if tag else []
         if same:
             self._client.answer(304, b"", headers, self._keep_alive)
@@ -68,7 +72,10 @@
             )
 
     def refused(self, wait_ns: int) -> None:
-        """Sends a 503 with Retry-After and makes the order token usable again."""
+        """Sends a 503 with `wait_ns` as Retry-After in whole seconds (at least 1).
+
+        Makes the order token of a write valid again, since the write has not run.
+        """
         if self.mark is not None:
             self._client.front.tokens.spent.release(self.mark)
         self._client.answer(
@@ -76,17 +83,17 @@
         )
 
     def failed(self, late: bool) -> None:
-        """Sends a 504 if the request was `late`, else a 502."""
+        """Sends a 504 if the request's deadline was reached (`late`), else a 502."""
         self._client.answer(504 if late else 502, b"", [], self._keep_alive)
 
     def look(self) -> None:
-        """Reads from the client, to notice whether it has disconnected."""
+        """Reads from the client's connection; if the client has disconnected, its request is ended."""
         if self._client.open:
             self._client.read()
 
 
 class SignedClient(Client):
-    """One client's HTTP connection, which answers its requests one after another."""
+    """One client's HTTP connection; pipelined requests are served one after another."""
 
     def __init__(self, front: SignedFront, sock: socket.socket) -> None:
         self.front = front
@@ -103,20 +110,21 @@
     # Callbacks of the httptools parser ---------------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        """Called at the start of a request."""
+        """Called by the parser at the start of a request; starts the timeout for its arrival."""
         self.http_request = HttpRequest()
         self.incomplete_since = self.loop.clock.now()
 
     def on_url(self, part: bytes) -> None:
-        """Called with each part of the request target."""
+        """Called by the parser with each part of the request target."""
         self.http_request.target += part
         self._count_head_bytes(len(part))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Called with each header."""
+        """Called by the parser with each header; notes a repeated header that must be unique."""
         self._count_head_bytes(len(name) + len(value))
         key = name.decode("latin-1").lower()
-        # It is ambiguous which of two Authorization, Host or If-None-Match headers applies.
+        # Of two Authorization, Host or If-None-Match headers, it is ambiguous which applies; such a request
+        # is refused by `parse_request`.
         self.http_request.has_duplicate_header |= key in self.http_request.headers and key in (
             "authorization",
             "host",
@@ -125,12 +133,16 @@
         self.http_request.headers[key] = value.decode("latin-1").strip()
 
     def on_body(self, part: bytes) -> None:
-        """Called with each part of the body; a body above the limit is cut there and refused later."""
+        """Called by the parser with each part of the body.
+
+        When the body exceeds MAX_WRITE_BYTES, further parts are dropped; `parse_request` then refuses the
+        request.
+        """
         if len(self.http_request.body) <= MAX_WRITE_BYTES:
             self.http_request.body += part
 
     def on_message_complete(self) -> None:
-        """Called at the end of a request."""
+        """Called by the parser at the end of a request, which then waits in the queue for its turn."""
         self.http_request.method = self.parser.get_method().decode("ascii")
         self.http_request.keep_alive = self.parser.should_keep_alive()
         if len(self.queue) >= MAX_PIPELINED_REQUESTS:
@@ -218,7 +230,11 @@
             reply.refused(self.front.wait_ns)
 
     def answer(self, status: int, body: bytes, headers: list[str], keep_alive: bool) -> None:
-        """Sends the response to the current request and goes on with the next one, or closes."""
+        """Sends the response to the current request.
+
+        With `keep_alive`, the next queued request starts in a later turn; otherwise the connection is closed
+        once the response is sent.
+        """
         self.open_request = None
         self.busy = False
         lines = [f"HTTP/1.1 {status} {REASONS[status]}", *headers]
@@ -248,7 +264,7 @@
 
 
 class SignedFront(Listener):
-    """The listener for HTTP clients."""
+    """The listener for HTTP clients, with the checks of their signed links and tokens."""
 
     def __init__(
         self,
@@ -264,9 +280,13 @@
         max_unread_bytes: int,
         log: Callable[..., None],
     ) -> None:
-        """`deadlines_ms` are the default deadlines by class; `public` is the prefix of signed URIs."""
+        """`deadlines_ms` lists by class number the deadline of a request without a Request-Timeout-Ms header.
+
+        `public` is the scheme and host with which clients see this server; the URI that a token permits is
+        `public` followed by the request target. The other parameters are those of `Listener`.
+        """
         self.tokens, self._deadlines, self._public = tokens, deadlines_ms, public.rstrip("/")
-        self.recording = 0  # writes whose tokens are being recorded on disk
+        self.recording = 0  # writes that wait until their order tokens are recorded on disk
         super().__init__(loop, address, core, classes, wait_ns, max_clients, max_unread_bytes, log)
 
     def client(self, sock: socket.socket) -> Client:
@@ -280,7 +300,8 @@
     ) -> tuple[SignedReply, w.Request, bytes, str | None]:
         """Parses an HTTP request and checks its token; raises BadRequest or Rejected.
 
-        The token is not checked again while the request is served.
+        Returns the reply object, the request event, the body and the version tag of the client's copy (None
+        if it sent none). The token is not checked again while the request is served.
         """
         try:
             target = http_request.target.decode("ascii")
@@ -303,7 +324,7 @@
             raise BadRequest("unknown class")
         if http_request.method != ("POST" if write else "GET"):
             raise BadRequest("orders are POSTed, all else is read by GET")
-        if "shard" not in query:  # without the group, a purge of that group would miss the request
+        if "shard" not in query:  # the purge group; without it, a purge of the group would miss this request
             raise BadRequest("shard is missing")
         fields = {
             "c": name,
@@ -324,9 +345,10 @@
         return SignedReply(client, http_request.keep_alive, mark), request_event, body, holds
 
     def _check(self, http_request: HttpRequest, uri: str, write: bool) -> str | None:
-        """Raises Rejected unless a token permits this request.
+        """Raises Rejected unless the request's token permits a read, or a write (`write`), of `uri`.
 
-        Returns the mark of the order token that a write has used up, or None for a read.
+        Returns the mark of the order token that a write has used up (see `Tokens.check_order`), or None for
+        a read.
         """
         scheme, _, bearer = http_request.headers.get("authorization", "").partition(" ")
         if write:
--- a/olivecourse/fronts/thrift.py
+++ b/olivecourse/fronts/thrift.py
@@ -1,4 +1,7 @@
-"""The Thrift server (framed transport, strict binary protocol), which translates for the request core."""
+"""The Thrift server (framed transport, strict binary protocol).
+
+It translates calls of `serve` into requests for the request core (the ledger), and its answers into frames.
+"""
 
 from __future__ import annotations
 
@@ -32,16 +35,21 @@
 from olivecourse.net.ringbuf import BufferFull
 
 MS = 1_000_000
-MAX_WRITE_BYTES = 48_000
-MOST_OPEN = 32
-# Frames of one client that are processed in one turn: a flood on one connection must not delay the others.
+MAX_WRITE_BYTES = 48_000  # largest body of a write
+MOST_OPEN = 32  # requests open at a time on one connection; further ones are refused
+# Frames of one client that are processed in one turn of the event loop: a flood on one connection must not
+# delay the others.
 MOST_FRAMES = 2 * MOST_OPEN
-MAX_UNREAD_BYTES = 8 * 2**20  # bytes, for 32 unread responses of the largest size
-# A client's timeout starts when it sends, and a request takes up to this long to arrive. The duration of the
-# previous turn is subtracted as well, since the request may have waited unread for as long.
+# Response bytes that may wait for one client to read them, enough for 32 responses of the largest size; a
+# client that lets more of them wait is closed.
+MAX_UNREAD_BYTES = 8 * 2**20
+# Subtracted from the timeout that a client gives with its request: the client's timer starts when it sends,
+# and the request takes up to this long to arrive. The duration of the event loop's previous turn is
+# subtracted as well, since the request may have waited unread for as long.
 TRANSIT_ALLOWANCE_NS = 15 * MS
-ID = re.compile(r"[0-9a-f]{16}")
-TAG = re.compile(r"[0-9A-Za-z_.-]{1,64}")
+ID = re.compile(r"[0-9a-f]{16}")  # the ids of requests and of objects
+TAG = re.compile(r"[0-9A-Za-z_.-]{1,64}")  # version tags and idempotency keys
+# The request's flags by (whether the client marks it as a repeat, whether its class writes).
 FLAGS = {
     (False, False): w.Flag(0),
     (True, False): w.Flag.REPEAT,
@@ -51,7 +59,7 @@
 
 
 class BadRequest(ValueError):
-    """The fields do not form a valid request; the message gives a short reason."""
+    """A client's fields do not form a valid request; the message is a short reason, sent to the client."""
 
 
 def read_request(
@@ -59,7 +67,9 @@
 ) -> tuple[w.Request, bytes, str | None, str | None]:
     """Translates the fields of a client's request; raises BadRequest with a short reason.
 
-    Returns the request event, the body, the tag of the client's copy and the idempotency key.
+    `classes` maps the name of a request class to its number and whether it writes; `lag_ns` is `Loop.lag_ns`.
+    Returns the request event, the body, the version tag of the client's copy and the idempotency key; the
+    last two are None if the client sent none.
     """
     if not isinstance(fields, dict):
         raise BadRequest("no fields")
@@ -99,7 +109,10 @@
 
 
 class ThriftReply:
-    """Sends the one response to a sequence number of a client's connection."""
+    """Sends the one response to the `serve` call with the sequence number `number` of a client's connection.
+
+    If the connection has been handed over, the response goes to the process that now holds it.
+    """
 
     __slots__ = ("_client", "_number")
 
@@ -107,20 +120,20 @@
         self._client, self._number = client, number
 
     def served(self, body: bytes, tag: str | None, same: bool) -> None:
-        """Sends the object, or only the field `still` if the client's copy is the same."""
+        """Sends the body, or only the field `still` if the client's copy is current (`same`)."""
         fields = {"still": "1"} if same else {}
         self._send(answer_frame(self._number, b"" if same else body, fields))
 
     def refused(self, wait_ns: int) -> None:
-        """Sends the exception Backoff with the retry delay, if there is one."""
+        """Sends the exception Backoff, with the retry delay in its field `w` (ms) unless `wait_ns` is 0."""
         self._send(refusal_frame(self._number, True, {"w": str(wait_ns // MS)} if wait_ns > 0 else {}))
 
     def failed(self, late: bool) -> None:
-        """Sends the exception Lost."""
+        """Sends the exception Lost, whether the request's deadline was reached (`late`) or not."""
         self._send(refusal_frame(self._number, False, {}))
 
     def look(self) -> None:
-        """Reads from the client, to notice whether it has disconnected."""
+        """Reads from the client's connection, unless it was handed over, to notice whether it is closed."""
         if self._client.open and self._client.successor is None:
             self._client.read()
 
@@ -141,21 +154,22 @@
     def __init__(self, front: ThriftFront, sock: socket.socket) -> None:
         self.front = front
         self.open_requests: dict[int, str] = {}  # ids of the open requests by sequence number
-        self.last = 0  # the highest sequence number so far
+        self.last = 0  # the highest sequence number of a `serve` call so far
         self.successor: HandoverPeer | None = None  # the process that has taken over the connection
         self.predecessor: HandoverPeer | None = None  # the process that has handed the connection over
-        # The sequence numbers whose responses come from the previous process.
+        # The sequence numbers whose requests the previous process still serves and whose responses it sends.
         self.predecessor_numbers: set[int] = set()
-        self.frames_pending = False  # complete frames are left for the next turn
+        self.frames_pending = False  # frames are left in the inbox for the next turn
         super().__init__(front, sock, MAX_FRAME_BYTES + 4, MAX_UNREAD_BYTES)
 
     def load(self) -> int:
         return len(self.open_requests) + len(self.predecessor_numbers)
 
     def hand_over(self, successor: HandoverPeer) -> Handed:
-        """Hands the connection over to another process; the caller passes the descriptor on and closes it.
+        """Stops reading and returns the state with which another process continues the connection.
 
-        Responses to the requests that are open here are sent through `successor`.
+        The caller passes the socket's file descriptor to that process and closes it here. Responses to
+        requests that are open here are sent through `successor`.
         """
         self.successor = successor
         self.detach()
@@ -169,7 +183,7 @@
         )
 
     def take_over(self, state: Handed, predecessor: HandoverPeer) -> None:
-        """Continues a connection that another process has handed over."""
+        """Continues a connection that the process `predecessor` has handed over in the given state."""
         self.last, self.taken, self.predecessor_numbers, self.predecessor = (
             state.last,
             state.taken,
@@ -182,7 +196,7 @@
         if state.read and self.open:
             try:
                 self.inbox.write(state.read)
-            except BufferFull as overflow:  # the other process had a larger limit
+            except BufferFull as overflow:  # if the previous process allowed a larger inbox
                 self.close(str(overflow))
                 return
             self.read()  # the client may have disconnected during the handover
@@ -190,7 +204,9 @@
             self.update_group()
 
     def from_elder(self, number: int, frame: bytes) -> None:
-        """Passes on the response that the previous process sends for a sequence number."""
+        """Passes on a response that the previous process sends: to the client, or to the next process if the
+        connection has been handed over again.
+        """
         if number not in self.predecessor_numbers:
             return
         self.predecessor_numbers.discard(number)
@@ -202,12 +218,14 @@
             self.update_group()
 
     def elder_lost(self) -> None:
-        """Fails the requests of a previous process that has ended, since they may have run there."""
+        """Answers Lost to the open requests of a previous process that has ended, as they may have run."""
         for number in list(self.predecessor_numbers):
             self.from_elder(number, refusal_frame(number, False, {}))
 
     def from_heir(self, number: int | None) -> None:
-        """Cancels a sequence number, or all if None, for a client whose connection the next process holds."""
+        """Cancels a sequence number, or all if it is None, because the next process reports that the client
+        has cancelled it, or has disconnected.
+        """
         for open_number in (
             [number] if number is not None else [*self.open_requests, *self.predecessor_numbers]
         ):
@@ -239,7 +257,7 @@
             super().process_inbox()
 
     def _continue(self) -> None:
-        """Processes the frames left by the previous turn, after a read that notices a disconnected client."""
+        """Processes the frames left by the previous turn, after a read that notices if the client is gone."""
         self.frames_pending = False
         if self.open and not self.lingers:
             self.read()
@@ -248,7 +266,7 @@
         return self.loop.clock.now()
 
     def _process_frames(self) -> int:
-        """Processes up to MAX_FRAMES_PER_TURN complete frames from the inbox and returns their number."""
+        """Processes up to MOST_FRAMES complete frames from the inbox and returns their number."""
         processed = 0
         while self.open and processed < MOST_FRAMES and len(self.inbox) >= 4:
             size = int.from_bytes(self.inbox.peek(4), "big")
@@ -262,7 +280,7 @@
             frame = self.inbox.take(size)
             try:
                 name, kind, number, args = decode(frame, METHODS)
-            except Exception as error:  # malicious bytes can cause any exception in the codec
+            except Exception as error:  # malicious bytes can cause any exception in the Thrift library
                 self._reject_frame(f"unreadable frame: {type(error).__name__}")
                 break
             self._call(name, kind, number, args)
@@ -290,7 +308,8 @@
 
     def _serve(self, number: int, args: ServeArgs) -> None:
         if number <= self.last:
-            # Guards against two responses with one sequence number, which the client could not tell apart.
+            # Sequence numbers must rise on a connection: a client could not tell apart two responses with one
+            # number.
             self._reject_frame("sequence number not above the last")
             return
         self.last = number
@@ -337,7 +356,7 @@
 
 
 class ThriftFront(Listener):
-    """The listener for Thrift clients."""
+    """The listener for Thrift clients; `is_healthy` gives the result of the health check `isWell`."""
 
     def __init__(
         self,
@@ -362,9 +381,9 @@
         return ThriftClient(self, sock)
 
     def adopt(self, sock: socket.socket, state: Handed, predecessor: HandoverPeer) -> ThriftClient:
-        """Takes over a client's connection from another process.
+        """Takes over a client's connection, in the given state, from the process `predecessor`.
 
-        The limit on clients does not apply, since the other process has accepted the client already.
+        `max_clients` does not apply, since the previous process has accepted the client already.
         """
         client = ThriftClient(self, sock)
         self.clients.add(client)
--- a/olivecourse/fronts/tokens.py
+++ b/olivecourse/fronts/tokens.py
@@ -1,7 +1,8 @@
 """Issues and checks signed links (RFC 9246, URI Signing) and Bearer tokens (RFC 6750).
 
-A token is checked once, when its request is accepted. An error names the kind of fault only: no content of a
-token or a key appears in a log line or a response.
+A signed link carries a token that permits reads. A write needs an order token: a Bearer token that permits
+one write and is recorded as used. A token is checked once, when its request is accepted. An error names the
+kind of fault only: no content of a token or a key appears in a log line or a response.
 """
 
 from __future__ import annotations
@@ -19,16 +20,19 @@
 import jwt
 import re2
 
-PACKAGE = "URISigningPackage"
-ALGORITHMS = ("ES256", "ES384", "EdDSA", "HS256")  # the allowed ones; each key is bound to one of them
-MAX_TOKEN_LENGTH, MAX_CONTAINER_LENGTH = 4096, 1024
-MAX_ORDER_TOKEN_LIFETIME_S = 900  # a used order token must be remembered for at least this long
-MOST_SPENT = 65_536
+PACKAGE = "URISigningPackage"  # the query parameter of a signed link that holds the token
+ALGORITHMS = ("ES256", "ES384", "EdDSA", "HS256")  # permitted signatures; each key names one of them
+MAX_TOKEN_LENGTH, MAX_CONTAINER_LENGTH = 4096, 1024  # characters; the second is for a regex container
+# Longest time from issue to expiry of an order token, since a used one must be remembered until it has
+# expired.
+MAX_ORDER_TOKEN_LIFETIME_S = 900
+MOST_SPENT = 65_536  # used order tokens that are remembered; above it, writes get a 503
+# The claims that a token may list as critical (`cdnicrit`); one that lists any other is rejected.
 KNOWN_CRITICAL = {"cdniv", "cdniuc", "exp", "nbf", "iat", "iss", "jti", "aud", "sub"}
 
 
 class Rejected(Exception):
-    """A token does not permit the request; holds the HTTP status to respond with and a short reason."""
+    """Raised if a request is not permitted by its token; holds the HTTP status to send and a short reason."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -36,12 +40,12 @@
 
 
 class BadKeys(ValueError):
-    """A key file cannot be used."""
+    """Raised if the file with the keys cannot be read or has an invalid key; the message names the file."""
 
 
 @dataclass(frozen=True)
 class Key:
-    """A key with its id, its issuer and its only permitted algorithm."""
+    """A key that verifies or signs tokens, with its id, issuer and only permitted algorithm."""
 
     issuer: str
     kid: str
@@ -50,9 +54,9 @@
 
 
 def read_keys(path: str) -> dict[str, Key]:
-    """Reads keys by key id from a file {issuer: {"keys": [JWK, ...]}}; raises BadKeys.
+    """Reads keys from a JSON file {issuer: {"keys": [JWK, ...]}} and returns them by key id; raises BadKeys.
 
-    Each JWK must have a `kid` and an `alg`.
+    Each JWK (JSON Web Key) must have a `kid`, unique in the file, and an `alg` from ALGORITHMS.
     """
     keys_by_id: dict[str, Key] = {}
     try:
@@ -77,7 +81,10 @@
 
 
 def split_package(uri: str) -> tuple[str, str | None]:
-    """Splits a signed URI into the URI before signing and its token, if any; Rejected if there are two."""
+    """Splits a signed URI into the URI without the token, and the token, or None if it has none.
+
+    Raises Rejected if it has several.
+    """
     parts = urlsplit(uri)
     remaining, tokens = [], []
     for pair in parts.query.split("&") if parts.query else ():
@@ -92,13 +99,13 @@
 
 
 def hash_container(uri: str) -> str:
-    """Returns the URI container in hash form that matches exactly this URI."""
+    """Returns a URI container (RFC 9246: the claim for the URIs that a token permits) for just this URI."""
     digest = base64.urlsafe_b64encode(hashlib.sha256(uri.encode()).digest()).rstrip(b"=").decode()
     return f"hash:sha-256;{digest}"
 
 
 def contains(container: str, uri: str) -> bool:
-    """Returns whether a URI container (RFC 9246) in hash or regex form matches the URI."""
+    """Returns whether a token's URI container (RFC 9246), in hash or regex form, matches the URI."""
     form, _, value = container.partition(":")
     if form == "hash":
         return container == hash_container(uri)
@@ -106,43 +113,49 @@
         return False
     options = re2.Options()
     options.posix_syntax, options.log_errors, options.never_capture = True, False, True
-    try:  # RE2 runs in linear time, so a costly expression in a valid token cannot block the loop
+    try:  # RE2 runs in linear time, so no expression in a valid token can block the event loop
         return re2.compile(value, options).fullmatch(uri) is not None
     except re2.error:
         return False
 
 
 class SpentTokens(Protocol):
-    """A record of the order tokens that have been used."""
+    """The record of used order tokens, each named by its mark (issuer and token id)."""
 
-    covered_since: float  # Unix time in seconds; tokens used before it may be forgotten
+    covered_since: float  # Unix time in seconds; the record may lack tokens that were used before it
 
     def spend(self, name: str, exp: float, now_s: float) -> None:
-        """Marks a token as used; raises Rejected if it was used before or cannot be recorded."""
+        """Records the token with the mark `name` as used; raises Rejected if it was already, or cannot be.
+
+        `exp` is the token's expiry and `now_s` the present time, both in Unix seconds.
+        """
 
     def release(self, name: str) -> None:
-        """Makes a token usable again, as its write has not run."""
+        """Removes a token from the record, so that it permits a write again, since its write has not run."""
 
     def when_durable(self, name: str, call: Callable[[bool], object]) -> bool:
-        """Returns whether the token is recorded durably, so that the write may be sent.
+        """Returns whether the token's use is already recorded durably, so that its write may be sent at once.
 
-        Otherwise `call` is called later, with whether the token could be recorded.
+        If not, `call` is called later with True if the use has been recorded, or False if that has failed.
         """
 
 
 class InMemorySpentTokens:
-    """A record in memory for one run of a gateway, which accepts only tokens issued after its start."""
+    """A record of used order tokens in memory, which is lost at the end of the process.
+
+    `started` is therefore the time from which it covers: only order tokens issued after it are accepted.
+    """
 
     def __init__(self, started: float, leeway_s: float) -> None:
         self.covered_since, self._leeway_s = started, leeway_s
-        self._spent: dict[str, float] = {}  # used tokens, with the Unix time at which each has expired
+        self._spent: dict[str, float] = {}  # by mark: the Unix time from which a used token is expired
 
     def spend(self, name: str, exp: float, now_s: float) -> None:
         if name in self._spent:
             raise Rejected(401, "used already")
         if len(self._spent) >= MOST_SPENT:
             self._spent = {k: until for k, until in self._spent.items() if until > now_s}
-            if len(self._spent) >= MOST_SPENT:  # a forgotten token could be used again
+            if len(self._spent) >= MOST_SPENT:  # none is forgotten early, or it could be used again
                 raise Rejected(503, "too many orders")
         self._spent[name] = exp + self._leeway_s + 1
 
@@ -154,7 +167,10 @@
 
 
 class Tokens:
-    """Checks tokens for one gateway, by its keys and its record of used order tokens."""
+    """Checks tokens for the gateway named `gateway`, by its keys and its record of used order tokens.
+
+    `leeway_s` is the clock difference in seconds that is allowed between the issuer and this gateway.
+    """
 
     def __init__(
         self,
@@ -203,9 +219,10 @@
         return claims
 
     def _check_times(self, claims: dict[str, Any], status: int) -> None:
-        """Checks the times of a token by the gateway's own clock; the library knows only the system clock.
+        """Checks the expiry, start and issue time of a token by `clock`; raises Rejected with this status.
 
-        Tests move this clock, also to simulate gateways with clock skew.
+        The JWT library would use the system clock only. Tests move `clock`, also to simulate gateways with
+        clock skew.
         """
         now = self._clock()
         times = {n: claims[n] for n in ("exp", "nbf", "iat") if claims.get(n) is not None}
@@ -217,7 +234,7 @@
             raise Rejected(status, "not yet valid")
 
     def check_link(self, uri: str) -> str:
-        """Returns the URI without its token if the token permits a read of it; else raises Rejected."""
+        """Returns a signed link's URI without the token; raises Rejected if the token does not permit it."""
         unsigned_uri, token = split_package(uri)
         if token is None:
             raise Rejected(401, "no token")
@@ -225,7 +242,7 @@
         return unsigned_uri
 
     def check_bearer(self, token: str, uri: str) -> None:
-        """Raises Rejected unless the token from the Authorization header permits a read of this URI."""
+        """Raises Rejected unless the Bearer token `token` of a request permits a read of this URI."""
         self._check_container(self._claims(token, 401, ["cdniuc", "exp"], None), uri)
 
     @staticmethod
@@ -235,20 +252,26 @@
         critical = claims.get("cdnicrit", "")
         if not isinstance(critical, str) or set(critical.split(",")) - KNOWN_CRITICAL - {""}:
             raise Rejected(403, "unknown critical claim")
-        # Neither claim is implemented, and to ignore them would permit more than the issuer intended.
+        # The claims cdniip (the client's IP address) and cdnistt (a token renewed with each response) are not
+        # implemented, and to ignore them would permit more than the issuer intended.
         if claims.get("cdniip") is not None or claims.get("cdnistt", 0) != 0:
             raise Rejected(403, "claim not supported")
         if not isinstance(claims["cdniuc"], str) or not contains(claims["cdniuc"], uri):
             raise Rejected(403, "not for this URI")
 
     def check_order(self, token: str, uri: str) -> str:
-        """Uses up an order token and returns its mark; the same token never permits a second write."""
+        """Checks an order token for a write of this URI and marks it as used; raises Rejected.
+
+        Returns its mark (issuer and token id). The token permits another write only after
+        `SpentTokens.release`.
+        """
         claims = self._claims(token, 401, ["exp", "iat", "jti", "aud", "cdniuc"], self.gateway)
         self._check_container(claims, uri)
         now, jti = self._clock(), claims["jti"]
         if not isinstance(jti, str) or not 8 <= len(jti) <= 128 or not isinstance(claims["aud"], str):
             raise Rejected(401, "jti or aud not usable")
-        # Tokens used before `covered_since` are unknown, so no token that could have been used then is valid.
+        # A use before `covered_since` may be missing from the record, so a token that was issued before that
+        # time (plus the leeway) is not accepted.
         if claims["iat"] < self.spent.covered_since + self.leeway_s:
             raise Rejected(401, "issued before the start")
         if claims["exp"] - claims["iat"] > MAX_ORDER_TOKEN_LIFETIME_S:
@@ -267,7 +290,11 @@
     container: str | None = None,
     **extra_claims: Any,
 ) -> str:
-    """Returns a signed JWT for a URI, or for all URIs that `container` matches."""
+    """Returns a signed JWT that permits one URI, or all URIs that `container` (RFC 9246) matches.
+
+    It expires `ttl_s` seconds after the Unix time `now` and, if `not_before` is given, is not valid before
+    that Unix time.
+    """
     claims: dict[str, Any] = {
         "iss": key.issuer,
         "exp": int(now + ttl_s),
@@ -282,5 +309,5 @@
 
 
 def signed_uri(uri: str, token: str) -> str:
-    """Appends the token to the query of the URI."""
+    """Returns a signed link: the URI with the token as the last parameter of its query."""
     return f"{uri}{'&' if urlsplit(uri).query else '?'}{PACKAGE}={token}"
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,7 @@
-"""Connections of misbehaving clients, at the Thrift and the HTTP server: which are closed, and when."""
+"""Clients that send nothing, stop in a request, stay idle or do not read: which connections are closed, when.
+
+Each test runs against the Thrift and the HTTP server.
+"""
 
 import time
 
@@ -22,7 +25,10 @@
 
 
 def ask(stage, number, client=None, timeout_ms=5000):
-    """Sends one request, waits until it reaches the store, and returns the client and the request's id."""
+    """Sends request `number`, on a new connection if `client` is None, and waits until it reaches the store.
+
+    Returns the client and the request's id.
+    """
     if stage.kind == "signed":
         path = PATH.replace(OBJECT, f"{number:016x}")
         client = stage.ask(stage.link(path), request_timeout_ms=timeout_ms)
@@ -92,13 +98,13 @@
     silent = stage.client()
     stage.until(lambda: len(front.clients) == 3)
     silent_client = next(iter(front._new_clients))
-    front._new_clients[silent_client] -= listener.MIN_EVICTION_AGE_NS  # as if it had been silent for a while
+    front._new_clients[silent_client] -= listener.MIN_EVICTION_AGE_NS  # as if it had connected earlier
     newcomer, third = ask(stage, 3)
     wait_closed(stage, silent)
     assert not idle.closed
     latest, fourth = ask(stage, 4)
     wait_closed(stage, idle)
-    last = stage.client()  # all others have open requests, so this one is closed at once
+    last = stage.client()  # all other clients have open requests, so it is closed at once
     wait_closed(stage, last)
     assert "too_many_clients" in stage.names()
     for client, request_id in ((working, request), (newcomer, third), (latest, fourth)):
@@ -148,7 +154,7 @@
     client, reader = stage.client(), stage.client()
     stage.until(lambda: len(front.clients) == 2)
     slow = next(c for c in front.clients if c.sock.getpeername() == client.sock.getsockname())
-    while len(slow.outbox) < 600_000:  # more than the socket buffers hold
+    while len(slow.outbox) < 600_000:  # what the socket buffers hold does not count as unread
         slow.write(b"x" * 100_000)
     stage.until(lambda: "client_does_not_read" in stage.names())
     assert not slow.open and not reader.closed
--- a/tests/test_signed.py
+++ b/tests/test_signed.py
@@ -17,7 +17,7 @@
 
 
 def jwk(kid, secret=b"0123456789abcdef0123456789abcdef", **extra_claims):
-    """Returns a symmetric JSON Web Key."""
+    """Returns a symmetric JSON Web Key with the key id `kid`, as in a key file."""
     key = jwt.utils.base64url_encode(secret).decode()
     return {"kty": "oct", "kid": kid, "alg": "HS256", "k": key, **extra_claims}
 
@@ -32,7 +32,7 @@
         self.key = self.tokens.keys["k1"]
 
     def config(self, raw):
-        """Writes the operator's file and the files that it names, and loads them."""
+        """Writes the operator's file and the inventory, keys and settings files that it names; loads it."""
         members = raw["known"]["notices"][0]["pool"]["members"]
         rows = [f"{m['id']},{m['host_port']},{m['locality']},{m['flavor']},8" for m in members]
         (self.folder / "stores.csv").write_text("\n".join(["name,address,zone,kind,size", *rows]) + "\n")
@@ -45,14 +45,18 @@
         return load_operator(str(self.folder / "operator.yaml"), {})
 
     def link(self, path=PATH, ttl=60, **extra_claims):
-        """Returns a signed link to a path."""
+        """Returns a signed link to a path, valid for `ttl` seconds."""
         token = tokens.issue(
             self.key, PUBLIC + path, ttl, extra_claims.pop("now", time.time()), **extra_claims
         )
         return tokens.signed_uri(path, token)
 
     def order(self, **extra_claims):
-        """Returns an order token; its issue time is past the leeway that follows the gateway's start."""
+        """Returns an order token, issued 4 s from now by default.
+
+        A gateway without a stored record accepts none that is issued within the leeway of 3 s after its
+        start.
+        """
         claims = {"aud": "n0", "jti": "abcdefgh1234", **extra_claims}
         ttl, now = claims.pop("ttl", 60), claims.pop("now", time.time() + 4)
         return tokens.issue(self.key, PUBLIC + ORDER, ttl, now, **claims)
@@ -73,7 +77,7 @@
         return int(data.split(b" ")[1])
 
     def serve(self, status_word="data", body=b"hi"):
-        """Waits for a request at the store and answers it."""
+        """Waits for a request at the store and answers it with this status word and body."""
         request = self.until(self.cache.line).split(" ")[1]
         self.cache.say(
             f"{request} {status_word} version=v1,stamp=1,n=HIT {len(body)}\r\n".encode() + body + b"\r\n"
@@ -161,7 +165,7 @@
     link = stage.link(ttl=10)
     client = stage.ask(link)
     request = stage.until(stage.cache.line).split(" ")[1]
-    clock[0] += 14  # past the expiry and the leeway
+    clock[0] += 14  # past the link's expiry (10 s) and the leeway (3 s)
     stage.cache.say(f"{request} data version=v1,stamp=1,n=MISS 2\r\nhi\r\n".encode())
     assert stage.status(client) == 200
     assert stage.status(stage.ask(link)) == 403
@@ -185,7 +189,7 @@
     token = stage.order()
     client = stage.ask(ORDER, "POST", b"a dozen", Authorization=f"Bearer {token}")
     request = stage.until(lambda: (line := stage.cache.line()) and line.split(" ")[1])
-    # The token is used again while the write runs, and once more after it has ended.
+    # The order token is used again while its write runs, and once more after the write has ended.
     assert stage.status(stage.ask(ORDER, "POST", b"again", Authorization=f"Bearer {token}")) == 401
     stage.cache.say(f"{request} data n=MISS_ORIGIN 2\r\nok\r\n".encode())
     assert stage.status(client) == 200
@@ -216,7 +220,7 @@
 def test_a_refused_write_may_be_repeated_with_its_token(stage):
     stage.tokens._clock = lambda: time.time() + 5
     token = stage.order()
-    stage.cache.sock.close()  # nothing can run
+    stage.cache.sock.close()  # the store is gone, so the write cannot run
     client = stage.ask(ORDER, "POST", b"x", Authorization=f"Bearer {token}")
     assert stage.status(client) == 503 and b"Retry-After: 1\r\n" in client.data
     assert stage.status(stage.ask(ORDER, "POST", b"x", Authorization=f"Bearer {token}")) == 503
