--- a/olivecourse/fronts/listener.py
+++ b/olivecourse/fronts/listener.py
@@ -124,7 +124,7 @@
         if self._client_address is None and self.listener.names:
             try:
                 self._client_address = int(ipaddress.ip_address(self.sock.getpeername()[0]))
-            except (OSError, ValueError):  # the client has disconnected already
+            except (OSError, ValueError):  # no peer address: the client has disconnected already
                 return None
         return self._client_address
 
@@ -181,7 +181,7 @@
             return
         try:
             self.sock.shutdown(socket.SHUT_WR)
-        except OSError:  # the client has disconnected already
+        except OSError:  # the client has disconnected already, so there is nothing to wait for
             self.close(why)
             return
         self.lingers = True
@@ -291,7 +291,7 @@
                 sock, _ = self._sock.accept()
             except (BlockingIOError, InterruptedError):
                 return
-            except ConnectionError:  # the client disconnected before the accept
+            except ConnectionError:  # this client disconnected while it waited to be accepted
                 continue
             except OSError as error:  # mostly out of file descriptors
                 self.log("accept_failed", why=str(error))
@@ -457,7 +457,7 @@
         return not any(len(c.outbox) for c in self.clients)
 
     def retire(self) -> None:
-        """Prepares for the end of the process.
+        """Prepares the listener for the end of the process.
 
         Accepts the connections that wait in the listening socket's backlog, then closes that socket. Each
         connection is closed as soon as it has no open request.
--- a/olivecourse/fronts/thrift.py
+++ b/olivecourse/fronts/thrift.py
@@ -82,7 +82,8 @@
     try:
         budget = int(fields["d"])
         part, group = int(fields["n"]), int(fields["shard"])
-        size = float(fields["m"]) if "m" in fields else None  # some deployments send it for some requests
+        # The object's size in KB is optional: in some deployments, clients send it for some requests only.
+        size = float(fields["m"]) if "m" in fields else None
     except (KeyError, ValueError):
         raise BadRequest("d, n and shard are needed, and m where it is given, as numbers") from None
     if fields.get("r", "1") != "1":
@@ -153,10 +154,12 @@
 
     def __init__(self, front: ThriftFront, sock: socket.socket) -> None:
         self.front = front
-        self.open_requests: dict[int, str] = {}  # ids of the open requests by sequence number
+        # Request ids by Thrift sequence number, for the requests open in this process.
+        self.open_requests: dict[int, str] = {}
         self.last = 0  # the highest sequence number of a `serve` call so far
-        self.successor: HandoverPeer | None = None  # the process that has taken over the connection
-        self.predecessor: HandoverPeer | None = None  # the process that has handed the connection over
+        self.successor: HandoverPeer | None = None  # the process that has taken over this connection, if any
+        # The process that has handed this connection over to this process, if any.
+        self.predecessor: HandoverPeer | None = None
         # The sequence numbers whose requests the previous process still serves and whose responses it sends.
         self.predecessor_numbers: set[int] = set()
         self.frames_pending = False  # frames are left in the inbox for the next turn
@@ -199,7 +202,7 @@
             except BufferFull as overflow:  # if the previous process allowed a larger inbox
                 self.close(str(overflow))
                 return
-            self.read()  # the client may have disconnected during the handover
+            self.read()  # processes the bytes handed over; notices a client that disconnected meanwhile
         if self.open:
             self.update_group()
 
--- a/olivecourse/net/discovery_client.py
+++ b/olivecourse/net/discovery_client.py
@@ -130,7 +130,7 @@
             self._schedule_poll()
 
     def _schedule_poll(self) -> None:
-        """Sends the next poll at once, or after the delay in which the pacer lets more events accumulate."""
+        """Sends the next poll, at once or after the pacer's delay, which lets more events accumulate."""
         pacer, now = self.client.pacer, self.loop.clock.now()
         if pacer is not None and self._previous_had_events:
             pacer.on_round_trip(now - self._poll_sent_at)
@@ -190,7 +190,8 @@
         self._upstreams = self._selector()
         self._grace_ns = grace_ns
         self._connection_answered = False  # whether a whole response was read on this connection
-        self.address_since_ns = loop.clock.now()  # when the client switched to `address`
+        # When this client last changed `address`, on the event loop's clock.
+        self.address_since_ns = loop.clock.now()
         self._backoff_ns = RECONNECT_BACKOFF_NS
         self._stopped = False
         self.answered = False  # whether this client has ever read a whole response
--- a/olivecourse/net/loop.py
+++ b/olivecourse/net/loop.py
@@ -125,7 +125,7 @@
                 self.faulted("call", error)
 
     def run(self, after_turn: Callable[[], None]) -> None:
-        """Runs turns, each followed by `after_turn`, until `running` is false."""
+        """Runs turns until `running` is False, and calls `after_turn`, the owner's callback, after each."""
         while self.running:
             began, cpu = self.clock.now(), time.process_time_ns()
             self.turn()
--- a/olivecourse/net/ringbuf.py
+++ b/olivecourse/net/ringbuf.py
@@ -15,7 +15,7 @@
 
 
 class RingBuffer:
-    """A first-in, first-out byte buffer that grows up to `limit` bytes."""
+    """A first-in, first-out byte buffer, allocated small and grown up to `limit` bytes when needed."""
 
     __slots__ = ("_data", "_head", "_size", "limit")
 
@@ -72,7 +72,7 @@
         return received if received == free_bytes else -received
 
     def send(self, sock: socket.socket) -> int:
-        """Writes once to the socket, removes the bytes that the socket accepted and returns their count."""
+        """Sends from the buffer by one system call; removes the bytes accepted and returns their number."""
         end = min(self._head + self._size, len(self._data))
         with memoryview(self._data) as view, view[self._head : end] as pending:
             sent = sock.send(pending)
@@ -80,7 +80,7 @@
         return sent
 
     def peek(self, count: int, offset: int = 0) -> bytes:
-        """Returns up to `count` bytes from position `offset` without removing them."""
+        """Returns up to `count` bytes without removing them, starting `offset` bytes after the oldest."""
         count = max(min(count, self._size - offset), 0)
         start = (self._head + offset) % len(self._data)
         first = min(count, len(self._data) - start)
--- a/olivecourse/net/seam.py
+++ b/olivecourse/net/seam.py
@@ -290,7 +290,7 @@
         self.streams.add(_ForwarderConnection(self, sock))
 
     def close(self) -> None:
-        """Stops listening, closes all connections and removes the socket file."""
+        """Stops listening, closes the connections of all forwarders and removes the socket file at `path`."""
         self.loop.forget(self._sock)
         self._sock.close()
         for stream in list(self.streams):
--- a/olivecourse/net/stream.py
+++ b/olivecourse/net/stream.py
@@ -150,7 +150,8 @@
                 self.close("closed by the other side")
                 return
             self.received()
-            # A short read has emptied the socket; another one would only cost a system call and an exception.
+            # A negative count means that the socket is empty now; another read would only cost a system call
+            # and an exception.
             if read_count < 0 or not self.open:
                 return
 
--- a/olivecourse/net/wheel.py
+++ b/olivecourse/net/wheel.py
@@ -19,7 +19,7 @@
         self.callback: Callable[[], object] | None = callback
 
     def cancel(self) -> None:
-        """Prevents the callback from being called; has no effect once the timer has fired."""
+        """Prevents the timer's callback from being called; has no effect if it has been called already."""
         self.callback = None
 
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,6 +1,6 @@
 """Clients that send nothing, stop in a request, stay idle or do not read: which connections are closed, when.
 
-Each test runs against the Thrift and the HTTP server.
+The tests run against the Thrift and the HTTP server; the one that cancels requests by `forget` needs Thrift.
 """
 
 import time
@@ -25,9 +25,9 @@
 
 
 def ask(stage, number, client=None, timeout_ms=5000):
-    """Sends request `number`, on a new connection if `client` is None, and waits until it reaches the store.
+    """Sends request `number` and waits until it reaches the store; returns the client and the request's id.
 
-    Returns the client and the request's id.
+    An HTTP request is sent on a new connection, a Thrift request on one if `client` is None.
     """
     if stage.kind == "signed":
         path = PATH.replace(OBJECT, f"{number:016x}")
@@ -39,7 +39,7 @@
 
 
 def serve(stage, client, request):
-    """Answers a request at the store and waits until the client has received more bytes."""
+    """Answers a request at the store and waits until bytes of the response have reached the client."""
     length_before = len(client.poll())
     stage.cache.say(f"{request} data version=v1,stamp=1,n=HIT 2\r\nhi\r\n".encode())
     stage.until(lambda: len(client.poll()) > length_before)
@@ -120,7 +120,7 @@
     usual, request = ask(stage, 1)
     serve(stage, usual, request)
     (connection,) = front.clients
-    connection.taken = 2  # as if it had sent two requests; it is idle for longer than the other client
+    connection.taken = 2  # as if it had sent two requests, so as a regular client; it is idle longest
     connection.update_group()
     once, request = ask(stage, 2)
     serve(stage, once, request)
@@ -142,7 +142,7 @@
         client.call()
     newcomer = Client(front.port)
     stage.clients.append(newcomer)
-    front._accept(1)  # the gateway accepts the new client before it reads the request
+    front._accept(1)  # the new client is accepted before the first client's request is read
     wait_closed(stage, newcomer)
     request = stage.until(stage.cache.line).split(" ")[1]
     serve(stage, client, request)
--- a/tests/test_signed.py
+++ b/tests/test_signed.py
@@ -62,7 +62,7 @@
         return tokens.issue(self.key, PUBLIC + ORDER, ttl, now, **claims)
 
     def ask(self, target, method="GET", body=b"", **headers):
-        """Connects a new client that sends one request; returns the client."""
+        """Connects a new client, sends one HTTP request and returns the client; `headers` have _ for -."""
         self.clients.append(Client(self.gateway.front.port))
         head = "".join(f"{k.replace('_', '-')}: {v}\r\n" for k, v in headers.items())
         self.clients[-1].sock.sendall(
@@ -72,7 +72,7 @@
         return self.clients[-1]
 
     def status(self, client):
-        """Waits for a response and returns its status code."""
+        """Waits for the client's first response and returns its HTTP status code."""
         data = self.until(lambda: b"\r\n\r\n" in client.poll() and client.data)
         return int(data.split(b" ")[1])
 
