--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,7 @@
-"""Connections of misbehaving clients, at the Thrift and the HTTP server: which are closed, and when."""
+"""Clients that send nothing, stop in a request, stay idle or do not read: which connections are closed, when.
+
+The tests run against the Thrift and the HTTP server; the one that cancels requests by `forget` needs Thrift.
+"""
 
 import time
 
@@ -22,7 +25,10 @@
 
 
 def ask(stage, number, client=None, timeout_ms=5000):
-    """Sends one request, waits until it reaches the store, and returns the client and the request's id."""
+    """Sends request `number` and waits until it reaches the store; returns the client and the request's id.
+
+    An HTTP request is sent on a new connection, a Thrift request on one if `client` is None.
+    """
     if stage.kind == "signed":
         path = PATH.replace(OBJECT, f"{number:016x}")
         client = stage.ask(stage.link(path), request_timeout_ms=timeout_ms)
@@ -33,7 +39,7 @@
 
 
 def serve(stage, client, request):
-    """Answers a request at the store and waits until the client has received more bytes."""
+    """Answers a request at the store and waits until bytes of the response have reached the client."""
     length_before = len(client.poll())
     stage.cache.say(f"{request} data version=v1,stamp=1,n=HIT 2\r\nhi\r\n".encode())
     stage.until(lambda: len(client.poll()) > length_before)
@@ -92,13 +98,13 @@
     silent = stage.client()
     stage.until(lambda: len(front.clients) == 3)
     silent_client = next(iter(front._new_clients))
-    front._new_clients[silent_client] -= listener.MIN_EVICTION_AGE_NS  # as if it had been silent for a while
+    front._new_clients[silent_client] -= listener.MIN_EVICTION_AGE_NS  # as if it had connected earlier
     newcomer, third = ask(stage, 3)
     wait_closed(stage, silent)
     assert not idle.closed
     latest, fourth = ask(stage, 4)
     wait_closed(stage, idle)
-    last = stage.client()  # all others have open requests, so this one is closed at once
+    last = stage.client()  # all other clients have open requests, so it is closed at once
     wait_closed(stage, last)
     assert "too_many_clients" in stage.names()
     for client, request_id in ((working, request), (newcomer, third), (latest, fourth)):
@@ -114,7 +120,7 @@
     usual, request = ask(stage, 1)
     serve(stage, usual, request)
     (connection,) = front.clients
-    connection.taken = 2  # as if it had sent two requests; it is idle for longer than the other client
+    connection.taken = 2  # as if it had sent two requests, so as a regular client; it is idle longest
     connection.update_group()
     once, request = ask(stage, 2)
     serve(stage, once, request)
@@ -136,7 +142,7 @@
         client.call()
     newcomer = Client(front.port)
     stage.clients.append(newcomer)
-    front._accept(1)  # the gateway accepts the new client before it reads the request
+    front._accept(1)  # the new client is accepted before the first client's request is read
     wait_closed(stage, newcomer)
     request = stage.until(stage.cache.line).split(" ")[1]
     serve(stage, client, request)
@@ -148,7 +154,7 @@
     client, reader = stage.client(), stage.client()
     stage.until(lambda: len(front.clients) == 2)
     slow = next(c for c in front.clients if c.sock.getpeername() == client.sock.getsockname())
-    while len(slow.outbox) < 600_000:  # more than the socket buffers hold
+    while len(slow.outbox) < 600_000:  # what the socket buffers hold does not count as unread
         slow.write(b"x" * 100_000)
     stage.until(lambda: "client_does_not_read" in stage.names())
     assert not slow.open and not reader.closed
