--- a/olivecourse/emulator/__init__.py
+++ b/olivecourse/emulator/__init__.py
@@ -1,2 +1,4 @@
-"""Stand-ins of the systems that the gateway serves, on loopback sockets. They share nothing with what
-decides: a stand-in that did would share its faults."""
+"""Emulated stores, clients and a discovery server on loopback sockets.
+
+The emulator shares no code with the decision module, because it would then share that module's faults.
+"""
--- a/olivecourse/emulator/board.py
+++ b/olivecourse/emulator/board.py
@@ -1,4 +1,4 @@
-"""A stand-in of the notice board: numbered events over HTTP/1.1 long polls, on a World's selector."""
+"""An emulated discovery server: numbered events over HTTP/1.1 long polls, on the event loop of a World."""
 
 from __future__ import annotations
 
@@ -13,24 +13,25 @@
 from olivecourse.emulator.stores import World
 
 POLL = re.compile(rb"GET /board/poll\?watch=(\d+)&linger=(\d+) HTTP/1\.1\r\n")
-MOST_HEAD = 8192
+MAX_HEAD_BYTES = 8192
 
 
 class Board:
-    """Tells whoever polls what has been published. While `refusing`, nobody is let in."""
+    """Publishes numbered events to the clients that poll for them. After `refuse`, no client can connect."""
 
     def __init__(self, world: World) -> None:
         self._world = world
         self.rev = 0
         self._events: list[dict[str, Any]] = []
-        self._waiting: dict[socket.socket, int] = {}  # who polls, and from which number on
-        self._conns: set[socket.socket] = set()
+        self._open_polls: dict[socket.socket, int] = {}  # the last revision known to each polling client
+        self._connections: set[socket.socket] = set()
         self._sock = socket.create_server(("127.0.0.1", 0), backlog=64)
         self._port = self._sock.getsockname()[1]
         self._listen()
 
     @property
     def address(self) -> str:
+        """The `HOST:PORT` on which the server listens."""
         return f"127.0.0.1:{self._port}"
 
     def _listen(self) -> None:
@@ -38,41 +39,42 @@
         self._world.selector.register(self._sock, selectors.EVENT_READ, self._accept)
 
     def refuse(self) -> None:
-        """Connections end, and new ones are refused, until `resume`."""
+        """Closes all connections and the listening socket; connections are refused until `resume`."""
         self._world.selector.unregister(self._sock)
         self._sock.close()
-        for conn in list(self._conns):
+        for conn in list(self._connections):
             self._drop(conn)
 
     def resume(self) -> None:
+        """Listens again on the same port after `refuse`."""
         self._sock = socket.create_server(("127.0.0.1", self._port), backlog=64)
         self._listen()
 
-    def publish(self, **notice: Any) -> float:
-        """One more event; the moment (time.monotonic) from which it counts as told."""
+    def publish(self, **event_body: Any) -> float:
+        """Adds one event and answers all open polls; returns the time (time.monotonic) of the publication."""
         self.rev += 1
-        self._events.append({"rev": self.rev, **notice})
-        for conn in list(self._waiting):
-            self._tell(conn)
+        self._events.append({"rev": self.rev, **event_body})
+        for conn in list(self._open_polls):
+            self._answer_poll(conn)
         return time.monotonic()
 
     def known(self) -> dict[str, Any]:
-        """What a gateway is given at its start."""
+        """The revision and all events so far, as a gateway receives them in its start configuration."""
         return {"rev": self.rev, "notices": list(self._events)}
 
     def _accept(self) -> None:
         with contextlib.suppress(OSError):
             conn, _ = self._sock.accept()
             conn.setblocking(False)
-            self._conns.add(conn)
+            self._connections.add(conn)
             buffer = bytearray()
             self._world.selector.register(conn, selectors.EVENT_READ, lambda: self._read(conn, buffer))
 
     def _drop(self, conn: socket.socket) -> None:
         with contextlib.suppress(KeyError, ValueError):
             self._world.selector.unregister(conn)
-        self._waiting.pop(conn, None)
-        self._conns.discard(conn)
+        self._open_polls.pop(conn, None)
+        self._connections.discard(conn)
         conn.close()
 
     def _read(self, conn: socket.socket, buffer: bytearray) -> None:
@@ -82,30 +84,30 @@
             return
         except OSError:
             data = b""
-        if not data or len(buffer) > MOST_HEAD:
+        if not data or len(buffer) > MAX_HEAD_BYTES:
             self._drop(conn)
             return
         buffer += data
         if b"\r\n\r\n" not in buffer:
             return
-        asked = POLL.match(bytes(buffer))
+        poll = POLL.match(bytes(buffer))
         buffer.clear()
-        if asked is None:
+        if poll is None:
             self._drop(conn)
             return
-        watch, linger = int(asked[1]), int(asked[2])
-        self._waiting[conn] = watch
-        if watch < self.rev or not linger:
-            self._tell(conn)
+        last_revision, wait_ms = int(poll[1]), int(poll[2])
+        self._open_polls[conn] = last_revision
+        if last_revision < self.rev or not wait_ms:
+            self._answer_poll(conn)
         else:
-            self._world.at(time.monotonic() + linger / 1000, lambda: self._tell(conn))
+            self._world.at(time.monotonic() + wait_ms / 1000, lambda: self._answer_poll(conn))
 
-    def _tell(self, conn: socket.socket) -> None:
-        since = self._waiting.pop(conn, None)
-        if since is None:  # answered already, or gone
+    def _answer_poll(self, conn: socket.socket) -> None:
+        client_revision = self._open_polls.pop(conn, None)
+        if client_revision is None:  # the poll is already answered, or its connection is closed
             return
-        news = [event for event in self._events if event["rev"] > since]
-        body = json.dumps({"rev": self.rev, "notices": news}).encode()
+        newer_events = [event for event in self._events if event["rev"] > client_revision]
+        body = json.dumps({"rev": self.rev, "notices": newer_events}).encode()
         with contextlib.suppress(OSError):
             conn.sendall(
                 b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
@@ -113,7 +115,8 @@
             )
 
     def close(self) -> None:
-        for conn in list(self._conns):
+        """Closes the listening socket and all connections."""
+        for conn in list(self._connections):
             self._drop(conn)
         with contextlib.suppress(KeyError, ValueError):
             self._world.selector.unregister(self._sock)
--- a/olivecourse/emulator/clients.py
+++ b/olivecourse/emulator/clients.py
@@ -1,4 +1,4 @@
-"""Stand-in clients of the platform's front: requests at their intended times, each answer checked."""
+"""Emulated clients of a gateway: they send requests on an open-loop schedule and check each answer."""
 
 from __future__ import annotations
 
@@ -14,24 +14,31 @@
 from olivecourse.emulator.stores import World, content
 from olivecourse.fronts import codec
 
-SPARE_S = 0.1  # beyond its time within which an answer still counts as given
+ANSWER_TOLERANCE_S = 0.1  # an answer this long after the request's deadline still counts as in time
 
 
 @dataclass(frozen=True)
 class Sort:
-    """One class as clients ask for it: its share, how long they wait, whether requests carry a body, and in
-    how many of ten requests the size is told."""
+    """A class of requests as the clients send it.
+
+    The fields are its name, its share of the traffic, the deadline of its requests, whether they carry a body
+    (`write`), and how many of ten requests state the expected size.
+    """
 
     name: str
     share: float = 1.0
-    patience_ms: int = 2500
+    deadline_ms: int = 2500
     write: bool = False
-    sized: int = 10
+    sized_per_ten: int = 10
 
 
 class Crowd:
-    """Open loop against one gateway, or the first of several that lets it in. `ends` counts answers by kind:
-    served, refused, failed; what breaks the rule of one final answer goes to `fault(rule, words)`."""
+    """Open-loop load on one gateway, or on the first of several gateways that accepts a connection.
+
+    `ends` counts answers by outcome: served, refused, failed, and nobody (no gateway could be reached). A
+    violation of the rule that each request gets exactly one final answer is reported to
+    `report_violation(rule, description)`.
+    """
 
     def __init__(
         self,
@@ -40,41 +47,45 @@
         sorts: Sequence[Sort],
         rate: float,
         seed: int,
-        fault: Callable[[str, str], None],
+        report_violation: Callable[[str, str], None],
         conns: int = 4,
         objects: int = 400,
     ) -> None:
         self._ports = [port] if isinstance(port, int) else list(port)
-        self._world, self._sorts, self._rate, self._fault = world, sorts, rate, fault
+        self._world, self._classes, self._rate, self._report_violation = world, sorts, rate, report_violation
         self.random = random.Random(seed)
         self._objects = objects
         self.ends: Counter[str] = Counter()
-        self.by_sort: dict[str, Counter[str]] = {s.name: Counter() for s in sorts}
-        self.lost = 0  # open on a connection that the gateway ended, as a killed one does
-        self.waits: list[float] = []  # seconds of served requests
+        self.outcomes_by_class: dict[str, Counter[str]] = {s.name: Counter() for s in sorts}
+        self.lost = 0  # requests open on a connection that ended, for example because the gateway was killed
+        self.latencies_s: list[float] = []  # latencies of the served requests
         self.running = True
-        self._open: dict[tuple[int, int], tuple[float, Sort, bytes]] = {}
-        self._numbers = [0] * conns
+        self._open_requests: dict[tuple[int, int], tuple[float, Sort, bytes]] = {}
+        self._last_numbers = [0] * conns
         self._socks: list[socket.socket | None] = [None] * conns
         self._buffers = [bytearray() for _ in range(conns)]
-        self._away = [0] * conns  # which of the ports a connection is on
+        self._port_indexes = [0] * conns  # for each connection, the index of its port in `_ports`
         for i in range(conns):
             self._connect(i)
-        self._due = time.monotonic()
-        world.at(self._due, self._ask)
+        self._next_send_at = time.monotonic()
+        world.at(self._next_send_at, self._send_next)
 
     @property
     def open(self) -> int:
-        return len(self._open)
+        """The number of requests without an answer so far."""
+        return len(self._open_requests)
 
     def asset(self) -> str:
-        """Few objects are asked for often: the first ones."""
+        """Draws an object id from a Pareto distribution: low-numbered objects are requested most often."""
         return f"{min(int(self.random.paretovariate(0.9)), self._objects):016x}"
 
     def _connect(self, i: int) -> None:
-        self._numbers[i], self._buffers[i] = 0, bytearray()
-        found = ((n, _connected(port)) for n, port in enumerate(self._ports))
-        self._away[i], sock = next(((n, s) for n, s in found if s is not None), (0, None))
+        self._last_numbers[i], self._buffers[i] = 0, bytearray()
+        candidates = ((n, _try_connect(port)) for n, port in enumerate(self._ports))
+        self._port_indexes[i], sock = next(
+            ((n, candidate) for n, candidate in candidates if candidate is not None),
+            (0, None),
+        )
         self._socks[i] = sock
         if sock is None:
             return
@@ -86,53 +97,63 @@
             with contextlib.suppress(KeyError, ValueError):
                 self._world.selector.unregister(sock)
             sock.close()
-        for key in [key for key in self._open if key[0] == i]:
-            del self._open[key]
+        for key in [key for key in self._open_requests if key[0] == i]:
+            del self._open_requests[key]
             self.lost += 1
 
-    def _ask(self) -> None:
+    def _send_next(self) -> None:
         if not self.running:
             return
         now = time.monotonic()
-        self._late(now)
+        self._report_overdue(now)
         i = self.random.randrange(len(self._socks))
-        # Now and then a connection that is idle goes home again.
-        home = self._away[i] and not any(key[0] == i for key in self._open) and self.random.random() < 0.1
-        if home:
+        # With a probability of 0.1, an idle connection to a later port returns to the first port.
+        return_to_first = (
+            self._port_indexes[i]
+            and not any(key[0] == i for key in self._open_requests)
+            and self.random.random() < 0.1
+        )
+        if return_to_first:
             self._drop(i)
         if self._socks[i] is None:
             self._connect(i)
         sock = self._socks[i]
         if sock is not None:
-            self._numbers[i] += 1
-            sort = self.random.choices(self._sorts, [s.share for s in self._sorts])[0]
+            self._last_numbers[i] += 1
+            request_class = self.random.choices(self._classes, [s.share for s in self._classes])[0]
             asset, part = self.asset(), str(self.random.randrange(2))
             fields = {
-                "c": sort.name,
+                "c": request_class.name,
                 "i": f"{self.random.getrandbits(64):016x}",
                 "o": asset,
                 "n": part,
-                "d": str(sort.patience_ms),
+                "d": str(request_class.deadline_ms),
                 "shard": str(int(asset, 16) % 256),
             }
-            if self.random.randrange(10) < sort.sized:
+            if self.random.randrange(10) < request_class.sized_per_ten:
                 fields["m"] = f"{self.random.paretovariate(1.5) * 20:.1f}"
-            body = b"order" if sort.write else b""
-            frame = codec.encode("serve", 1, self._numbers[i], codec.ServeArgs(fields=fields, body=body))
-            self._open[(i, self._numbers[i])] = (now, sort, b"" if sort.write else content(asset, part))
+            body = b"order" if request_class.write else b""
+            frame = codec.encode("serve", 1, self._last_numbers[i], codec.ServeArgs(fields=fields, body=body))
+            self._open_requests[(i, self._last_numbers[i])] = (
+                now,
+                request_class,
+                b"" if request_class.write else content(asset, part),
+            )
             with contextlib.suppress(OSError):
                 sock.sendall(frame)
         else:
             self.ends["nobody"] += 1
-        self._due += self.random.expovariate(self._rate)
-        self._world.at(self._due, self._ask)
-
-    def _late(self, now: float) -> None:
-        """Requests whose time is over without an answer."""
-        for key, (since, sort, _) in list(self._open.items()):
-            if now - since > sort.patience_ms / 1000 + SPARE_S:
-                del self._open[key]
-                self._fault("unanswered", f"{sort.name} after {sort.patience_ms} ms")
+        self._next_send_at += self.random.expovariate(self._rate)
+        self._world.at(self._next_send_at, self._send_next)
+
+    def _report_overdue(self, now: float) -> None:
+        """Reports and removes the requests whose deadline has passed without an answer."""
+        for key, (sent_at, request_class, _) in list(self._open_requests.items()):
+            if now - sent_at > request_class.deadline_ms / 1000 + ANSWER_TOLERANCE_S:
+                del self._open_requests[key]
+                self._report_violation(
+                    "unanswered", f"{request_class.name} after {request_class.deadline_ms} ms"
+                )
 
     def _read(self, i: int, sock: socket.socket) -> None:
         try:
@@ -149,41 +170,42 @@
         while len(buffer) >= 4 and len(buffer) >= 4 + (size := int.from_bytes(buffer[:4], "big")):
             frame = bytes(buffer[4 : 4 + size])
             del buffer[: 4 + size]
-            self._answer(i, frame)
+            self._check_answer(i, frame)
 
-    def _answer(self, i: int, frame: bytes) -> None:
+    def _check_answer(self, i: int, frame: bytes) -> None:
         _, kind, number, result = codec.decode(frame, {"serve": codec.Result})
-        asked = self._open.pop((i, number), None)
-        if asked is None:
-            self._fault("answers", f"number {number} is not open")
+        pending = self._open_requests.pop((i, number), None)
+        if pending is None:
+            self._report_violation("answers", f"number {number} is not open")
             return
-        since, sort, wanted = asked
+        sent_at, request_class, expected_body = pending
         served = getattr(result, "success", None) if kind != 3 else None
-        end = "failed" if served is None else "served"
+        outcome = "failed" if served is None else "served"
         if kind != 3 and getattr(result, "refused", None) is not None:
-            end = "refused"
+            outcome = "refused"
         if served is not None:
-            self.waits.append(time.monotonic() - since)
-            if wanted and served.body != wanted:
-                self._fault("answers", f"{sort.name}: not the bytes of that part")
-        self.ends[end] += 1
-        self.by_sort[sort.name][end] += 1
+            self.latencies_s.append(time.monotonic() - sent_at)
+            if expected_body and served.body != expected_body:
+                self._report_violation("answers", f"{request_class.name}: not the bytes of that part")
+        self.ends[outcome] += 1
+        self.outcomes_by_class[request_class.name][outcome] += 1
 
     def settle(self, seconds: float) -> None:
-        """No more requests; turns the world until all are answered or their time is over."""
+        """Stops sending requests and runs the event loop until no request is open, for at most `seconds`."""
         self.running = False
         end = time.monotonic() + seconds
-        while self._open and time.monotonic() < end:
+        while self._open_requests and time.monotonic() < end:
             self._world.run(0.02)
-            self._late(time.monotonic())
+            self._report_overdue(time.monotonic())
 
     def close(self) -> None:
+        """Stops sending requests and closes all connections."""
         self.running = False
         for i in range(len(self._socks)):
             self._drop(i)
 
 
-def _connected(port: int) -> socket.socket | None:
+def _try_connect(port: int) -> socket.socket | None:
     try:
         sock = socket.create_connection(("127.0.0.1", port), timeout=0.2)
     except OSError:
@@ -193,7 +215,7 @@
 
 
 def well(port: int) -> bool:
-    """Whether a gateway says at its front that it takes work; waits a second at most."""
+    """Whether the gateway on `port` answers `isWell` with true; waits at most one second for each step."""
     try:
         with socket.create_connection(("127.0.0.1", port), timeout=1) as sock:
             sock.sendall(codec.encode("isWell", 1, 1, codec.IsWellArgs(unused=True)))
--- a/olivecourse/emulator/faults.py
+++ b/olivecourse/emulator/faults.py
@@ -1,6 +1,8 @@
-"""Faults between processes, from one seeded script: datagrams and streams that pass through a proxy on
-loopback are lost, doubled, delayed, overtake each other or are cut, one way or both; processes are killed,
-stopped and continued by their id. A script is printed as it was drawn, so that it can be played again.
+"""Fault injection between processes, by a script drawn from a seed.
+
+A proxy on loopback loses, duplicates, delays and reorders datagrams, delays streams, and cuts links in one or
+both directions. Processes are killed, stopped and continued by their process id. A script can be printed and
+played again.
 """
 
 from __future__ import annotations
@@ -18,68 +20,77 @@
 
 from olivecourse.emulator.stores import World
 
-MOST = 65536  # bytes of one datagram or read
-MOST_HELD = 4096  # datagrams on their way; beyond, the oldest way of a full network: they are lost
-Link = tuple[str, str]  # from, to
+MAX_READ_BYTES = 65536  # bytes of one datagram or read
+MAX_DELAYED_DATAGRAMS = 4096  # further datagrams are lost, as in a network with full queues
+Link = tuple[str, str]  # names of the sender and the receiver
 
 
 @dataclass
-class Weather:
-    """Of a link: shares of datagrams lost and doubled, and the most that one is delayed; those with another
-    delay overtake each other. A stream only knows the delay."""
+class LinkConditions:
+    """The quality of a link: the shares of lost and duplicated datagrams, and the greatest delay.
+
+    Datagrams with different delays are reordered. Only the delay applies to streams.
+    """
 
     loss: float = 0.0
-    twice: float = 0.0
-    delay_s: float = 0.0
+    duplicate_share: float = 0.0
+    max_delay_s: float = 0.0
 
 
 @dataclass
 class Network:
-    """All links between named places, on a World's selector. `weather` holds for every link; `cuts` the links
-    on which nothing passes now. `passed` and `lost` count datagrams."""
+    """All links between named processes, on the event loop of a World.
+
+    `weather` holds the conditions of every link and `cuts` the links that pass no data at present. `passed`
+    and `lost` count datagrams.
+    """
 
     world: World
     seed: int
-    weather: Weather = field(default_factory=Weather)
+    weather: LinkConditions = field(default_factory=LinkConditions)
     cuts: set[Link] = field(default_factory=set)
     passed: int = 0
     lost: int = 0
 
     def __post_init__(self) -> None:
         self._random = random.Random(self.seed)
-        self._held = 0
+        self._delayed = 0
         self._socks: list[socket.socket] = []
 
     # Datagrams ----------------------------------------------------------------------------------------
 
     def datagrams(self, source: str, target: str, address: tuple[str, int]) -> str:
-        """The address at which `source` reaches `target`, which listens at `address`."""
+        """Returns the address at which `source` sends datagrams to `target`, which listens at `address`."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.bind(("127.0.0.1", 0))
         sock.setblocking(False)
         self._socks.append(sock)
         self.world.selector.register(
-            sock, selectors.EVENT_READ, lambda: self._came(sock, (source, target), address)
+            sock, selectors.EVENT_READ, lambda: self._on_datagrams(sock, (source, target), address)
         )
         return f"127.0.0.1:{sock.getsockname()[1]}"
 
-    def _came(self, sock: socket.socket, link: Link, address: tuple[str, int]) -> None:
+    def _on_datagrams(self, sock: socket.socket, link: Link, address: tuple[str, int]) -> None:
         for _ in range(64):
             try:
-                data = sock.recv(MOST)
+                data = sock.recv(MAX_READ_BYTES)
             except OSError:
                 return
-            for _ in range(1 + (self._random.random() < self.weather.twice)):
-                if link in self.cuts or self._random.random() < self.weather.loss or self._held >= MOST_HELD:
+            for _ in range(1 + (self._random.random() < self.weather.duplicate_share)):
+                if (
+                    link in self.cuts
+                    or self._random.random() < self.weather.loss
+                    or self._delayed >= MAX_DELAYED_DATAGRAMS
+                ):
                     self.lost += 1
                     continue
-                self._held += 1
-                when = time.monotonic() + self._random.random() * self.weather.delay_s
-                self.world.at(when, partial(self._pass, sock, link, data, address))
+                self._delayed += 1
+                when = time.monotonic() + self._random.random() * self.weather.max_delay_s
+                self.world.at(when, partial(self._deliver, sock, link, data, address))
 
-    def _pass(self, sock: socket.socket, link: Link, data: bytes, address: tuple[str, int]) -> None:
-        self._held -= 1
-        if link in self.cuts:  # cut while it was on its way
+    def _deliver(self, sock: socket.socket, link: Link, data: bytes, address: tuple[str, int]) -> None:
+        self._delayed -= 1
+        if link in self.cuts:  # the link was cut while the datagram was delayed
             self.lost += 1
             return
         self.passed += 1
@@ -89,7 +100,10 @@
     # Streams ------------------------------------------------------------------------------------------
 
     def stream(self, source: str, target: str, address: tuple[str, int]) -> str:
-        """As for datagrams, for TCP. In a cut bytes wait on both sides, as in a network, until it heals."""
+        """Returns the address at which `source` connects over TCP to `target`, which listens at `address`.
+
+        While a link is cut, bytes wait on both sides, as in a real network, until the link heals.
+        """
         sock = socket.create_server(("127.0.0.1", 0), backlog=64)
         sock.setblocking(False)
         self._socks.append(sock)
@@ -100,44 +114,57 @@
 
     def _accept(self, sock: socket.socket, link: Link, address: tuple[str, int]) -> None:
         with contextlib.suppress(OSError):
-            near, _ = sock.accept()
+            client_sock, _ = sock.accept()
             try:
-                far = socket.create_connection(address, timeout=0.2)
+                server_sock = socket.create_connection(address, timeout=0.2)
             except OSError:
-                near.close()
+                client_sock.close()
                 return
-            for one, other, way in ((near, far, link), (far, near, (link[1], link[0]))):
-                one.setblocking(False)
-                self._socks.append(one)
-                self.world.selector.register(one, selectors.EVENT_READ, partial(self._move, one, other, way))
-
-    def _move(self, one: socket.socket, other: socket.socket, way: Link) -> None:
-        if way in self.cuts:  # not read: it waits in the system's buffers
-            self.world.selector.unregister(one)
-            self._wait(one, other, way)
+            for source_sock, target_sock, direction in (
+                (client_sock, server_sock, link),
+                (server_sock, client_sock, (link[1], link[0])),
+            ):
+                source_sock.setblocking(False)
+                self._socks.append(source_sock)
+                self.world.selector.register(
+                    source_sock,
+                    selectors.EVENT_READ,
+                    partial(self._forward, source_sock, target_sock, direction),
+                )
+
+    def _forward(self, source_sock: socket.socket, target_sock: socket.socket, direction: Link) -> None:
+        if direction in self.cuts:  # the bytes are not read and wait in the kernel's buffers
+            self.world.selector.unregister(source_sock)
+            self._resume_after_heal(source_sock, target_sock, direction)
             return
         try:
-            data = one.recv(MOST)
+            data = source_sock.recv(MAX_READ_BYTES)
         except BlockingIOError:
             return
         except OSError:
             data = b""
         if not data:
-            for sock in (one, other):
+            for sock in (source_sock, target_sock):
                 with contextlib.suppress(KeyError, ValueError):
                     self.world.selector.unregister(sock)
                 sock.close()
             return
-        delay = self._random.random() * self.weather.delay_s
-        self.world.at(time.monotonic() + delay, lambda: self._write(other, data))
+        delay = self._random.random() * self.weather.max_delay_s
+        self.world.at(time.monotonic() + delay, lambda: self._write(target_sock, data))
 
-    def _wait(self, one: socket.socket, other: socket.socket, way: Link) -> None:
-        if one.fileno() < 0:
+    def _resume_after_heal(
+        self, source_sock: socket.socket, target_sock: socket.socket, direction: Link
+    ) -> None:
+        if source_sock.fileno() < 0:
             return
-        if way in self.cuts:
-            self.world.at(time.monotonic() + 0.05, lambda: self._wait(one, other, way))
+        if direction in self.cuts:
+            self.world.at(
+                time.monotonic() + 0.05, lambda: self._resume_after_heal(source_sock, target_sock, direction)
+            )
         else:
-            self.world.selector.register(one, selectors.EVENT_READ, lambda: self._move(one, other, way))
+            self.world.selector.register(
+                source_sock, selectors.EVENT_READ, lambda: self._forward(source_sock, target_sock, direction)
+            )
 
     @staticmethod
     def _write(sock: socket.socket, data: bytes) -> None:
@@ -149,21 +176,23 @@
 
     # Cuts ---------------------------------------------------------------------------------------------
 
-    def part(self, *sides: Sequence[str]) -> None:
-        """Nothing passes between the sides, either way."""
-        for side in sides:
-            for other in sides:
-                if side is not other:
-                    self.cuts |= {(a, b) for a in side for b in other}
+    def part(self, *groups: Sequence[str]) -> None:
+        """Cuts the links between the given groups of processes, in both directions."""
+        for group in groups:
+            for other in groups:
+                if group is not other:
+                    self.cuts |= {(a, b) for a in group for b in other}
 
     def mute(self, source: str, targets: Sequence[str]) -> None:
-        """Nothing passes from `source`; what is sent to it does."""
+        """Cuts the links from `source` to `targets`; the opposite direction stays open."""
         self.cuts |= {(source, target) for target in targets}
 
     def heal(self) -> None:
+        """Opens all cut links."""
         self.cuts.clear()
 
     def close(self) -> None:
+        """Closes the sockets of all links."""
         for sock in self._socks:
             with contextlib.suppress(KeyError, ValueError):
                 self.world.selector.unregister(sock)
@@ -175,10 +204,10 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """At `at_s` from the script's start: what happens, to whom."""
+    """An action at `at_s` seconds from the start of the script, on the processes `who`."""
 
     at_s: float
-    what: str  # kill, start, stop, go on, part, mute, heal, weather
+    what: str  # kill, start, stop, go on, part, mute, heal, weather (sets link conditions)
     who: tuple[str, ...] = ()
     figures: tuple[float, ...] = ()
 
@@ -186,40 +215,47 @@
         return f"{self.at_s:.2f} {self.what} {'+'.join(self.who)} {self.figures or ''}".rstrip()
 
 
-def draw(seed: int, names: Sequence[str], seconds: float, least: int = 2, most: int = 5) -> list[Fault]:
-    """A script for so many processes; who was killed or stopped is back, and all is healed, at its end."""
+def draw(
+    seed: int, names: Sequence[str], seconds: float, min_faults: int = 2, max_faults: int = 5
+) -> list[Fault]:
+    """Draws a script for the named processes.
+
+    At its end every killed or stopped process runs again and every link is open and without faults.
+    """
     rng = random.Random(seed)
-    found = [
+    faults = [
         Fault(
             0.0, "weather", figures=(rng.choice([0.0, 0.05, 0.1, 0.3]), 0.05, rng.choice([0.0, 0.01, 0.05]))
         )
     ]
     down: set[str] = set()
-    for _ in range(rng.randint(least, most)):
-        at = round(rng.uniform(0.0, seconds * 0.8), 2)
-        what = rng.choice(["kill", "kill", "stop", "part", "mute", "heal", "kill all"])
-        one = rng.choice(names)
-        if what == "part":
+    for _ in range(rng.randint(min_faults, max_faults)):
+        offset_s = round(rng.uniform(0.0, seconds * 0.8), 2)
+        action = rng.choice(["kill", "kill", "stop", "part", "mute", "heal", "kill all"])
+        target = rng.choice(names)
+        if action == "part":
             shuffled = rng.sample(names, len(names))
-            found.append(Fault(at, "part", tuple(shuffled[: rng.randint(1, len(names) - 1)])))
-        elif what == "kill all" and rng.random() < 0.3:
-            found += [Fault(at, "kill", (name,)) for name in names]
+            faults.append(Fault(offset_s, "part", tuple(shuffled[: rng.randint(1, len(names) - 1)])))
+        elif action == "kill all" and rng.random() < 0.3:
+            faults += [Fault(offset_s, "kill", (name,)) for name in names]
             down |= set(names)
-        elif what in ("kill", "stop", "mute"):
-            found.append(Fault(at, what, (one,)))
-            if what != "mute":
-                back = "start" if what == "kill" else "go on"
-                found.append(Fault(min(at + rng.uniform(0.2, seconds / 2), seconds), back, (one,)))
-        elif what == "heal":
-            found.append(Fault(at, "heal"))
-    found += [Fault(seconds, "heal"), Fault(seconds, "weather", figures=(0.0, 0.0, 0.0))]
-    found += [Fault(seconds, "go on", (name,)) for name in names]
-    found += [Fault(seconds, "start", (name,)) for name in names]
-    return sorted(found, key=lambda f: f.at_s)
-
-
-def signalled(pid: int, number: int) -> bool:
-    """Sends a signal to a process that the caller has started; whether it was there."""
+        elif action in ("kill", "stop", "mute"):
+            faults.append(Fault(offset_s, action, (target,)))
+            if action != "mute":
+                recovery = "start" if action == "kill" else "go on"
+                faults.append(
+                    Fault(min(offset_s + rng.uniform(0.2, seconds / 2), seconds), recovery, (target,))
+                )
+        elif action == "heal":
+            faults.append(Fault(offset_s, "heal"))
+    faults += [Fault(seconds, "heal"), Fault(seconds, "weather", figures=(0.0, 0.0, 0.0))]
+    faults += [Fault(seconds, "go on", (name,)) for name in names]
+    faults += [Fault(seconds, "start", (name,)) for name in names]
+    return sorted(faults, key=lambda fault: fault.at_s)
+
+
+def send_signal(pid: int, number: int) -> bool:
+    """Sends a signal to a process that the caller has started; returns whether the process exists."""
     try:
         os.kill(pid, number)
         return True
@@ -228,7 +264,11 @@
 
 
 class Player:
-    """Plays a script on a network and on processes. `pid(name)` of one that runs, or None; `start(name)`."""
+    """Plays a script on a network and on processes.
+
+    `pid(name)` returns the id of a running process or None, `start(name)` starts one, and `on_killed(name)`
+    is called after a kill.
+    """
 
     def __init__(
         self,
@@ -236,14 +276,21 @@
         names: Sequence[str],
         pid: Callable[[str], int | None],
         start: Callable[[str], None],
-        killed: Callable[[str], None] = lambda name: None,
+        on_killed: Callable[[str], None] = lambda name: None,
     ) -> None:
-        self._network, self._names, self._pid, self._start, self._killed = network, names, pid, start, killed
+        self._network, self._names, self._pid, self._start, self._on_killed = (
+            network,
+            names,
+            pid,
+            start,
+            on_killed,
+        )
         self.stopped: set[str] = set()
 
     def play(self, fault: Fault) -> None:
+        """Carries out one fault."""
         if fault.what == "weather":
-            self._network.weather = Weather(*fault.figures)
+            self._network.weather = LinkConditions(*fault.figures)
         elif fault.what == "heal":
             self._network.heal()
         elif fault.what == "part":
@@ -253,20 +300,20 @@
         for name in fault.who:
             pid = self._pid(name)
             if fault.what == "kill" and pid is not None:
-                signalled(pid, signal.SIGKILL)
+                send_signal(pid, signal.SIGKILL)
                 self.stopped.discard(name)
-                self._killed(name)
+                self._on_killed(name)
             elif fault.what == "stop" and pid is not None:
-                signalled(pid, signal.SIGSTOP)
+                send_signal(pid, signal.SIGSTOP)
                 self.stopped.add(name)
             elif fault.what == "go on" and pid is not None:
-                signalled(pid, signal.SIGCONT)
+                send_signal(pid, signal.SIGCONT)
                 self.stopped.discard(name)
             elif fault.what == "start" and pid is None:
                 self._start(name)
 
     def script(self, faults: Sequence[Fault]) -> None:
-        """Every fault at its time from now; the world must be turned meanwhile."""
-        began = time.monotonic()
+        """Schedules every fault at its time from now; the caller must run the event loop meanwhile."""
+        started_at = time.monotonic()
         for fault in faults:
-            self._network.world.at(began + fault.at_s, partial(self.play, fault))
+            self._network.world.at(started_at + fault.at_s, partial(self.play, fault))
--- a/olivecourse/emulator/observer.py
+++ b/olivecourse/emulator/observer.py
@@ -1,4 +1,7 @@
-"""Judges a gateway or a fleet by what the stores see and the board has told, never by the fleet's own log."""
+"""Checks the rules that a gateway or a fleet must keep, from what the stores and the discovery server see.
+
+The gateways' own logs are not used.
+"""
 
 from __future__ import annotations
 
@@ -8,53 +11,59 @@
 
 from olivecourse.emulator.stores import Store
 
-SOCKETS_S = 0.05  # by which every limit is longer on sockets
-OWN_S = 0.05  # by which this process may itself see a thing late
+SOCKET_TOLERANCE_S = 0.05  # tolerance on every limit for delays on sockets
+OBSERVER_DELAY_S = 0.05  # tolerance for delays in this process
 
 
 class Observer:
-    """`World(stores, observer.asked)`; then told of what the board tells. `broken` counts by rule."""
+    """Counts violations of the rules on drains, purges and repeated requests in `broken`, by rule.
+
+    `asked` is the answer callback of a `World(stores, observer.asked)`. The caller reports the events that
+    the discovery server publishes.
+    """
 
     def __init__(self, drain_s: float, purge_s: float, once: frozenset[str]) -> None:
-        """The graces of the settings, and the classes that may not be repeated."""
-        self.drain_s, self.purge_s, self._once = drain_s, purge_s, once
+        """Takes the grace periods of the settings and the classes whose requests must not run twice."""
+        self.drain_s, self.purge_s, self._at_most_once = drain_s, purge_s, once
         self.broken: Counter[str] = Counter()
-        self.told: list[str] = []  # the first cases, in words
-        self._ended: dict[str, float] = {}
-        self._purged: dict[str, tuple[float, int]] = {}
-        self._ran: set[str] = set()
+        self.told: list[str] = []  # descriptions of the first eight violations
+        self._removed_at: dict[str, float] = {}
+        self._purges: dict[str, tuple[float, int]] = {}
+        self._executed: set[str] = set()
         self.asks: Counter[str] = Counter()
 
     def drained(self, store: str, at: float) -> None:
-        """From `at` (time.monotonic) on the store counts as draining or gone."""
-        self._ended.setdefault(store, at)
+        """Records that the store counts as draining or gone from `at` (time.monotonic) on."""
+        self._removed_at.setdefault(store, at)
 
     def back(self, store: str) -> None:
-        self._ended.pop(store, None)
+        """Records that the store is ready again."""
+        self._removed_at.pop(store, None)
 
     def purged(self, asset: str, at: float, unix_ms: int) -> None:
-        """Told at `at` of a purge made at `unix_ms`."""
-        self._purged[asset] = (at, unix_ms)
+        """Records that a purge made at `unix_ms` was published at `at` (time.monotonic)."""
+        self._purges[asset] = (at, unix_ms)
 
-    def fault(self, rule: str, what: str) -> None:
+    def fault(self, rule: str, description: str) -> None:
+        """Counts a violation of a rule and keeps its description if it is among the first eight."""
         self.broken[rule] += 1
         if len(self.told) < 8:
-            self.told.append(f"{rule}: {what}")
+            self.told.append(f"{rule}: {description}")
 
     def asked(self, store: Store, request: str, word: str, fields: Mapping[str, str]) -> None:
-        """A request has come whole to a store, which answers it with `word`."""
+        """Checks a complete request at a store that answers it with `word` against all rules."""
         now = time.monotonic()
         self.asks[store.name] += 1
-        for name in {store.name, fields.get("fetch", "")} & self._ended.keys():
-            late = now - self._ended[name] - self.drain_s - SOCKETS_S - OWN_S
-            if late > 0:
-                self.fault("drain", f"{name} asked or named {late:.3f} s too late")
-        if fields.get("sort") in self._once and word not in ("absent", "full"):
-            if request in self._ran:
+        for name in {store.name, fields.get("fetch", "")} & self._removed_at.keys():
+            late_s = now - self._removed_at[name] - self.drain_s - SOCKET_TOLERANCE_S - OBSERVER_DELAY_S
+            if late_s > 0:
+                self.fault("drain", f"{name} asked or named {late_s:.3f} s too late")
+        if fields.get("sort") in self._at_most_once and word not in ("absent", "full"):
+            if request in self._executed:
                 self.fault("twice", f"{request} ran again at {store.name}")
-            self._ran.add(request)
-        purge, stamp = self._purged.get(fields.get("asset", "")), fields.get("stamp")
-        if purge is not None and stamp is not None and word == "data" and int(stamp) < purge[1]:
-            late = now - purge[0] - self.purge_s - SOCKETS_S - OWN_S
-            if late > 0:
-                self.fault("purge", f"{request} got an older copy {late:.3f} s after the grace")
+            self._executed.add(request)
+        latest_purge, stamp = self._purges.get(fields.get("asset", "")), fields.get("stamp")
+        if latest_purge is not None and stamp is not None and word == "data" and int(stamp) < latest_purge[1]:
+            late_s = now - latest_purge[0] - self.purge_s - SOCKET_TOLERANCE_S - OBSERVER_DELAY_S
+            if late_s > 0:
+                self.fault("purge", f"{request} got an older copy {late_s:.3f} s after the grace")
--- a/olivecourse/emulator/settings.py
+++ b/olivecourse/emulator/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a small installation, as a gateway reads them, for demonstrations, benchmarks and tests."""
+"""Gateway settings of a small installation, for demonstrations, benchmarks and tests."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 def settings(classes: list[tuple[str, int, str, bool]], **limits: Any) -> dict[str, Any]:
-    """(name, deadline in ms, effect, whether it writes) for each class; `limits` override the usual ones."""
+    """Returns settings with one class for each (name, deadline in ms, effect, whether it writes).
+
+    `limits` override the default limits.
+    """
     count = len(classes)
     return {
         "me": 0,
@@ -32,7 +35,7 @@
             "max_age_ns": [0] * count,
             "grace_for_ns": [0] * count,
             "stale_earns": [0.7] * count,
-            "never_kept": [w for *_, w in classes],
+            "never_kept": [writes for *_, writes in classes],
             "purge_grace_ns": 300_000_000,
             "purge_settles_ns": 6 * S,
             "parent_floor": 0.064,
@@ -61,17 +64,17 @@
         },
         "profiles": [
             {
-                "name": n,
+                "name": name,
                 "on_time_ns": 600_000_000,
                 "aim_stretch": 2.0,
-                "deadline_ns": d * 1_000_000,
+                "deadline_ns": deadline_ms * 1_000_000,
                 "worth": 1.0,
                 "late_worth": 0.1,
-                "effect": e,
+                "effect": effect,
                 "key_scope": "all",
                 "memory_span_ns": 5 * S,
                 "streamed": False,
             }
-            for n, d, e, _ in classes
+            for name, deadline_ms, effect, _ in classes
         ],
     }
--- a/olivecourse/emulator/stores.py
+++ b/olivecourse/emulator/stores.py
@@ -1,11 +1,11 @@
-"""Stand-in cache boxes, hub caches and an archive that speak the line protocol, all on one thread.
+"""Emulated caches, parent caches and an origin that speak the line protocol, all on one thread.
 
     fetch ID FIELDS LENGTH CR LF body CR LF    is answered by    ID WORD FIELDS LENGTH CR LF body CR LF
     abort ID                                   is not answered
 
-A box or hub answers a hit at once, a miss after the way to its source, and keeps what it was told to retain.
-It drops nothing at a purge by itself: only what a gateway says of the oldest copy that will do guards against
-one, as during the seconds that real stores take.
+A cache or parent answers a hit after its own delay and a miss after the additional delay of a fill. It stores
+the copies that a request asks it to retain. It drops no copy at a purge, since a real store takes seconds to
+do so: only the greatest acceptable age in the gateway's request protects a client from a purged copy.
 """
 
 from __future__ import annotations
@@ -19,18 +19,21 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-MOST_LINE = 4096
+MAX_LINE_BYTES = 4096
 MODES = ("good", "failing", "silent")
 
 
 @dataclass(eq=False)
 class Store:
-    """One stand-in. `mode`: good, failing (answers an error at once), silent (accepts and answers nothing).
-
-    `delay_s` is its own work, `fill_s` the way to a source; `holds_all`: everything is a hit, given out by
-    the archive right now. `orders` counts every order that ran, by its body, as soon as it has come whole.
-    `held` tells of each copy the Unix ms at which the archive gave it out, `fresh_ms` how old a class's may
-    be where a request does not say (0: any age), `reports` the fields of load reports in its answers.
+    """One emulated store.
+
+    `mode` is good, failing (answers an error at once) or silent (accepts requests and answers none).
+    `delay_s` is the time of the store's own work and `fill_s` the additional time of a fill. With
+    `holds_all`, every read is a hit with a copy that the origin issued at this moment; otherwise the store
+    keeps at most `keeps` copies. `asked` counts requests. `orders` counts the executions of each write by its
+    body, as soon as the body is complete. `held` maps each copy to the Unix time in ms at which the origin
+    issued it. `fresh_ms` is the greatest age of a class's copies for requests that state none (0: any age).
+    `reports` are the fields of the load reports in answers.
     """
 
     name: str
@@ -49,11 +52,14 @@
 
     @property
     def address(self) -> str:
+        """The `HOST:PORT` on which the store listens."""
         return f"127.0.0.1:{self.sock.getsockname()[1]}"
 
     def look(self, key: str, oldest_ms: int) -> int | None:
-        """When the archive gave out the copy that is held, or None: no copy is held that is young enough.
-        `oldest_ms`: the oldest age that will do, 0 for any."""
+        """When the origin issued the held copy, or None if there is no copy that is young enough.
+
+        `oldest_ms` is the greatest acceptable age, 0 for any.
+        """
         if self.holds_all:
             return unix_ms()
         stamp = self.held.get(key)
@@ -63,57 +69,64 @@
         return stamp
 
     def keep(self, key: str, stamp: int) -> None:
+        """Stores a copy issued at `stamp` and evicts the least recently used copy beyond `keeps`."""
         self.held[key] = stamp
         if len(self.held) > self.keeps:
             self.held.popitem(last=False)
 
     def load(self) -> str:
-        """A load report in the words of the line protocol."""
+        """A load report in the form of the line protocol."""
         values = {"inflight": self.open, "util": min(self.open / 16, 1.0)}
         return ";".join(f"{name}:{values.get(name, 0.5):g}" for name in self.reports)
 
 
-Tell = Callable[[Store, str, str, dict[str, str]], None]
+AnswerCallback = Callable[[Store, str, str, dict[str, str]], None]
 
 
 def unix_ms() -> int:
+    """The current Unix time in milliseconds."""
     return time.time_ns() // 1_000_000
 
 
 def content(asset: str, part: str) -> bytes:
-    """What the archive gives out for a part of an object: the same bytes each time."""
+    """The bytes of one part of an object, the same at each call."""
     return f"calendar {asset} part {part}\n".encode() * 4
 
 
 class World:
-    """Stores, and whatever else is watched, on one selector with timers. `tell(store, request, word, fields)`
-    is called for each answer that a store decides on."""
+    """An event loop with timers that runs the stores and whatever else is registered on its selector.
+
+    `on_answer(store, request, word, fields)` is called for each answer that a store decides on.
+    """
 
     def __init__(
-        self, stores: list[Store], tell: Tell | None = None, writes: frozenset[str] = frozenset({"commande"})
+        self,
+        stores: list[Store],
+        on_answer: AnswerCallback | None = None,
+        writes: frozenset[str] = frozenset({"commande"}),
     ) -> None:
-        """`writes`: the classes that run at the archive and are kept nowhere."""
-        self.stores, self._tell, self._writes = stores, tell, writes
-        self._named = {store.name: store for store in stores}
+        """`writes` are the classes whose requests run at the origin and are never stored."""
+        self.stores, self._on_answer, self._writes = stores, on_answer, writes
+        self._stores_by_name = {store.name: store for store in stores}
         self.selector = selectors.DefaultSelector()
         self._timers: list[tuple[float, int, Callable[[], None]]] = []
-        self._count = 0
-        self._conns: dict[socket.socket, Store] = {}
+        self._timer_count = 0
+        self._connections: dict[socket.socket, Store] = {}
         for store in stores:
             store.sock.setblocking(False)
             self.selector.register(store.sock, selectors.EVENT_READ, lambda s=store: self._accept(s))
 
     def at(self, when: float, call: Callable[[], None]) -> None:
-        """Calls at a moment of time.monotonic."""
-        self._count += 1
-        heapq.heappush(self._timers, (when, self._count, call))
+        """Calls `call` at the time `when` of time.monotonic."""
+        self._timer_count += 1
+        heapq.heappush(self._timers, (when, self._timer_count, call))
 
     def _accept(self, store: Store) -> None:
         with contextlib.suppress(BlockingIOError):
             conn, _ = store.sock.accept()
             conn.setblocking(False)
             conn.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self._conns[conn] = store
+            self._connections[conn] = store
             buffer = bytearray()
             self.selector.register(conn, selectors.EVENT_READ, lambda: self._read(store, conn, buffer))
 
@@ -121,7 +134,7 @@
         with contextlib.suppress(KeyError, ValueError):
             self.selector.unregister(conn)
         conn.close()
-        self._conns.pop(conn, None)
+        self._connections.pop(conn, None)
 
     def _read(self, store: Store, conn: socket.socket, buffer: bytearray) -> None:
         try:
@@ -137,73 +150,77 @@
         while (end := buffer.find(b"\r\n")) >= 0:
             words = bytes(buffer[:end]).decode("ascii", "replace").split(" ")
             fetch = words[0] == "fetch" and len(words) == 4 and words[3].isdecimal()
-            if not fetch and words[0] != "abort" or end > MOST_LINE:  # no place to read on from
+            # After such a line the start of the next request is unknown.
+            if not fetch and words[0] != "abort" or end > MAX_LINE_BYTES:
                 self._drop(conn)
                 return
-            whole = end + 2 + (int(words[3]) + 2 if fetch else 0)
-            if len(buffer) < whole:
+            frame_end = end + 2 + (int(words[3]) + 2 if fetch else 0)
+            if len(buffer) < frame_end:
                 return
-            body = bytes(buffer[end + 2 : whole - 2])
-            del buffer[:whole]
+            body = bytes(buffer[end + 2 : frame_end - 2])
+            del buffer[:frame_end]
             if fetch:
-                self._asked(store, conn, words[1], words[2], body)
+                self._handle_request(store, conn, words[1], words[2], body)
 
-    def _asked(self, store: Store, conn: socket.socket, request: str, text: str, body: bytes) -> None:
+    def _handle_request(
+        self, store: Store, conn: socket.socket, request: str, encoded_fields: str, body: bytes
+    ) -> None:
         store.asked += 1
-        fields = dict(pair.partition("=")[::2] for pair in text.split(","))
-        order = fields.get("sort") in self._writes
-        if order:
-            named = body.decode("utf-8", "replace")
-            store.orders[named] = store.orders.get(named, 0) + 1
+        fields = dict(pair.partition("=")[::2] for pair in encoded_fields.split(","))
+        is_write = fields.get("sort") in self._writes
+        if is_write:
+            body_text = body.decode("utf-8", "replace")
+            store.orders[body_text] = store.orders.get(body_text, 0) + 1
         if store.mode == "silent":
             return
-        word, named_fields, data, delay = self._answer(store, fields, order)
+        word, answer_fields, data, delay = self._answer(store, fields, is_write)
         store.open += 1
         if store.reports:
-            named_fields = {**named_fields, "l": store.load()}
-        if self._tell is not None:
-            self._tell(store, request, word, {**fields, **named_fields})
-        told = ",".join(f"{k}={v}" for k, v in named_fields.items()) or "-"
-        line = f"{request} {word} {told} {len(data)}\r\n".encode() + data + b"\r\n"
+            answer_fields = {**answer_fields, "l": store.load()}
+        if self._on_answer is not None:
+            self._on_answer(store, request, word, {**fields, **answer_fields})
+        encoded_answer = ",".join(f"{k}={v}" for k, v in answer_fields.items()) or "-"
+        line = f"{request} {word} {encoded_answer} {len(data)}\r\n".encode() + data + b"\r\n"
 
-        def say() -> None:
+        def send_answer() -> None:
             store.open -= 1
-            with contextlib.suppress(OSError):  # the other side may have left
+            with contextlib.suppress(OSError):  # the gateway may have closed the connection
                 conn.sendall(line)
 
-        self.at(time.monotonic() + delay, say)
+        self.at(time.monotonic() + delay, send_answer)
 
     def _answer(
-        self, store: Store, fields: dict[str, str], order: bool
+        self, store: Store, fields: dict[str, str], is_write: bool
     ) -> tuple[str, dict[str, str], bytes, float]:
         if store.mode == "failing":
             return "failed", {}, b"", 0.002
         asset, part = fields.get("asset", ""), fields.get("slice", "0")
-        if order:
+        if is_write:
             return "data", {"n": "MISS"}, b"order taken\n", store.delay_s + store.fill_s
-        key, sort = f"{asset}/{part}", fields.get("sort", "")
-        oldest = int(fields.get("newer") or 0) or store.fresh_ms.get(sort, 0)
-        stamp, note, delay = store.look(key, oldest), "HIT", store.delay_s
+        key, request_class = f"{asset}/{part}", fields.get("sort", "")
+        oldest_ms = int(fields.get("newer") or 0) or store.fresh_ms.get(request_class, 0)
+        stamp, note, delay = store.look(key, oldest_ms), "HIT", store.delay_s
         if stamp is None and "fetch" not in fields:
             return "absent", {}, b"", delay
         if stamp is None:
             note, delay = "MISS", delay + store.fill_s
-            source = self._named.get(fields["fetch"])
+            source = self._stores_by_name.get(fields["fetch"])
             stamp = unix_ms()
-            if source is not None and source is not store:  # a hub cache may hold it; the archive has it now
-                stamp = source.look(key, oldest) or stamp
+            # A parent may hold a copy; otherwise the origin issues one now.
+            if source is not None and source is not store:
+                stamp = source.look(key, oldest_ms) or stamp
                 source.keep(key, stamp)
             if "retain" in fields:
                 store.keep(key, stamp)
         return "data", {"version": "v1", "stamp": str(stamp), "n": note}, content(asset, part), delay
 
     def reset(self, store: Store) -> None:
-        """Its connections end, as when its process dies; it lets in new ones."""
-        for conn in [c for c, owner in self._conns.items() if owner is store]:
+        """Closes the store's connections, as at the death of its process; new connections are accepted."""
+        for conn in [c for c, owner in self._connections.items() if owner is store]:
             self._drop(conn)
 
     def turn(self, until: float) -> None:
-        """Waits for one thing to happen, or until a moment of time.monotonic."""
+        """Waits for a socket event or timer, at most until `until` (time.monotonic), and handles it."""
         now = time.monotonic()
         next_at = min(self._timers[0][0] if self._timers else until, until)
         for key, _ in self.selector.select(max(next_at - now, 0)):
@@ -213,12 +230,14 @@
             heapq.heappop(self._timers)[2]()
 
     def run(self, seconds: float) -> None:
+        """Handles events for `seconds`."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             self.turn(end)
 
     def close(self) -> None:
-        for conn in list(self._conns):
+        """Closes all connections, the stores' sockets and the selector."""
+        for conn in list(self._connections):
             self._drop(conn)
         for store in self.stores:
             self.selector.unregister(store.sock)
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -280,7 +280,7 @@
     moved = Board(fleet.world)
     say(made, path, text.replace(fleet.board.address, moved.address))
     assert fleet.run(20, lambda: '"moved": ["board"]' in made.log.read_text()), made.log.read_text()
-    assert fleet.run(20, lambda: moved._conns)
+    assert fleet.run(20, lambda: moved._connections)
     made.process.send_signal(signal.SIGSTOP)
     made.process.send_signal(signal.SIGHUP)
     made.process.send_signal(signal.SIGTERM)
