--- a/build_native.py
+++ b/build_native.py
@@ -1,7 +1,8 @@
-"""Compiles the hot modules with mypyc into .native/, a whole copy of the package beside the sources.
+"""Compiles the performance-critical modules with mypyc into .native/, a complete copy of the package.
 
-The sources stay what tests and the simulator's adapter run. Where a compiler is missing, .native/ holds the
-plain modules: slower, and the same behaviour. Runs again only when a source has changed.
+Tests and the simulator's adapter run the sources themselves. If the compilation fails, for example because a
+compiler is missing, .native/ holds the uncompiled modules, which are slower and behave the same. The script
+compiles again only when a source file has changed.
 """
 
 from __future__ import annotations
@@ -15,7 +16,8 @@
 
 ROOT = Path(__file__).resolve().parent
 TARGET, WORK = ROOT / ".native", ROOT / ".native.new"
-# Where the time goes. The rest is small, or holds what mypyc does not take (slotted dataclasses).
+# The modules that use the most CPU time. The other modules use little of it, or hold slotted dataclasses,
+# which mypyc does not compile.
 HOT = (
     "choice",
     "ring",
@@ -38,7 +40,7 @@
     "fronts/listener",
     "fronts/signed",
     "ops/door",
-)  # the last two extend compiled ones
+)  # the last two modules subclass classes of compiled modules
 RELAY = (
     "relay/event_log",
     "relay/history",
@@ -50,20 +52,22 @@
 )
 
 
-def digest() -> str:
-    total = hashlib.sha256(sys.version.encode())
+def source_digest() -> str:
+    """A hash over the Python version, this script and all sources of the package."""
+    digest = hashlib.sha256(sys.version.encode())
     for path in [Path(__file__), *sorted((ROOT / "olivecourse").rglob("*.py"))]:
-        total.update(str(path.relative_to(ROOT)).encode() + path.read_bytes())
-    return total.hexdigest()
+        digest.update(str(path.relative_to(ROOT)).encode() + path.read_bytes())
+    return digest.hexdigest()
 
 
-def copy() -> None:
+def copy_sources() -> None:
+    """Copies the package into the work directory."""
     shutil.rmtree(WORK, ignore_errors=True)
     shutil.copytree(ROOT / "olivecourse", WORK / "olivecourse", ignore=shutil.ignore_patterns("__pycache__"))
 
 
 def compile_in_place() -> None:
-    """Runs in .native.new, in a process of its own."""
+    """Compiles the modules in the current directory, .native.new, in a process of its own."""
     from mypyc.build import mypycify
     from setuptools import setup
 
@@ -79,35 +83,36 @@
 
 
 def main() -> int:
+    """Builds .native/ if a source has changed; with the argument `compile`, only compiles in place."""
     if sys.argv[1:] == ["compile"]:
         compile_in_place()
         return 0
-    stamp, now = TARGET / "stamp", digest()
-    if stamp.exists() and stamp.read_text() == now:
+    stamp, current_digest = TARGET / "stamp", source_digest()
+    if stamp.exists() and stamp.read_text() == current_digest:
         return 0
-    copy()
-    # Each module's C file is compiled by itself: a few at once, as a build machine may have few cores.
-    done = subprocess.run(
+    copy_sources()
+    # Each module's C file is compiled by itself, a few at a time, since a build machine may have few cores.
+    result = subprocess.run(
         [sys.executable, str(Path(__file__)), "compile"],
         cwd=WORK,
         capture_output=True,
         text=True,
         env={**os.environ, "PYTHONPATH": str(WORK)},
     )
-    if not done.returncode:  # guards against modules that compile and then do not load
-        done = subprocess.run(
+    if not result.returncode:  # detects modules that compile and then fail to load
+        result = subprocess.run(
             [sys.executable, "-P", "-c", "import olivecourse.gateway, olivecourse.cli"],
             cwd=WORK,
             capture_output=True,
             text=True,
             env={**os.environ, "PYTHONPATH": str(WORK)},
         )
-    if done.returncode:
+    if result.returncode:
         print("build_native: plain modules, as compiling failed:", file=sys.stderr)
-        print(done.stdout[-2000:], done.stderr[-2000:], file=sys.stderr)
-        copy()
+        print(result.stdout[-2000:], result.stderr[-2000:], file=sys.stderr)
+        copy_sources()
     shutil.rmtree(WORK / "build", ignore_errors=True)
-    (WORK / "stamp").write_text(now)
+    (WORK / "stamp").write_text(current_digest)
     shutil.rmtree(TARGET, ignore_errors=True)
     WORK.rename(TARGET)
     return 0
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A small fleet and helpers; all tests drive the Router through its interface."""
+"""A small set of stores, default settings, and a driver that feeds events to a Router."""
 
 import hypothesis
 import pytest
@@ -6,7 +6,7 @@
 from olivecourse import interface as w
 from olivecourse.choice import Router
 
-# One verdict every time: properties are tried on the same examples in every run.
+# Property tests use the same examples in every run, so that their results are reproducible.
 hypothesis.settings.register_profile("fixed", derandomize=True, database=None, deadline=None)
 hypothesis.settings.load_profile("fixed")
 
@@ -15,8 +15,9 @@
 PARENTS, ORIGIN = (50, 51), 60
 
 
-def make_settings(**more):
-    base = dict(
+def make_settings(**overrides):
+    """Router settings of a small installation, with the given overrides."""
+    defaults = dict(
         seed=7,
         routers=3,
         zones=("hub", "edge"),
@@ -46,11 +47,12 @@
         purge_settles_ns=6 * S,
         classes=(make_class(),),
     )
-    return w.Settings(**(base | more))
+    return w.Settings(**(defaults | overrides))
 
 
-def make_class(effect=w.Effect.IDEMPOTENT, **more):
-    base = dict(
+def make_class(effect=w.Effect.IDEMPOTENT, **overrides):
+    """A request class of reads, with the given overrides."""
+    defaults = dict(
         name="read",
         aim_ns=500 * MS,
         aim_stretch=1.0,
@@ -59,23 +61,25 @@
         key_scope=w.Scope.ALL,
         key_memory_ns=2 * S,
     )
-    return w.RequestClass(**(base | more))
+    return w.RequestClass(**(defaults | overrides))
 
 
 def member(cache, kind=0, zone=1, ready_at_ns=0, state=w.State.READY, weight=8.0, cell=0):
+    """A ready store as a member of the discovery list."""
     return w.Member(cache, weight, ready_at_ns, zone, state, cell, kind)
 
 
 def fleet(caches=4):
+    """The members of a fleet: so many caches in zone 1, two parents and an origin in zone 0."""
     return (
         *(member(i) for i in range(1, caches + 1)),
-        *(member(p, 1, 0, weight=20.0) for p in PARENTS),
+        *(member(parent, 1, 0, weight=20.0) for parent in PARENTS),
         member(ORIGIN, 2, 0),
     )
 
 
 class Drive:
-    """A Router with a clock, and short words for what tests do to it."""
+    """A Router with a simulated clock, and short methods for the events of a test."""
 
     def __init__(self, members=None, **settings):
         self.now = 100 * S
@@ -85,33 +89,40 @@
         self.list(members if members is not None else fleet(), w.ListKind.HELD)
 
     def event(self, event, after=0):
+        """Advances the clock by `after` and passes an event to the router; returns the actions."""
         self.now += after
         return self.router.handle(event, self.now)
 
     def list(self, members, kind=w.ListKind.CHANGES):
+        """Passes a list of members to the router."""
         return self.event(w.CacheList(1, kind, tuple(members)))
 
-    def ask(self, key="a", after=0, cls=0, **more):
+    def ask(self, key="a", after=0, cls=0, **fields):
+        """Passes a request with a new id to the router; the id is kept in `self.id`."""
         self.count += 1
         self.id = f"{self.count:016x}"
-        return self.event(w.Request(self.id, cls, object=key, **more), after)
+        return self.event(w.Request(self.id, cls, object=key, **fields), after)
 
-    def end(self, status, attempt=0, cache=None, request=None, after=1 * MS, closed=None, **more):
+    def end(self, status, attempt=0, cache=None, request=None, after=1 * MS, closed=None, **fields):
+        """Ends an attempt: by default attempt 0 of the latest request, at the cache that the router chose."""
         request = request or self.id
         if cache is None:
             cache = self.router.attempts[(request, attempt)][2].member.cache
         closed = status is w.Status.SERVED if closed is None else closed
-        return self.event(w.AttemptEnded(request, attempt, cache, status, after, closed, **more), after)
+        return self.event(w.AttemptEnded(request, attempt, cache, status, after, closed, **fields), after)
 
 
-def sends(acts):
-    return [a for a in acts if isinstance(a, w.ReadThrough | w.Look)]
+def sends(actions):
+    """The actions that send an attempt to a store."""
+    return [action for action in actions if isinstance(action, w.ReadThrough | w.Look)]
 
 
-def finals(acts):
-    return [a for a in acts if isinstance(a, w.Refuse | w.Fail)]
+def finals(actions):
+    """The actions that answer a request without an attempt."""
+    return [action for action in actions if isinstance(action, w.Refuse | w.Fail)]
 
 
 @pytest.fixture
 def drive():
+    """The `Drive` class, for tests that choose their own members and settings."""
     return Drive
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -1,6 +1,6 @@
-"""A gateway in this process, and scripted stores, clients and a notice board on loopback sockets.
+"""A gateway in the test process, with scripted stores, clients and a discovery server on loopback sockets.
 
-Nothing here depends on speed: `until` turns the gateway's loop till a thing has come about.
+The tests do not depend on the speed of the machine: `until` runs the gateway's loop until a condition holds.
 """
 
 import json
@@ -81,7 +81,7 @@
 
 
 class Peer:
-    """A listening stand-in: what it accepted, and what came on it."""
+    """A scripted server: it accepts connections and collects the received bytes in `data`."""
 
     def __init__(self, backlog=16):
         self.sock = socket.create_server(("127.0.0.1", 0), backlog=backlog)
@@ -90,6 +90,7 @@
         self.conns, self.data = [], bytearray()
 
     def poll(self):
+        """Accepts a waiting connection, reads all connections and returns all bytes so far."""
         try:
             conn, _ = self.sock.accept()
             conn.setblocking(False)
@@ -101,7 +102,7 @@
         return bytes(self.data)
 
     def line(self):
-        """The next whole line that came, taken; or None."""
+        """Removes and returns the next complete non-empty line, or returns None."""
         self.poll()
         line, end, rest = bytes(self.data).partition(b"\r\n")
         if not end:
@@ -110,25 +111,28 @@
         return line.decode() or self.line()
 
     def say(self, data, conn=-1):
+        """Sends bytes on a connection, by default on the latest one."""
         self.conns[conn].sendall(data)
 
     def close(self):
+        """Closes the listening socket and all connections."""
         for sock in (self.sock, *self.conns):
             sock.close()
 
 
 def drain(sock):
+    """Reads all bytes that are available on a non-blocking socket."""
     data = b""
     try:
-        while part := sock.recv(65536):
-            data += part
+        while chunk := sock.recv(65536):
+            data += chunk
     except (BlockingIOError, OSError):
         pass
     return data
 
 
 class Client:
-    """Speaks to the gateway; `data` holds what came back."""
+    """A scripted client of the gateway; `data` holds all received bytes."""
 
     def __init__(self, port):
         self.sock = socket.create_connection(("127.0.0.1", port))
@@ -136,13 +140,14 @@
         self.data, self.closed = b"", False
 
     def poll(self):
+        """Reads the available bytes and returns all bytes so far; sets `closed` at the connection's end."""
         try:
             while True:
-                part = self.sock.recv(65536)
-                if not part:
+                chunk = self.sock.recv(65536)
+                if not chunk:
                     self.closed = True
                     return self.data
-                self.data += part
+                self.data += chunk
         except BlockingIOError:
             return self.data
         except ConnectionError:
@@ -150,6 +155,7 @@
             return self.data
 
     def call(self, number=1, method="serve", kind=1, args=None, body=b"", **fields):
+        """Sends a call, by default a `serve` call of a read whose fields can be overridden."""
         fields = {
             "c": "fichiers",
             "i": REQUEST,
@@ -164,22 +170,23 @@
         self.sock.sendall(codec.encode(method, kind, number, args))
 
     def answers(self):
-        """(number, kind of result, its fields, its body) of each whole frame so far."""
-        data, found = self.poll(), []
+        """The (number, kind of result, its fields, its body) of each complete frame so far."""
+        data, answers = self.poll(), []
         while len(data) >= 4 and len(data) >= 4 + (size := int.from_bytes(data[:4], "big")):
             frame, data = data[4 : 4 + size], data[4 + size :]
             kinds = {"serve": codec.Result, "isWell": codec.Result}
             name, kind, number, result = codec.decode(frame, kinds)
             if kind == 3:
-                found.append((number, "fault", {}, b""))
+                answers.append((number, "fault", {}, b""))
                 continue
-            which = next(n for n in ("success", "refused", "failed") if getattr(result, n) is not None)
-            value = getattr(result, which)
-            found.append((number, which, value.fields, getattr(value, "body", b"")))
-        return found
+            result_kind = next(n for n in ("success", "refused", "failed") if getattr(result, n) is not None)
+            value = getattr(result, result_kind)
+            answers.append((number, result_kind, value.fields, getattr(value, "body", b"")))
+        return answers
 
 
-def member(name, address, kind="petit", zone="edge-1", phase="Ready", **more):
+def member(name, address, kind="petit", zone="edge-1", phase="Ready", **overrides):
+    """A store as a member of a discovery list, in its JSON form."""
     return {
         "id": name,
         "host_port": address,
@@ -189,14 +196,14 @@
         "phase": phase,
         "size": 8,
         "up_since_ms": 0,
-        **more,
+        **overrides,
     }
 
 
 class Stage:
-    """The gateway with one cache, one parent and the origin as scripted peers."""
+    """A gateway with one cache, one parent and the origin as scripted servers."""
 
-    def __init__(self, board=False, env=None, **more):
+    def __init__(self, board=False, env=None, **overrides):
         self.cache, self.parent, self.origin = Peer(), Peer(), Peer()
         self.board = Peer() if board else None
         self.logged, self.peers = [], [self.cache, self.parent, self.origin]
@@ -214,7 +221,7 @@
                 "rev": 1,
                 "notices": [{"rev": 1, "pool": {"revision": 1, "complete": True, "members": members}}],
             },
-            **more,
+            **overrides,
         }
         self.raw, self.env = raw, env or {}
         if self.board:
@@ -224,42 +231,48 @@
         self.clients = []
 
     def config(self, raw):
+        """Reads a configuration with the environment of this test."""
         return read_config(raw, self.env)
 
     def turn(self):
+        """Runs one turn of the gateway's loop and its decisions."""
         self.gateway.loop.turn(5_000_000)
         self.gateway.decide()
 
-    def until(self, what, seconds=20):
-        """Turns till `what` gives something true, which it returns."""
+    def until(self, condition, seconds=20):
+        """Runs the gateway until `condition()` returns a true value, and returns that value."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             self.turn()
-            if found := what():
-                return found
+            if result := condition():
+                return result
         raise AssertionError(f"did not come about; logged: {self.logged}")
 
     def client(self):
+        """Connects a new client to the gateway."""
         self.clients.append(Client(self.gateway.front.port))
         return self.clients[-1]
 
-    def tell(self, rev, **notice):
-        """The board answers the poll that is open."""
-        body = json.dumps({"rev": rev, "notices": [{"rev": rev, **notice}]}).encode()
+    def tell(self, rev, **event_body):
+        """Answers the gateway's open poll with one event from the discovery server."""
+        body = json.dumps({"rev": rev, "notices": [{"rev": rev, **event_body}]}).encode()
         self.board.data.clear()
         self.board.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
     def names(self):
+        """The names of all logged events."""
         return [event for event, _ in self.logged]
 
     def close(self):
+        """Closes all sockets and the gateway's loop."""
         self.gateway.front.close()
-        for thing in (*self.peers, *(c.sock for c in self.clients)):
-            thing.close()
+        for closable in (*self.peers, *(client.sock for client in self.clients)):
+            closable.close()
         if self.gateway.discovery is not None:
             self.gateway.discovery.stop()
         self.gateway.loop.close()
 
 
 def outcome(stage, status):
-    return any(isinstance(e, w.AttemptEnded) and e.status is status for e in stage.gateway.batch)
+    """Whether an attempt has ended with `status` among the events that wait for the next decision."""
+    return any(isinstance(event, w.AttemptEnded) and event.status is status for event in stage.gateway.batch)
