--- a/tests/stage.py
+++ b/tests/stage.py
@@ -246,7 +246,7 @@
             self.turn()
             if result := condition():
                 return result
-        raise AssertionError(f"did not come about; logged: {self.logged}")
+        raise AssertionError(f"the condition was not reached; logged: {self.logged}")
 
     def client(self):
         """Connects a new client to the gateway."""
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -1,4 +1,4 @@
-"""Stories of the platform's gateway over loopback sockets, each against scripted peers."""
+"""End-to-end tests of a gateway in the test process, against scripted servers and clients on loopback."""
 
 import pytest
 from stage import OBJECT, REQUEST, Peer, Stage, member
@@ -14,32 +14,34 @@
 
 
 def with_board(test):
+    """Runs a test on a stage with a scripted discovery server."""
     return pytest.mark.parametrize("stage", [{"board": True}], indirect=True)(test)
 
 
 def fields_of(line):
-    word, request, named, size = line.split(" ")
-    return dict(pair.split("=", 1) for pair in named.split(","))
+    """The fields of a `fetch` line as a dictionary."""
+    word, request, encoded_fields, size = line.split(" ")
+    return dict(pair.split("=", 1) for pair in encoded_fields.split(","))
 
 
-def test_a_read_is_passed_on_and_its_bytes_come_back_whole(stage):
+def test_a_read_is_forwarded_and_its_complete_body_is_returned(stage):
     client, body = stage.client(), bytes(range(256)) * 900
     client.call(7, mine="4be0c1927d55a6f3")
     line = stage.until(stage.cache.line)
     assert line.startswith(f"fetch {REQUEST} ") and line.endswith(" 0")
-    named = fields_of(line)
-    assert (named["sort"], named["asset"], named["slice"], named["holds"]) == (
+    fetch_fields = fields_of(line)
+    assert (fetch_fields["sort"], fetch_fields["asset"], fetch_fields["slice"], fetch_fields["holds"]) == (
         "fichiers",
         OBJECT,
         "0",
         "4be0c1927d55a6f3",
     )
-    assert named["fetch"] == "s-00000008" and 4000 < int(named["patience"]) <= 5000
+    assert fetch_fields["fetch"] == "s-00000008" and 4000 < int(fetch_fields["patience"]) <= 5000
     stage.cache.say(b"%s data version=aa,stamp=1,n=HIT %d\r\n%s\r\n" % (REQUEST.encode(), len(body), body))
     assert stage.until(client.answers) == [(7, "success", {}, body)]
 
 
-def test_unchanged_tells_the_client_that_its_copy_holds(stage):
+def test_an_unchanged_answer_tells_the_client_that_its_copy_is_valid(stage):
     client = stage.client()
     client.call(mine="aa")
     stage.until(stage.cache.line)
@@ -47,7 +49,7 @@
     assert stage.until(client.answers) == [(1, "success", {"still": "1"}, b"")]
 
 
-def test_the_key_of_a_repeat_reaches_the_store_as_the_client_gave_it_and_one_that_is_none_is_a_fault(stage):
+def test_the_idempotency_key_reaches_the_store_unchanged_and_a_malformed_one_is_a_fault(stage):
     client = stage.client()
     client.call(c="commande", body=b"a dozen", k="763fa061b1d166bbecc24c75a477a81a")
     assert fields_of(stage.until(stage.cache.line))["op"] == "763fa061b1d166bbecc24c75a477a81a"
@@ -61,7 +63,7 @@
     )
 
 
-def test_an_order_that_may_have_run_fails_and_is_not_sent_again(stage):
+def test_a_write_that_may_have_run_fails_and_is_not_sent_again(stage):
     client = stage.client()
     client.call(c="commande", body=b"a dozen")
     assert "retain" not in fields_of(stage.until(stage.cache.line))
@@ -72,20 +74,20 @@
     assert stage.cache.line() is None and stage.parent.line() is None and stage.origin.line() is None
 
 
-def test_an_order_that_was_turned_away_may_be_refused_with_a_time_to_return(stage):
+def test_a_write_rejected_as_full_is_refused_with_a_retry_time(stage):
     client = stage.client()
     client.call(c="commande", body=b"a dozen")
 
-    def turn_away():
+    def reject_and_poll():
         if (line := stage.cache.line()) and line.startswith("fetch"):
             stage.cache.say(f"{REQUEST} full - 0\r\n\r\n".encode())
         return client.answers()
 
-    (answer,) = stage.until(turn_away)
+    (answer,) = stage.until(reject_and_poll)
     assert answer[1] == "refused" and answer[2] == {"w": "1000"}
 
 
-def test_a_second_copy_of_an_order_is_blocked_whatever_the_module_says(stage):
+def test_a_second_send_of_a_write_is_blocked_even_if_the_decision_module_orders_it(stage):
     from olivecourse import interface as w
 
     client = stage.client()
@@ -97,14 +99,14 @@
     assert stage.until(client.answers)[0][1] == "failed"
 
 
-def test_a_refused_connection_proves_that_nothing_ran(stage):
+def test_a_write_whose_connection_is_refused_has_not_run_and_is_refused(stage):
     stage.cache.sock.close()
     client = stage.client()
     client.call(c="commande")
     assert stage.until(client.answers)[0][1] == "refused"
 
 
-def test_forget_gives_the_attempt_up_and_a_late_answer_is_dropped(stage):
+def test_forget_cancels_the_attempt_and_a_late_answer_is_dropped(stage):
     client = stage.client()
     client.call(3)
     stage.until(stage.cache.line)
@@ -124,7 +126,7 @@
     assert stage.gateway.ledger.open == 0
 
 
-def test_the_final_answer_comes_before_the_client_gives_up(stage):
+def test_the_final_answer_is_sent_before_the_client_deadline(stage):
     client = stage.client()
     client.call(d="120")
     stage.until(stage.cache.line)
@@ -132,7 +134,7 @@
     assert not stage.gateway.ledger.tally["served"] and "answered_by_guard" not in stage.names()
 
 
-def test_a_module_that_forgets_a_request_does_not_leave_it_unanswered(stage):
+def test_a_request_lost_by_the_decision_module_is_still_answered(stage):
     client = stage.client()
     client.call(d="120")
     stage.until(stage.cache.line)
@@ -142,16 +144,16 @@
 
 
 @with_board
-def test_a_store_that_drains_before_the_first_byte_gets_nothing(stage):
+def test_an_attempt_not_yet_written_is_not_sent_to_a_store_that_starts_to_drain(stage):
     stage.until(lambda: b"watch=1" in stage.board.poll())
     client = stage.client()
-    # The connection is under way when the news comes, so the attempt still waits for it.
+    # The drain is published while the second attempt waits behind unsent bytes of its connection.
     pool = stage.gateway.pool
     client.call()
     stage.until(lambda: pool._stores.get(1))
     stream = pool._stores[1][0]
     stage.until(lambda: not stream.connecting and stage.cache.line())
-    stream.outbox.write(b"x")  # a backlog: the next attempt has to wait behind it
+    stream.outbox.write(b"x")  # unsent bytes: the next attempt has to wait behind them
     flush, stream.flush = stream.flush, lambda: None
     client.call(2, i="00000000000000aa")
     pool.limits = type(pool.limits)(10**9, 10**10, 100, 1, 1)
@@ -172,7 +174,7 @@
 
 
 @with_board
-def test_a_purge_bounds_the_age_of_copies_and_the_poll_goes_on_from_it(stage):
+def test_a_purge_bounds_the_age_of_copies_and_the_next_poll_starts_after_it(stage):
     import time
 
     stage.until(lambda: b"watch=1&" in stage.board.poll())
@@ -180,12 +182,12 @@
     stage.until(lambda: b"watch=2&" in stage.board.poll())
     client = stage.client()
     client.call()
-    named = fields_of(stage.until(stage.cache.line))
-    assert 40 <= int(named["newer"]) < 20_000 and "coalesce" not in named.get("handle", "")
+    fetch_fields = fields_of(stage.until(stage.cache.line))
+    assert 40 <= int(fetch_fields["newer"]) < 20_000 and "coalesce" not in fetch_fields.get("handle", "")
 
 
 @with_board
-def test_a_lost_board_is_asked_again_for_what_was_missed(stage):
+def test_a_lost_discovery_connection_is_reopened_from_the_last_revision(stage):
     stage.until(lambda: b"watch=1&" in stage.board.poll())
     stage.board.conns.pop().close()
     stage.board.data.clear()
@@ -196,7 +198,7 @@
 
 
 @with_board
-def test_unusable_notices_are_logged_and_passed_over(stage):
+def test_unusable_events_are_logged_and_skipped(stage):
     stage.until(lambda: b"watch=1&" in stage.board.poll())
     stage.tell(2, flush={"asset": "x y", "ms": 1}, pool={"members": [{"id": "s-1"}]})
     stage.until(lambda: b"watch=2&" in stage.board.poll())
@@ -216,7 +218,7 @@
         {"shard": "256"},
     ],
 )
-def test_fields_that_make_no_request_get_a_fault_and_the_connection_lives(stage, fields):
+def test_invalid_request_fields_get_a_fault_and_the_connection_stays_open(stage, fields):
     client = stage.client()
     client.call(1, **fields)
     client.call(2, "isWell", 1, codec.IsWellArgs(unused=True))
@@ -230,12 +232,12 @@
         b"\x7f\xff\xff\xff",
         b"\x00\x00\x00\x04abcd",
         b"GET / HTTP/1.1\r\n\r\n",
-        # A map that announces two thousand million entries, and a string as long.
+        # A map that announces two thousand million entries, and a string of that many bytes.
         b"\x00\x00\x00\x1a\x80\x01\x00\x01\x00\x00\x00\x05serve\x00\x00\x00\x01\x0d\x00\x01\x0b\x0b\x7f\xff\xff\xff\x00",
         b"\x00\x00\x00\x18\x80\x01\x00\x01\x00\x00\x00\x05serve\x00\x00\x00\x01\x0b\x00\x02\x7f\xff\xff\xff",
     ],
 )
-def test_frames_that_cannot_be_read_close_the_connection(stage, data):
+def test_malformed_frames_close_the_connection(stage, data):
     client = stage.client()
     client.sock.sendall(data)
     stage.until(lambda: client.poll() == b"" and client.closed)
@@ -261,7 +263,7 @@
         b"%s data - 2\r\nabcd" % REQUEST.encode(),
     ],
 )
-def test_a_store_that_speaks_nonsense_is_hung_up_on(stage, answer):
+def test_a_malformed_store_answer_closes_the_connection(stage, answer):
     client = stage.client()
     client.call()
     stage.until(stage.cache.line)
@@ -270,7 +272,7 @@
     assert all(s.open for streams in stage.gateway.pool._stores.values() for s in streams)
 
 
-def test_stopping_answers_what_is_open_and_still_takes_requests(stage):
+def test_a_stopping_gateway_answers_open_requests_and_still_accepts_new_ones(stage):
     client = stage.client()
     client.call(1)
     stage.until(stage.cache.line)
@@ -285,7 +287,7 @@
     assert {a[1] for a in client.answers()} == {"success"}
 
 
-def test_stopping_gives_up_in_time_what_no_store_answers(stage):
+def test_a_stopping_gateway_refuses_in_time_a_request_that_no_store_answers(stage):
     client = stage.client()
     client.call(1, d="6000")
     stage.until(stage.cache.line)
@@ -295,24 +297,26 @@
 
 
 @pytest.mark.parametrize("fields", [{}, {"still": "1"}, {"w": "1000", "é": "à"}])
-def test_frames_put_together_are_those_of_the_library(fields):
-    def framed(**result):
+def test_hand_built_frames_equal_those_of_the_thrift_library(fields):
+    def encode_result(**result):
         return codec.encode("serve", 2, 2**31 - 7, codec.Result(**result))
 
-    assert codec.answer_frame(2**31 - 7, b"\0body", fields) == framed(
+    assert codec.answer_frame(2**31 - 7, b"\0body", fields) == encode_result(
         success=codec.Answer(body=b"\0body", fields=fields, good=True)
     )
-    assert codec.refusal_frame(2**31 - 7, True, fields) == framed(refused=codec.Refusal(fields=fields))
-    assert codec.refusal_frame(2**31 - 7, False, fields) == framed(failed=codec.Refusal(fields=fields))
+    assert codec.refusal_frame(2**31 - 7, True, fields) == encode_result(refused=codec.Refusal(fields=fields))
+    assert codec.refusal_frame(2**31 - 7, False, fields) == encode_result(failed=codec.Refusal(fields=fields))
 
 
-def test_no_altered_frame_costs_memory_or_time():
+def test_corrupted_frames_do_not_exhaust_memory_or_time():
     import random
 
     rng = random.Random(1)
-    good = codec.encode("serve", 1, 7, codec.ServeArgs(fields={"c": "pages", "i": REQUEST}, body=b"a"))[4:]
+    valid_frame = codec.encode(
+        "serve", 1, 7, codec.ServeArgs(fields={"c": "pages", "i": REQUEST}, body=b"a")
+    )[4:]
     for _ in range(20_000):
-        frame = bytearray(good)
+        frame = bytearray(valid_frame)
         for _ in range(rng.randrange(1, 4)):
             frame[rng.randrange(len(frame))] = rng.randrange(256)
         try:
@@ -322,8 +326,8 @@
 
 
 @with_board
-@pytest.mark.parametrize("news", [{"phase": "Gone"}, {"up_since_ms": 1}])
-def test_attempts_at_a_store_that_vanished_end_when_the_board_tells(stage, news):
+@pytest.mark.parametrize("member_changes", [{"phase": "Gone"}, {"up_since_ms": 1}])
+def test_attempts_at_a_vanished_store_end_when_discovery_reports_it(stage, member_changes):
     import time
 
     stage.until(lambda: b"watch=1&" in stage.board.poll())
@@ -331,21 +335,23 @@
     client.call(1, c="commande")
     stage.until(stage.cache.line)
     (stream,) = stage.gateway.pool._stores[1]
-    stream.heard -= 10**9  # silent for longer than answers take on their way
-    news = {"up_since_ms": int(time.time() * 1000)} if "up_since_ms" in news else news
+    stream.heard -= 10**9  # the store has been silent for longer than an answer takes to arrive
+    member_changes = (
+        {"up_since_ms": int(time.time() * 1000)} if "up_since_ms" in member_changes else member_changes
+    )
     stage.tell(
         2,
         pool={
             "revision": 2,
             "complete": False,
-            "members": [member("s-00000001", stage.cache.address, **news)],
+            "members": [member("s-00000001", stage.cache.address, **member_changes)],
         },
     )
     assert stage.until(client.answers)[0][1] == "failed"
     assert not stream.open
 
 
-def test_attempts_at_a_store_that_cannot_be_reached_wait_for_one_connection(stage):
+def test_concurrent_attempts_at_a_store_wait_for_a_single_connection(stage):
     client = stage.client()
     for number in range(1, 5):
         client.call(number, i=f"{number:016x}")
@@ -355,13 +361,14 @@
 
 
 @with_board
-def test_a_reload_moves_the_poll_to_the_new_board_from_the_last_event(stage):
-    old, stage.board = stage.board, Peer()
-    stage.until(lambda: b"watch=1&" in old.poll())
+def test_a_reload_continues_the_poll_at_the_new_discovery_server_from_the_last_event(stage):
+    old_board, stage.board = stage.board, Peer()
+    stage.until(lambda: b"watch=1&" in old_board.poll())
     client = stage.client()
     client.call()
     stage.until(stage.cache.line)
-    old.say(b'HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"rev":2,"notices":[{"rev":2,')  # never ends
+    # The rest of this answer never follows.
+    old_board.say(b'HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"rev":2,"notices":[{"rev":2,')
     stage.gateway.reload(stage.config({**stage.raw, "board": stage.board.address}))
     stage.until(lambda: b"watch=1&" in stage.board.poll())
     stage.tell(2, flush={"asset": OBJECT, "ms": 1})
@@ -370,11 +377,11 @@
     assert stage.until(client.answers) == [(1, "success", {}, b"hi")]
     assert ("reloaded", {"moved": ["board"], "needs_restart": []}) in stage.logged
     assert "discovery_disconnected" not in stage.names()
-    old.close()
+    old_board.close()
 
 
 @with_board
-def test_a_board_answer_that_cannot_be_read_is_not_asked_for_again_at_once(stage):
+def test_the_poll_is_not_repeated_at_once_after_a_malformed_discovery_answer(stage):
     stage.until(lambda: b"watch=1&" in stage.board.poll())
     stage.board.say(b'HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n{"r')
     stage.until(lambda: "discovery_disconnected" in stage.names())
@@ -394,7 +401,7 @@
         "full - 2\r\nhi\r\n",
     ],
 )
-def test_an_answer_without_what_it_promises_is_spoilt_and_asked_for_again(stage, answer):
+def test_an_answer_without_its_required_fields_is_rejected_and_the_read_repeated(stage, answer):
     client = stage.client()
     client.call()
     stage.until(stage.cache.line)
@@ -405,7 +412,7 @@
     assert stage.until(client.answers) == [(1, "success", {}, b"ok")]
 
 
-def test_an_answer_that_stops_short_is_not_waited_for(stage):
+def test_a_truncated_answer_is_abandoned_and_the_read_repeated(stage):
     client = stage.client()
     client.call(d="60000")
     stage.until(stage.cache.line)
@@ -423,21 +430,23 @@
     assert "store_broken_answer" in stage.names()
 
 
-def test_a_second_answer_or_one_under_an_unknown_id_is_passed_over(stage):
-    client, good = stage.client(), "data version=aa,stamp=1,n=HIT 2\r\nhi\r\n"
+def test_a_second_answer_or_one_with_an_unknown_id_is_ignored(stage):
+    client, valid_answer = stage.client(), "data version=aa,stamp=1,n=HIT 2\r\nhi\r\n"
     client.call()
     stage.until(stage.cache.line)
-    stage.cache.say(f"00000000000000ff {good}{REQUEST} {good}{REQUEST} {good}".encode())
+    stage.cache.say(
+        f"00000000000000ff {valid_answer}{REQUEST} {valid_answer}{REQUEST} {valid_answer}".encode()
+    )
     stage.until(client.answers)
     client.call(2, i="00000000000000aa")
     line = stage.until(stage.cache.line)
-    stage.cache.say(f"{line.split(' ')[1]} {good.replace('hi', 'ho')}".encode())
+    stage.cache.say(f"{line.split(' ')[1]} {valid_answer.replace('hi', 'ho')}".encode())
     stage.until(lambda: len(client.answers()) == 2)
     assert [a[3] for a in client.answers()] == [b"hi", b"ho"]
     assert "store_broken_answer" not in stage.names()
 
 
-def test_an_id_is_never_asked_twice_on_one_connection(stage):
+def test_a_request_id_is_never_sent_twice_on_one_connection(stage):
     client = stage.client()
     client.call()
     stage.until(stage.cache.line)
@@ -446,7 +455,7 @@
     assert len(stage.cache.conns) == 2
 
 
-def test_a_connection_whose_answer_never_came_is_asked_nothing_more(stage):
+def test_a_connection_with_an_unanswered_request_gets_no_further_requests(stage):
     client = stage.client()
     client.call(d="200")
     stage.until(stage.cache.line)
@@ -454,10 +463,11 @@
     client.call(2, i="00000000000000aa")
     stage.until(lambda: b"00000000000000aa" in stage.cache.poll())
     assert len(stage.cache.conns) == 2
-    stage.until(lambda: not any(s.spent for s in stage.gateway.pool._stores[1]))  # closed once it is empty
+    # The connection is closed once it has no open request.
+    stage.until(lambda: not any(s.spent for s in stage.gateway.pool._stores[1]))
 
 
-def test_an_attempt_that_the_system_would_not_take_never_ran(stage):
+def test_an_attempt_whose_write_failed_has_not_run(stage):
     client = stage.client()
     client.call(1)
     stage.until(stage.cache.line)
@@ -465,18 +475,18 @@
     stage.until(lambda: stage.gateway.pool._stores[1][0].load == 0)
     for streams in stage.gateway.pool._stores.values():
         for stream in streams:
-            stream.sock.shutdown(2)  # the next write fails at once, before the loop learns of it
+            stream.sock.shutdown(2)  # the next write fails at once, before the loop is notified
     stage.cache.sock.close()
     stage.gateway.front._accept(1)
     client.call(2, i="00000000000000aa", c="commande")
-    for _ in range(3):  # without the stores' sockets, so that the write comes first
-        for mine in list(stage.gateway.front.clients):
-            mine.read()
+    for _ in range(3):  # the stores' sockets are not polled, so that the write comes first
+        for accepted_client in list(stage.gateway.front.clients):
+            accepted_client.read()
         stage.gateway.decide()
     assert stage.until(lambda: [a for a in client.answers() if a[0] == 2])[0][1] == "refused"
 
 
-def test_numbers_that_do_not_count_upward_and_requests_that_lack_a_field_are_not_served(stage):
+def test_requests_without_a_field_and_with_a_repeated_number_are_not_served(stage):
     client = stage.client()
     fields = {"c": "fichiers", "i": REQUEST, "o": OBJECT, "d": "5000", "n": "0", "shard": "17"}
     for number, name in enumerate(fields, 1):
@@ -490,25 +500,25 @@
 
 
 @with_board
-def test_stores_that_are_replaced_day_long_leave_nothing_behind(stage):
+def test_continuous_replacement_of_stores_leaves_no_state(stage):
     stage.until(lambda: b"watch=1&" in stage.board.poll())
     directory, rev = stage.gateway.directory, 1
     tables = (directory.names, directory.addresses, directory.states, directory.members, directory.started)
-    before = [len(t) for t in tables[:4]]
+    sizes_before = [len(table) for table in tables[:4]]
     for number in range(20):
         for phase in ("Ready", "Terminating", "Gone"):
             rev += 1
-            news = member(
+            changed_member = member(
                 f"s-000001{number:02x}", stage.cache.address, phase=phase, up_since_ms=10**12 + number
             )
-            stage.tell(rev, pool={"revision": rev, "complete": False, "members": [news]})
+            stage.tell(rev, pool={"revision": rev, "complete": False, "members": [changed_member]})
             stage.until(lambda rev=rev: f"watch={rev}&".encode() in stage.board.poll())
-    assert [len(t) for t in tables[:4]] == before and not directory.started
+    assert [len(table) for table in tables[:4]] == sizes_before and not directory.started
     assert len(stage.gateway.local.router.nodes) == 3
 
 
 @with_board
-def test_a_store_that_has_moved_is_asked_at_its_new_address_only(stage):
+def test_a_store_with_a_new_address_gets_requests_only_there(stage):
     stage.until(lambda: b"watch=1&" in stage.board.poll())
     client, moved = stage.client(), Peer()
     stage.peers.append(moved)
