--- a/olivecourse/emulator/faults.py
+++ b/olivecourse/emulator/faults.py
@@ -21,7 +21,7 @@
 from olivecourse.emulator.stores import World
 
 MAX_READ_BYTES = 65536  # bytes of one datagram or read
-MAX_DELAYED_DATAGRAMS = 4096  # further datagrams are lost, as in a network with full queues
+MAX_DELAYED_DATAGRAMS = 4096  # at a time; further datagrams are lost, as in a network with full queues
 Link = tuple[str, str]  # names of the sender and the receiver
 
 
@@ -176,14 +176,14 @@
 
     # Cuts ---------------------------------------------------------------------------------------------
 
-    def part(self, *groups: Sequence[str]) -> None:
+    def partition(self, *groups: Sequence[str]) -> None:
         """Cuts the links between the given groups of processes, in both directions."""
         for group in groups:
             for other in groups:
                 if group is not other:
                     self.cuts |= {(a, b) for a in group for b in other}
 
-    def mute(self, source: str, targets: Sequence[str]) -> None:
+    def block_outgoing(self, source: str, targets: Sequence[str]) -> None:
         """Cuts the links from `source` to `targets`; the opposite direction stays open."""
         self.cuts |= {(source, target) for target in targets}
 
@@ -287,16 +287,16 @@
         )
         self.stopped: set[str] = set()
 
-    def play(self, fault: Fault) -> None:
+    def apply(self, fault: Fault) -> None:
         """Carries out one fault."""
         if fault.what == "weather":
             self._network.weather = LinkConditions(*fault.figures)
         elif fault.what == "heal":
             self._network.heal()
         elif fault.what == "part":
-            self._network.part(fault.who, [n for n in self._names if n not in fault.who])
+            self._network.partition(fault.who, [n for n in self._names if n not in fault.who])
         elif fault.what == "mute":
-            self._network.mute(fault.who[0], self._names)
+            self._network.block_outgoing(fault.who[0], self._names)
         for name in fault.who:
             pid = self._pid(name)
             if fault.what == "kill" and pid is not None:
@@ -316,4 +316,4 @@
         """Schedules every fault at its time from now; the caller must run the event loop meanwhile."""
         started_at = time.monotonic()
         for fault in faults:
-            self._network.world.at(started_at + fault.at_s, partial(self.play, fault))
+            self._network.world.at(started_at + fault.at_s, partial(self.apply, fault))
--- a/olivecourse/emulator/observer.py
+++ b/olivecourse/emulator/observer.py
@@ -22,9 +22,9 @@
     the discovery server publishes.
     """
 
-    def __init__(self, drain_s: float, purge_s: float, once: frozenset[str]) -> None:
+    def __init__(self, drain_s: float, purge_s: float, at_most_once_classes: frozenset[str]) -> None:
         """Takes the grace periods of the settings and the classes whose requests must not run twice."""
-        self.drain_s, self.purge_s, self._at_most_once = drain_s, purge_s, once
+        self.drain_s, self.purge_s, self._at_most_once = drain_s, purge_s, at_most_once_classes
         self.broken: Counter[str] = Counter()
         self.told: list[str] = []  # descriptions of the first eight violations
         self._removed_at: dict[str, float] = {}
--- a/olivecourse/emulator/stores.py
+++ b/olivecourse/emulator/stores.py
@@ -30,10 +30,10 @@
     `mode` is good, failing (answers an error at once) or silent (accepts requests and answers none).
     `delay_s` is the time of the store's own work and `fill_s` the additional time of a fill. With
     `holds_all`, every read is a hit with a copy that the origin issued at this moment; otherwise the store
-    keeps at most `keeps` copies. `asked` counts requests. `orders` counts the executions of each write by its
-    body, as soon as the body is complete. `held` maps each copy to the Unix time in ms at which the origin
-    issued it. `fresh_ms` is the greatest age of a class's copies for requests that state none (0: any age).
-    `reports` are the fields of the load reports in answers.
+    keeps at most `max_copies` copies. `asked` counts requests. `orders` counts the executions of each write
+    by its body, as soon as the body is complete. `held` maps each copy to the Unix time in ms at which the
+    origin issued it. `fresh_ms` is the greatest age of a class's copies for requests that state none (0: any
+    age). `reports` are the fields of the load reports in answers.
     """
 
     name: str
@@ -41,7 +41,7 @@
     delay_s: float = 0.02
     fill_s: float = 0.03
     holds_all: bool = True
-    keeps: int = 1000
+    max_copies: int = 1000
     asked: int = 0
     orders: dict[str, int] = field(default_factory=dict)
     open: int = 0
@@ -55,7 +55,7 @@
         """The `HOST:PORT` on which the store listens."""
         return f"127.0.0.1:{self.sock.getsockname()[1]}"
 
-    def look(self, key: str, oldest_ms: int) -> int | None:
+    def lookup(self, key: str, oldest_ms: int) -> int | None:
         """When the origin issued the held copy, or None if there is no copy that is young enough.
 
         `oldest_ms` is the greatest acceptable age, 0 for any.
@@ -68,10 +68,10 @@
         self.held.move_to_end(key)
         return stamp
 
-    def keep(self, key: str, stamp: int) -> None:
-        """Stores a copy issued at `stamp` and evicts the least recently used copy beyond `keeps`."""
+    def add_copy(self, key: str, stamp: int) -> None:
+        """Stores a copy issued at `stamp`; evicts the least recently used copy beyond `max_copies`."""
         self.held[key] = stamp
-        if len(self.held) > self.keeps:
+        if len(self.held) > self.max_copies:
             self.held.popitem(last=False)
 
     def load(self) -> str:
@@ -150,7 +150,7 @@
         while (end := buffer.find(b"\r\n")) >= 0:
             words = bytes(buffer[:end]).decode("ascii", "replace").split(" ")
             fetch = words[0] == "fetch" and len(words) == 4 and words[3].isdecimal()
-            # After such a line the start of the next request is unknown.
+            # After a malformed line, the start of the next request is unknown, so the connection is closed.
             if not fetch and words[0] != "abort" or end > MAX_LINE_BYTES:
                 self._drop(conn)
                 return
@@ -199,7 +199,7 @@
             return "data", {"n": "MISS"}, b"order taken\n", store.delay_s + store.fill_s
         key, request_class = f"{asset}/{part}", fields.get("sort", "")
         oldest_ms = int(fields.get("newer") or 0) or store.fresh_ms.get(request_class, 0)
-        stamp, note, delay = store.look(key, oldest_ms), "HIT", store.delay_s
+        stamp, note, delay = store.lookup(key, oldest_ms), "HIT", store.delay_s
         if stamp is None and "fetch" not in fields:
             return "absent", {}, b"", delay
         if stamp is None:
@@ -208,10 +208,10 @@
             stamp = unix_ms()
             # A parent may hold a copy; otherwise the origin issues one now.
             if source is not None and source is not store:
-                stamp = source.look(key, oldest_ms) or stamp
-                source.keep(key, stamp)
+                stamp = source.lookup(key, oldest_ms) or stamp
+                source.add_copy(key, stamp)
             if "retain" in fields:
-                store.keep(key, stamp)
+                store.add_copy(key, stamp)
         return "data", {"version": "v1", "stamp": str(stamp), "n": note}, content(asset, part), delay
 
     def reset(self, store: Store) -> None:
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -22,6 +22,7 @@
 
 @pytest.fixture
 def stage():
+    """A gateway with an administration address and default settings."""
     made = Stage(admin="127.0.0.1:0")
     yield made
     made.close()
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -126,6 +126,7 @@
 
 @pytest.fixture
 def fleet(tmp_path):
+    """A fleet without processes, whose discovery server has published all stores but s-00000004."""
     made = Fleet(tmp_path)
     made.board.publish(
         pool={
@@ -139,6 +140,7 @@
 
 
 def wait_until_ready(fleet, processes):
+    """Runs the event loop until all processes accept work, for at most 60 seconds."""
     assert fleet.run(60, lambda: all([p.check_ready() for p in processes])), "a process did not become ready"
 
 
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -22,6 +22,7 @@
 
 @pytest.fixture
 def stage(request):
+    """A gateway with scripted servers; the test's parametrization may change its settings."""
     made = Stage(**getattr(request, "param", {}))
     yield made
     made.close()
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -8,6 +8,7 @@
 
 @pytest.fixture
 def stage(request):
+    """A gateway with scripted servers; `with_board` adds a discovery server."""
     made = Stage(**getattr(request, "param", {}))
     yield made
     made.close()
