--- a/build_native.py
+++ b/build_native.py
@@ -52,7 +52,7 @@
 )
 
 
-def source_digest() -> str:
+def digest() -> str:
     """A hash over the Python version, this script and all sources of the package."""
     total = hashlib.sha256(sys.version.encode())
     for path in [Path(__file__), *sorted((ROOT / "olivecourse").rglob("*.py"))]:
@@ -87,7 +87,7 @@
     if sys.argv[1:] == ["compile"]:
         compile_in_place()
         return 0
-    stamp, current_digest = TARGET / "stamp", source_digest()
+    stamp, current_digest = TARGET / "stamp", digest()
     if stamp.exists() and stamp.read_text() == current_digest:
         return 0
     copy_sources()
