--- a/olivecourse/emulator/faults.py
+++ b/olivecourse/emulator/faults.py
@@ -41,8 +41,8 @@
 class Network:
     """All links between named processes, on the event loop of a World.
 
-    `weather` holds the conditions of every link and `cuts` the links that pass no data at present. `passed`
-    and `lost` count datagrams.
+    `weather` holds the conditions of every link and `cuts` the links that pass no data at present.
+    `passed` and `lost` count datagrams.
     """
 
     world: World
--- a/olivecourse/emulator/stores.py
+++ b/olivecourse/emulator/stores.py
@@ -28,12 +28,13 @@
     """One emulated store.
 
     `mode` is good, failing (answers an error at once) or silent (accepts requests and answers none).
-    `delay_s` is the time of the store's own work and `fill_s` the additional time of a fill. With
-    `holds_all`, every read is a hit with a copy that the origin issued at this moment; otherwise the store
-    keeps at most `max_copies` copies. `asked` counts requests. `orders` counts the executions of each write
-    by its body, as soon as the body is complete. `held` maps each copy to the Unix time in ms at which the
-    origin issued it. `fresh_ms` is the greatest age of a class's copies for requests that state none (0: any
-    age). `reports` are the fields of the load reports in answers.
+    `delay_s` is the time of the store's own work and `fill_s` the additional time of a fill.
+    With `holds_all`, every read is a hit with a copy that the origin issued at this moment; otherwise the
+    store keeps at most `max_copies` copies. `asked` counts requests.
+    `orders` counts the executions of each write by its body, as soon as the body is complete.
+    `held` maps each copy to the Unix time in ms at which the origin issued it.
+    `fresh_ms` is the greatest age of a class's copies for requests that state none (0: any age).
+    `reports` are the fields of the load reports in answers.
     """
 
     name: str
