--- a/olivecourse/emulator/board.py
+++ b/olivecourse/emulator/board.py
@@ -1,4 +1,4 @@
-"""An emulated discovery server: numbered events over HTTP/1.1 long polls, on the event loop of a World."""
+"""An emulated discovery server that publishes numbered events over HTTP/1.1 long polls."""
 
 from __future__ import annotations
 
--- a/olivecourse/emulator/deployments.py
+++ b/olivecourse/emulator/deployments.py
@@ -36,9 +36,10 @@
     """A deployment.
 
     `stores` holds the name, kind and zone of each store, `reports` the load report fields in their answers,
-    `once` the classes whose requests must not run twice, `fresh_ms` the greatest age of copies in ms by
-    class, `doors` the administration addresses in use, `troubles` the faults in their order, and `replaced`
-    the settings that a reload brings. `drain_s` and `purge_s` are grace periods in seconds.
+    `once` the classes whose requests must not run twice, and `fresh_ms` the greatest age of
+    copies in ms by class. `doors` are the administration addresses in use, `troubles` the faults in their
+    order, and `replaced` the settings that a reload brings. `drain_s` and `purge_s` are grace periods in
+    seconds.
     """
 
     seed: int
