--- a/olivecourse/emulator/observer.py
+++ b/olivecourse/emulator/observer.py
@@ -18,8 +18,8 @@
 class Observer:
     """Counts violations of the rules on drains, purges and repeated requests in `broken`, by rule.
 
-    `asked` is the answer callback for a World. The caller reports the events that the discovery server
-    publishes.
+    `asked` is the answer callback for a World.
+    The caller reports the events that the discovery server publishes.
     """
 
     def __init__(self, drain_s: float, purge_s: float, at_most_once_classes: frozenset[str]) -> None:
