--- a/build_native.py
+++ b/build_native.py
@@ -38,7 +38,8 @@
     "fronts/listener",
     "fronts/signed",
     "ops/door",
-)  # the last two extend compiled ones
+    "net/seam",
+)  # the last three extend compiled ones
 RELAY = (
     "relay/event_log",
     "relay/history",
--- a/olivecourse/discovery/event_stream.py
+++ b/olivecourse/discovery/event_stream.py
@@ -64,10 +64,10 @@
             try:
                 self._text += self._decoder.decode(data)
                 self._read(events)
-            except UnicodeDecodeError as error:
-                self._read_before(error, events)
-            except EventStreamError as error:
-                self.error = error
+            except UnicodeDecodeError as decode_error:
+                self._read_before(decode_error, events)
+            except EventStreamError as stream_error:
+                self.error = stream_error
             except (ValueError, RecursionError) as error:
                 self.error = EventStreamError(f"{type(error).__name__}: {error}")
             if self.error is not None:
--- a/olivecourse/fronts/signed.py
+++ b/olivecourse/fronts/signed.py
@@ -168,8 +168,8 @@
         """Checks a request and passes it to the core; a write waits until its token is recorded."""
         try:
             reply, request_event, body, holds = self.front.parse_request(self, http_request)
-        except BadRequest as rejection:
-            self.answer(400, f"{rejection}\n".encode(), [], http_request.keep_alive)
+        except BadRequest as bad_request:
+            self.answer(400, f"{bad_request}\n".encode(), [], http_request.keep_alive)
             return
         except Rejected as rejection:
             self.front.log("token_rejected", status=rejection.status, why=rejection.reason)
