--- a/build_native.py
+++ b/build_native.py
@@ -40,7 +40,8 @@
     "fronts/listener",
     "fronts/signed",
     "ops/door",
-)  # the last two modules subclass classes of compiled modules
+    "net/seam",
+)  # the last three modules subclass classes of compiled modules
 RELAY = (
     "relay/event_log",
     "relay/history",
