--- a/benchmarks/_capacity_memory.py
+++ b/benchmarks/_capacity_memory.py
@@ -10,14 +10,14 @@
 from typing import Any
 
 from benchmarks._capacity_router import mean_us, settings, traced_kb
-from olivecourse import interface as w
+from olivecourse import interface
 from olivecourse.choice import COUNT_ERROR, HLL_BITS, INTERVAL_NS, SUPPORT
 from olivecourse.config.discovery_events import ServerDirectory
 from olivecourse.core.ledger import Ledger
 from olivecourse.gateway import LoopTimers
 from olivecourse.net.loop import Loop
 from olivecourse.net.stores import Limits, Pool, StoreStream
-from olivecourse.sizes import Sizes
+from olivecourse.sending_times import SendingTimes
 from olivecourse.sketch import HyperLogLog, LossyCounter
 
 MS = 1_000_000
@@ -37,13 +37,17 @@
     """The sketches that a Router keeps of the objects requested in a counting interval."""
 
     def __init__(self) -> None:
-        self.counter, self.distinct, self.sizes = LossyCounter(COUNT_ERROR), HyperLogLog(HLL_BITS), Sizes()
+        self.counter, self.distinct, self.sizes = (
+            LossyCounter(COUNT_ERROR),
+            HyperLogLog(HLL_BITS),
+            SendingTimes(),
+        )
 
     def add(self, name: str) -> None:
         """Counts one request for an object."""
         self.counter.add(name)
         self.distinct.add(name)
-        self.sizes.saw(name, 1e6)
+        self.sizes.observe(name, 1e6)
 
 
 def sketches_kb(names: list[str]) -> float:
@@ -172,7 +176,7 @@
                 raise RuntimeError("connections on loopback were not made")
             self.loop.turn(MS)
         self.pool._stores[STORE] = created
-        self.directory.states[STORE] = w.State.READY
+        self.directory.states[STORE] = interface.State.READY
         self.directory.addresses[STORE] = (host, port)
         return created
 
--- a/benchmarks/_capacity_router.py
+++ b/benchmarks/_capacity_router.py
@@ -15,7 +15,7 @@
 from random import Random
 
 from benchmarks._capacity_target import PARENT_SHARE, ZONES
-from olivecourse import interface as w
+from olivecourse import interface
 from olivecourse.choice import Router
 from olivecourse.core.planner import Planner
 from olivecourse.net.seam import unpack, write_batch
@@ -53,18 +53,18 @@
 SHAPES = (SPREAD, ALL_OWN, ALL_PARENTS)
 
 
-def settings(seed: int) -> w.Settings:
+def settings(seed: int) -> interface.Settings:
     """Returns settings with the target's zones, one hub, and one class of reads."""
-    read = w.RequestClass(
+    read = interface.RequestClass(
         "read",
         aim_ns=500 * MS,
         aim_stretch=1.0,
         deadline_ns=3 * S,
-        effect=w.Effect.IDEMPOTENT,
-        key_scope=w.Scope.ALL,
+        effect=interface.Effect.IDEMPOTENT,
+        key_scope=interface.Scope.ALL,
         key_memory_ns=2 * S,
     )
-    return w.Settings(
+    return interface.Settings(
         seed=seed,
         routers=GATEWAYS_A_ZONE * ZONES,
         zone=OWN_ZONE,
@@ -89,18 +89,20 @@
     )
 
 
-def members(shape: Shape, stores: int) -> tuple[w.Member, ...]:
+def members(shape: Shape, stores: int) -> tuple[interface.Member, ...]:
     """Returns `stores` servers in a distribution, all of them ready and warm."""
     own_zone, parents = shape.own_zone(stores), shape.parents(stores)
 
-    def member(number: int) -> w.Member:
+    def member(number: int) -> interface.Member:
         if number == 0:
             kind, zone = ORIGIN, HUB_ZONE
         elif number <= parents:
             kind, zone = PARENT, HUB_ZONE
         else:
             kind, zone = STORE, OWN_ZONE if number <= parents + own_zone else 1 + number % (ZONES - 1)
-        return w.Member(1000 + number, WEIGHT, 0, zone, w.State.READY, 0, kind, f"10.0.0.1:{number}@0")
+        return interface.Member(
+            1000 + number, WEIGHT, 0, zone, interface.State.READY, 0, kind, f"10.0.0.1:{number}@0"
+        )
 
     return tuple(map(member, range(stores)))
 
@@ -108,30 +110,30 @@
 class Driver:
     """A Router with a manual clock, and a source of random requests."""
 
-    def __init__(self, members_listed: tuple[w.Member, ...], seed: int) -> None:
+    def __init__(self, members_listed: tuple[interface.Member, ...], seed: int) -> None:
         self.now = 100 * S
         self.random = Random(seed)
         self.router = Router(settings(seed), self.now)
         self.router.start()
-        self.router.handle(w.CacheList(1, w.ListKind.HELD, members_listed), self.now)
+        self.router.handle(interface.CacheList(1, interface.ListKind.HELD, members_listed), self.now)
         self.asked = 0
 
-    def ask(self) -> w.Request:
+    def ask(self) -> interface.Request:
         """Creates a request for a random object."""
         self.asked += 1
         name = f"{self.random.randrange(OBJECTS):016x}"
-        return w.Request(f"{self.asked:016x}", 0, object=name, size_kb=500.0)
+        return interface.Request(f"{self.asked:016x}", 0, object=name, size_kb=500.0)
 
     def request(self) -> None:
         """Handles one request from its arrival to its deadline timer."""
         self.now += STEP_NS
         ask, token = self.ask(), 0
         for action in self.router.handle(ask, self.now):
-            if isinstance(action, w.SetTimer):
+            if isinstance(action, interface.SetTimer):
                 token = action.token
-            elif isinstance(action, w.ReadThrough):
+            elif isinstance(action, interface.ReadThrough):
                 self.router.handle(served(ask.request, action.cache), self.now)
-        self.router.handle(w.TimerFired(token), self.now)
+        self.router.handle(interface.TimerFired(token), self.now)
 
     def leave_open(self, count: int) -> None:
         """Adds `count` requests that remain without an answer."""
@@ -141,12 +143,14 @@
     def tick(self) -> None:
         """Advances the clock by 100 ms and runs the Router's periodic tick."""
         self.now += TICK_NS
-        self.router.handle(w.TimerFired(0), self.now)
+        self.router.handle(interface.TimerFired(0), self.now)
 
 
-def served(request: str, store: int) -> w.AttemptEnded:
+def served(request: str, store: int) -> interface.AttemptEnded:
     """Returns the event of an attempt that a store served as a hit."""
-    return w.AttemptEnded(request, 0, store, w.Status.SERVED, 20 * MS, True, w.Note.HIT)
+    return interface.AttemptEnded(
+        request, 0, store, interface.Status.SERVED, 20 * MS, True, interface.Note.HIT
+    )
 
 
 def mean_us(call: Callable[[], object], count: int) -> float:
@@ -187,7 +191,7 @@
     """Measures the tick with `open_` open requests, none of which is late."""
     driver = Driver(members(SPREAD, 1100), seed)
     driver.leave_open(open_)
-    return mean_us(lambda: driver.router.handle(w.TimerFired(0), driver.now), count)
+    return mean_us(lambda: driver.router.handle(interface.TimerFired(0), driver.now), count)
 
 
 def silent_tick_us(open_: int, seed: int) -> float:
@@ -202,11 +206,11 @@
     """Measures one change of the list: a store begins to drain, or is ready again."""
     members_listed = members(shape, stores)
     driver, last_member = Driver(members_listed, seed), members_listed[-1]
-    states = (w.State.DRAINING, w.State.READY)
+    states = (interface.State.DRAINING, interface.State.READY)
 
     def change() -> None:
         driver.asked += 1
-        changed_member = w.Member(
+        changed_member = interface.Member(
             last_member.cache,
             last_member.weight,
             last_member.ready_at_ns,
@@ -216,7 +220,9 @@
             last_member.kind,
             last_member.life,
         )
-        driver.router.handle(w.CacheList(driver.asked, w.ListKind.CHANGES, (changed_member,)), driver.now)
+        driver.router.handle(
+            interface.CacheList(driver.asked, interface.ListKind.CHANGES, (changed_member,)), driver.now
+        )
 
     return mean_us(change, count) / 1e3
 
@@ -225,7 +231,7 @@
     """Measures the processing of a complete list by the Router."""
     members_listed = members(SPREAD, stores)
     driver = Driver(members_listed, seed)
-    complete_list = w.CacheList(2, w.ListKind.FULL, members_listed)
+    complete_list = interface.CacheList(2, interface.ListKind.FULL, members_listed)
     return mean_us(lambda: driver.router.handle(complete_list, driver.now), count) / 1e3
 
 
@@ -252,7 +258,7 @@
 
     def fill() -> Driver:
         for number in range(purges):
-            driver.router.handle(w.Purged(f"{number:016x}", None, 0), driver.now)
+            driver.router.handle(interface.Purged(f"{number:016x}", None, 0), driver.now)
         return driver
 
     return traced_kb(fill)
@@ -275,16 +281,16 @@
 def exchange(requests: int, seed: int, count: int) -> Exchange:
     """Measures batches of `requests` complete requests with 1,100 stores, without sockets."""
     driver = Driver(members(SPREAD, 1100), seed)
-    planner = Planner(driver.router.s, driver.now, lambda *words, **fields: None)
+    planner = Planner(driver.router.settings, driver.now, lambda *words, **fields: None)
     planner.router = driver.router
     costs = _ExchangeCosts()
     for _ in range(count):
         driver.now += STEP_NS * requests
         actions = costs.batch(planner, [driver.ask() for _ in range(requests)], driver.now)
-        sent = [action for action in actions if isinstance(action, w.ReadThrough)]
-        timers = [action for action in actions if isinstance(action, w.SetTimer)]
-        ended: list[w.Event] = [served(action.request, action.cache) for action in sent]
-        costs.batch(planner, [*ended, *(w.TimerFired(action.token) for action in timers)], driver.now)
+        sent = [action for action in actions if isinstance(action, interface.ReadThrough)]
+        timers = [action for action in actions if isinstance(action, interface.SetTimer)]
+        ended: list[interface.Event] = [served(action.request, action.cache) for action in sent]
+        costs.batch(planner, [*ended, *(interface.TimerFired(action.token) for action in timers)], driver.now)
     return Exchange(
         costs.out_bytes / count / 1e3,
         costs.back_bytes / count / 1e3,
@@ -301,7 +307,7 @@
         self.out_bytes = self.back_bytes = 0
         self.forwarder_s = self.codec_s = self.decide_s = 0.0
 
-    def batch(self, planner: Planner, events: list[w.Event], now: int) -> list[w.Action]:
+    def batch(self, planner: Planner, events: list[interface.Event], now: int) -> list[interface.Action]:
         """Sends events through encoding, planner and decoding, and returns the planner's actions."""
         began = time.process_time()
         line = write_batch(now, events)
@@ -312,7 +318,7 @@
         decided = time.process_time()
         reply = write_batch(now, made)
         replied = time.process_time()
-        actions: list[w.Action] = [unpack(row) for row in json.loads(reply)[1]]
+        actions: list[interface.Action] = [unpack(row) for row in json.loads(reply)[1]]
         ended = time.process_time()
         self.out_bytes += len(line)
         self.back_bytes += len(reply)
--- a/benchmarks/_capacity_target.py
+++ b/benchmarks/_capacity_target.py
@@ -6,7 +6,7 @@
 from olivecourse.core.descriptors import PER_STORE
 from olivecourse.net.stores import MOST_BODY
 from olivecourse.rollout.hearing import DEAD_BEATS, Hearing
-from olivecourse.sizes import MOST as MOST_SIZES
+from olivecourse.sending_times import MAX_OBJECTS as MOST_SIZES
 
 GATEWAYS, SITES, STORES, REGIONS, ZONES = 7500, 470, 1100, 23, 46
 REQUESTS_PER_S = 6.3e6
--- a/benchmarks/_hollow.py
+++ b/benchmarks/_hollow.py
@@ -23,7 +23,7 @@
 from typing import Any
 
 from benchmarks._standin_discovery import tagged_us
-from olivecourse import interface as w
+from olivecourse import interface
 from olivecourse.config.address import parse_address
 from olivecourse.config.gateway_config import Config, load_config
 from olivecourse.config.merging import merge
@@ -42,7 +42,7 @@
 LONGEST_MS = 60_000  # longer propagation times are counted in the last bucket
 
 
-OnApplied = Callable[["HollowGateway", w.Event, int], None]
+OnApplied = Callable[["HollowGateway", interface.Event, int], None]
 
 
 class Times:
@@ -85,7 +85,7 @@
         self.config = self._read()
         self.loop = Loop()
         self.loop.faulted = self._faulted
-        self.batch: list[w.Event] = []
+        self.batch: list[interface.Event] = []
         self.logged: list[str] = []
         self.events = 0  # discovery events applied since the start
         self.started_us = 0
@@ -117,13 +117,13 @@
     def _server_terminated(self, server: int, when: int) -> None:
         """A real gateway closes its connections to the server here; a hollow gateway has none."""
 
-    def _carry_out(self, actions: list[w.Action]) -> None:
+    def _carry_out(self, actions: list[interface.Action]) -> None:
         for action in actions:
-            if isinstance(action, w.SetTimer):
+            if isinstance(action, interface.SetTimer):
                 self._set_timer(action)
 
-    def _set_timer(self, action: w.SetTimer) -> None:
-        self.loop.after(action.delay_ns, lambda: self.batch.append(w.TimerFired(action.token)))
+    def _set_timer(self, action: interface.SetTimer) -> None:
+        self.loop.after(action.delay_ns, lambda: self.batch.append(interface.TimerFired(action.token)))
 
     def decide(self) -> None:
         """Passes the collected events to the planner and carries out its actions, as a gateway does."""
@@ -134,11 +134,11 @@
             if self.started_us:
                 self._report_applied(events)
 
-    def _report_applied(self, events: list[w.Event]) -> None:
+    def _report_applied(self, events: list[interface.Event]) -> None:
         began = time.thread_time_ns()
         now_us = time.monotonic_ns() // 1_000
         for event in events:
-            if not isinstance(event, w.TimerFired):
+            if not isinstance(event, interface.TimerFired):
                 self.events += 1
                 self._on_applied(self, event, now_us)
         self.bookkeeping_ns += time.thread_time_ns() - began
@@ -246,12 +246,12 @@
         """Discards all propagation times counted so far."""
         self.purges, self.changes, self.reloads = Times(), Times(), Times()
 
-    def _on_applied(self, gateway: HollowGateway, event: w.Event, now_us: int) -> None:
+    def _on_applied(self, gateway: HollowGateway, event: interface.Event, now_us: int) -> None:
         """Counts the propagation time of an event that was published after the gateway's start."""
-        if isinstance(event, w.Purged):
+        if isinstance(event, interface.Purged):
             published_us = tagged_us(event.object or "0")
             times = self.purges
-        elif isinstance(event, w.CacheList):
+        elif isinstance(event, interface.CacheList):
             published_us = event.version
             times = self.changes
         else:
--- a/benchmarks/_virtual_ramp.py
+++ b/benchmarks/_virtual_ramp.py
@@ -177,7 +177,7 @@
     if memory:
         traced_bytes = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
-    return _evaluate(case, routers[0].s, calls, decisions, cpu_s, traced_bytes)
+    return _evaluate(case, routers[0].settings, calls, decisions, cpu_s, traced_bytes)
 
 
 def _request(router: Router, number: int, now_ns: int) -> Iterator[int]:
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -95,7 +95,7 @@
 
     `snapshots` tells whether the snapshot writer runs.
     """
-    from olivecourse import interface as w
+    from olivecourse import interface as interface
     from olivecourse.config.settings import nested_pairs, read_settings
     from olivecourse.core.planner import Planner
     from olivecourse.memory.keeper import Keeper
@@ -113,10 +113,11 @@
             keeper.adopt(planner.router)
             keeper.start()
         members = tuple(
-            w.Member(number, 8.0, 0, 1, kind=0, life=f"127.0.0.1:{number}@0") for number in range(1, 61)
+            interface.Member(number, 8.0, 0, 1, kind=0, life=f"127.0.0.1:{number}@0")
+            for number in range(1, 61)
         )
-        planner.decide([w.CacheList(1, w.ListKind.HELD, members)], loop.clock.now())
-        planner.decide([w.Purged(f"{number:016x}") for number in range(500)], loop.clock.now())
+        planner.decide([interface.CacheList(1, interface.ListKind.HELD, members)], loop.clock.now())
+        planner.decide([interface.Purged(f"{number:016x}") for number in range(500)], loop.clock.now())
         turns_ms: list[float] = []
         count = 0
 
@@ -125,13 +126,21 @@
             count += 1
             request = f"{count:016x}"
             now = loop.clock.now()
-            actions = planner.decide([w.Request(request, 0, object=f"{count % 900:016x}", size_kb=80.0)], now)
+            actions = planner.decide(
+                [interface.Request(request, 0, object=f"{count % 900:016x}", size_kb=80.0)], now
+            )
             for action in actions:
-                if isinstance(action, w.ReadThrough):
+                if isinstance(action, interface.ReadThrough):
                     planner.decide(
                         [
-                            w.AttemptEnded(
-                                request, 0, action.cache, w.Status.SERVED, 1_000_000, True, w.Note.HIT
+                            interface.AttemptEnded(
+                                request,
+                                0,
+                                action.cache,
+                                interface.Status.SERVED,
+                                1_000_000,
+                                True,
+                                interface.Note.HIT,
                             )
                         ],
                         now,
--- a/olivecourse/choice.py
+++ b/olivecourse/choice.py
@@ -14,11 +14,11 @@
 from random import Random
 from typing import Any
 
-from olivecourse import interface as w
+from olivecourse import interface
+from olivecourse.load_reports import LoadReports
 from olivecourse.purge_table import PurgeTable
-from olivecourse.reports import LoadReports
 from olivecourse.ring import Ring, rendezvous_order, ring_distance
-from olivecourse.sizes import Sizes
+from olivecourse.sending_times import SendingTimes
 from olivecourse.sketch import HyperLogLog, LossyCounter, max_balls
 from olivecourse.state import Node, PendingRequest
 
@@ -45,10 +45,10 @@
 FEW_CACHES = 16
 # Highest accepted ratio of the estimated load of the busiest cache to the mean load of a cache: the latency
 # targets tolerate about this much sharing of a link.
-BOUND = 2.0
+MAX_PEAK_TO_MEAN = 2.0
 # Lowest value of the popularity threshold T, as a number of requests of mean load in an interval: each
 # additional name of an object costs a fill, which pays only if the name serves this many requests.
-NAME_WORTH = 4.0
+MIN_REQUESTS_PER_NAME = 4.0
 THRESHOLD_STEP = 0.85  # each trial value of the popularity threshold T is this multiple of the one before
 # Points on the hash ring of a cache of mean weight (the capacity that discovery reports). With this number,
 # the shares of the objects that fall to caches of equal weight differ by about 12 %.
@@ -68,11 +68,11 @@
 # The error score of a node halves in this time while no outcome updates it, so that a node that was avoided
 # gradually gets trial traffic again.
 SCORE_HALF_LIFE_NS = 4_000 * MS
-# SLACK: excess of a node's error score (0 healthy, 1 failing) over its best peer's that is attributed to
-# chance and costs no trust (share of its normal traffic that the node receives). The excess is measured as a
-# part of the distance from the best peer's score to 1.
-# STEEP: trust lost per unit of excess beyond SLACK.
-SLACK, STEEP = 0.4, 3.0
+# SCORE_TOLERANCE: excess of a node's error score (0 healthy, 1 failing) over its best peer's that is
+# attributed to chance and costs no trust (share of its normal traffic that the node receives). The excess is
+# measured as a part of the distance from the best peer's score to 1. TRUST_SLOPE: trust lost per unit of
+# excess beyond SCORE_TOLERANCE.
+SCORE_TOLERANCE, TRUST_SLOPE = 0.4, 3.0
 # Lowest trust of a node, that is, the share of its normal traffic that even a failing node receives: enough
 # trial traffic to notice its recovery.
 MIN_TRUST = 0.02
@@ -153,10 +153,10 @@
 LOST_AFTER_FACTOR, REPEAT_TIME_FACTOR, REPEAT_OVERHEAD_NS = 1.3, 1.25, 15 * MS
 # Bounds of a fill share (the share of a class's requests that may cause a fill). The range above 1 is a
 # reserve: a few late fills in normal operation refuse nothing.
-MIN_FILL_SHARE, MOST_FILLS = 0.1, 1.5
+MIN_FILL_SHARE, MAX_FILL_SHARE = 0.1, 1.5
 
 
-def choose_t(
+def choose_threshold(
     counts: list[float],
     total: float,
     distinct: float,
@@ -202,8 +202,8 @@
     Call `start()` once, then `handle(event, now)` for each event; the caller executes the returned actions.
     """
 
-    def __init__(self, settings: w.Settings, now: int) -> None:
-        self.s, self.now = settings, now
+    def __init__(self, settings: interface.Settings, now: int) -> None:
+        self.settings, self.now = settings, now
         self.random = Random(settings.seed)
         zone_routers_here = settings.zone_routers[settings.zone : settings.zone + 1]
         self.routers_in_zone = max(
@@ -216,66 +216,70 @@
         self.origin_sample_weight = min(
             max(self.sample_weight, settings.routers // REFERENCE_ROUTERS), MAX_ORIGIN_SAMPLE_WEIGHT
         )
-        self.actions: list[w.Action] = []
+        self.actions: list[interface.Action] = []
         self.nodes, self.ring = dict[int, Node](), Ring()
         self.caches, self.parents, self.origins = list[Node](), list[Node](), list[Node]()
-        # `held`: unanswered requests by request id. `attempts`: unfinished attempts by request id and attempt
-        # number, each with its send time, request, node and fill source. `timers`: request ids by the token
-        # of their deadline timer.
-        self.held: dict[str, PendingRequest] = {}
+        # `pending_requests`: unanswered requests by request id. `attempts`: unfinished attempts by request id
+        # and attempt number, each with its send time, request, node and fill source. `timers`: request ids by
+        # the token of their deadline timer.
+        self.pending_requests: dict[str, PendingRequest] = {}
         self.attempts: dict[tuple[str, int], tuple[int, PendingRequest, Node, Node | None]] = {}
         self.timers, self.last_token = dict[int, str](), 0
-        # `counter`, `distinct`: loads and number of objects in the current counting interval. `counts`, `t`:
-        # loads of the frequent objects in the previous interval and the popularity threshold T chosen for
-        # them.
+        # `counter`, `distinct`: loads and number of objects in the current counting interval. `counts`,
+        # `hot_threshold`: loads of the frequent objects in the previous interval and the popularity threshold
+        # T chosen for them.
         self.counter, self.distinct = LossyCounter(COUNT_ERROR), HyperLogLog(HLL_BITS)
-        self.counts, self.t, self.next_subscribe_at = dict[str, float](), math.inf, math.inf
-        # Departure: only a share of each class's requests, `fills`, may cause a fill from any source. The
-        # other requests are served only by a hit, or refused. A second share, `near`, decides which of those
-        # may still be filled with an object that a parent already holds, because such fills put no load on
-        # the origin.
-        self.fills = [MOST_FILLS] * len(settings.classes)
-        self.near = list(self.fills)
-        self.late_at = [now] * len(self.fills)  # time of the last late fill, by class index
+        self.counts, self.hot_threshold, self.next_subscribe_at = dict[str, float](), math.inf, math.inf
+        # Departure: only a share of each class's requests, `fill_shares`, may cause a fill from any source.
+        # The other requests are served only by a hit, or refused. A second share, `parent_fill_shares`,
+        # decides which of those may still be filled with an object that a parent already holds, because such
+        # fills put no load on the origin.
+        self.fill_shares = [MAX_FILL_SHARE] * len(settings.classes)
+        self.parent_fill_shares = list(self.fill_shares)
+        self.last_late_fill_at = [now] * len(self.fill_shares)  # time of the last late fill, by class index
         # Number of timely fills since the last late one, by class index and by whether the share for fills
         # from a parent's own copy was adapted.
-        self.streak: dict[tuple[int, bool], int] = {}
+        self.timely_fill_streak: dict[tuple[int, bool], int] = {}
         self.retune_at = now + INTERVAL_NS
         self.purges = PurgeTable()
         self.retry_budget, self.fills_restricted = MAX_SAVED_RETRIES, False
-        # `lost`: number of early repeats that the router may still make; lost responses grant them. `looks`:
-        # attempts (request id and attempt number) to check for a lost response, by timer token.
-        self.lost, self.looks = 0.0, dict[int, tuple[str, int]]()
+        # `lost_response_credit`: number of early repeats that the router may still make; lost responses grant
+        # them. `lost_response_checks`: attempts (request id and attempt number) to check for a lost response,
+        # by timer token.
+        self.lost_response_credit, self.lost_response_checks = 0.0, dict[int, tuple[str, int]]()
         # Learned mean time that the answers of each class take to be sent to the client, in ns. It starts at
         # the latency target, which is high, because the load of an attempt on a cold node must not be
-        # underestimated. `price_ns`, what an attempt costs in the credit for a cold node, is a second copy
-        # that is never restored from the state of an earlier process.
-        self.size_ns = [float(c.aim_ns) for c in settings.classes]
-        self.price_ns = list(self.size_ns)
+        # underestimated. `cold_budget_cost_ns`, what an attempt costs in the credit for a cold node, is a
+        # second copy that is never restored from the state of an earlier process.
+        self.mean_sending_ns = [float(c.aim_ns) for c in settings.classes]
+        self.cold_budget_cost_ns = list(self.mean_sending_ns)
         # Hook for the memory component, which keeps learned state across restarts: called for each node that
         # is new to this router, to restore what was learned about it before.
-        self.recall: Callable[[Node], None] = lambda unused: None
-        self.limits: w.Limits | None = None  # limits of the guard against retry storms, if one is set
+        self.restore_node: Callable[[Node], None] = lambda unused: None
+        self.limits: interface.Limits | None = None  # limits of the guard against retry storms, if one is set
         # `density`: mean of the requests' value (`RequestClass.worth`) per ns that the answer takes to be
         # sent to the client.
-        self.sizes, self.reports = Sizes(), LoadReports(settings.report_fields)
+        self.sizes, self.reports = SendingTimes(), LoadReports(settings.report_fields)
         self.density = sum(c.worth / (c.aim_ns or 1) for c in settings.classes) / (len(settings.classes) or 1)
         self.handlers: dict[type, Callable[[Any], object]] = {
-            w.Request: self._on_request,
-            w.AttemptEnded: self._on_attempt_ended,
-            w.TimerFired: self._on_timer,
-            w.CacheList: self._on_cache_list,
-            w.Purged: self._on_purged,
-            w.ClientLeft: lambda gone: self.held.pop(gone.request, None),
+            interface.Request: self._on_request,
+            interface.AttemptEnded: self._on_attempt_ended,
+            interface.TimerFired: self._on_timer,
+            interface.CacheList: self._on_cache_list,
+            interface.Purged: self._on_purged,
+            interface.ClientLeft: lambda gone: self.pending_requests.pop(gone.request, None),
         }
 
-    def start(self) -> list[w.Action]:
+    def start(self) -> list[interface.Action]:
         """Returns the first actions: the periodic timer and, if the settings tell the router to ask discovery
         for the cache list, a subscription to it.
         """
-        return [w.SetTimer(TICK_NS, 0), *([w.Subscribe(True)] if self.s.ask_discovery else ())]
+        return [
+            interface.SetTimer(TICK_NS, 0),
+            *([interface.Subscribe(True)] if self.settings.ask_discovery else ()),
+        ]
 
-    def handle(self, event: w.Event, now: int) -> list[w.Action]:
+    def handle(self, event: interface.Event, now: int) -> list[interface.Action]:
         """Processes one event at time `now` (in ns) and returns the actions that the caller must execute."""
         self.now, self.actions = now, []
         self.handlers.get(type(event), lambda unused: None)(event)
@@ -285,28 +289,40 @@
         """Returns the ids of nodes that get only trial traffic, because their error score says that they are
         failing, or none, because discovery does not list them as ready.
         """
-        return {c for c, n in self.nodes.items() if n.failing or n.member.state is not w.State.READY}
+        return {c for c, n in self.nodes.items() if n.failing or n.member.state is not interface.State.READY}
 
     # Choice of cache and source ---------------------------------------------------------------------
 
-    def _on_request(self, ask: w.Request) -> None:
+    def _on_request(self, request: interface.Request) -> None:
         """Registers a new request, sets its deadline timer, counts its object and sends the first attempt, or
         refuses the request if the guard against retry storms does not admit it.
         """
-        request_class, flags = self.s.classes[ask.cls], ask.flags
-        write = request_class.write or bool(flags & w.Flag.WRITE)
-        self.density += LEARNING_RATE * (request_class.worth / self.size_ns[ask.cls] - self.density)
-        reported_time = ask.size_kb and self.s.client_kb_per_s and ask.size_kb / self.s.client_kb_per_s * 1e9
-        if known_time := reported_time or self.sizes.estimate(ask.object or ""):
-            self._learn_sending_time(ask.cls, known_time)
-        sending_time = known_time or self.size_ns[ask.cls]
-        time_budget = request_class.deadline_ns if ask.budget_ns is None else ask.budget_ns
+        request_class, flags = self.settings.classes[request.cls], request.flags
+        write = request_class.write or bool(flags & interface.Flag.WRITE)
+        self.density += LEARNING_RATE * (
+            request_class.worth / self.mean_sending_ns[request.cls] - self.density
+        )
+        reported_time = (
+            request.size_kb
+            and self.settings.client_kb_per_s
+            and request.size_kb / self.settings.client_kb_per_s * 1e9
+        )
+        if known_time := reported_time or self.sizes.estimate(request.object or ""):
+            self._learn_sending_time(request.cls, known_time)
+        sending_time = known_time or self.mean_sending_ns[request.cls]
+        time_budget = request_class.deadline_ns if request.budget_ns is None else request.budget_ns
         # Departure: a cache stores each part of an object separately, so each part has a key of its own on
         # the hash ring, as if it were an object.
-        key = ask.object or ask.request
-        key = f"{key}/{ask.part}" if ask.part else key
-        pending = self.held[ask.request] = PendingRequest(
-            ask, request_class, self.now + time_budget, sending_time, write, key, size_known=bool(known_time)
+        key = request.object or request.request
+        key = f"{key}/{request.part}" if request.part else key
+        pending = self.pending_requests[request.request] = PendingRequest(
+            request,
+            request_class,
+            self.now + time_budget,
+            sending_time,
+            write,
+            key,
+            size_known=bool(known_time),
         )
         limit_factor = min(
             max(
@@ -315,33 +331,34 @@
             ),
             MAX_VALUE_FACTOR,
         )
-        pending.limit_factor = limit_factor * REPEAT_SHARE if flags & w.Flag.REPEAT else limit_factor
+        pending.limit_factor = limit_factor * REPEAT_SHARE if flags & interface.Flag.REPEAT else limit_factor
         # The random number that decides whether the request may cause a fill is drawn once per request, so
         # that a retry does not have to pass the fill share (the share of requests that may cause a fill)
         # again.
         pending.fill_draw = self.random.random()
         self.last_token += 1
-        self.timers[self.last_token] = ask.request
+        self.timers[self.last_token] = request.request
         # The timer fires just before the deadline of the request, so that the refusal or failure with which
         # the router then answers reaches the client in time.
-        self.actions.append(w.SetTimer(max(time_budget - self.s.tick_ns, 0), self.last_token))
-        if ask.object is not None and not write and not flags & w.Flag.REPEAT:
+        self.actions.append(interface.SetTimer(max(time_budget - self.settings.tick_ns, 0), self.last_token))
+        if request.object is not None and not write and not flags & interface.Flag.REPEAT:
             # Departure: where sizes are reported, an object's load is the total time to send its answers to
             # clients, because the number of requests does not show that a large object fills a link.
             self.counter.add(key, sending_time if reported_time else 1.0)
             self.distinct.add(key)
         self.retry_budget = min(self.retry_budget + RETRIES_PER_REQUEST, MAX_SAVED_RETRIES)
         admitted = self.limits is None or self.limits.admit(
-            ask, sending_time, float(time_budget), len(self.held) - 1
+            request, sending_time, float(time_budget), len(self.pending_requests) - 1
         )
         (self._send if admitted else self._give_up)(pending)
 
     def _learn_sending_time(self, class_index: int, sending_time: float) -> None:
         """Updates a class's mean sending times (times to send an answer to the client) with one request's.
 
-        `sending_time` is in ns; both copies of the mean, `size_ns` and `price_ns`, are updated.
+        `sending_time` is in ns; both copies of the mean, `mean_sending_ns` and `cold_budget_cost_ns`, are
+        updated.
         """
-        for mean_times in (self.size_ns, self.price_ns):
+        for mean_times in (self.mean_sending_ns, self.cold_budget_cost_ns):
             mean_times[class_index] += LEARNING_RATE * (sending_time - mean_times[class_index])
 
     def _retune(self) -> None:
@@ -351,18 +368,18 @@
         frequent_counts = self.counter.frequent(SUPPORT)
         self.counts = dict(frequent_counts)
         distinct_count, total_load = max(self.distinct.count(), len(frequent_counts)), self.counter.total
-        self.t = choose_t(
+        self.hot_threshold = choose_threshold(
             list(self.counts.values()),
             total_load,
             distinct_count,
             len(self.caches),
-            BOUND,
-            NAME_WORTH * total_load / max(self.counter.arrivals, 1),
+            MAX_PEAK_TO_MEAN,
+            MIN_REQUESTS_PER_NAME * total_load / max(self.counter.arrivals, 1),
         )
         self.counter, self.distinct = LossyCounter(COUNT_ERROR), HyperLogLog(HLL_BITS)
         self.retune_at = self.now + INTERVAL_NS
 
-    def _names(self, key: str) -> int:
+    def _name_count(self, key: str) -> int:
         """Returns under how many names an object is hashed to the ring: its load divided by the popularity
         threshold T, rounded up, and at least one.
 
@@ -370,7 +387,7 @@
         popularity can rise suddenly.
         """
         load = max(self.counts.get(key, 0.0), self.counter.count(key))
-        return math.ceil(load / self.t) if load > self.t else 1
+        return math.ceil(load / self.hot_threshold) if load > self.hot_threshold else 1
 
     def _pick_cache(self, pending: PendingRequest) -> Node | None:
         """Returns the first suitable cache on the ring from the position of a random name of the object, or
@@ -380,10 +397,14 @@
         late. If all caches are at their limits, the request is refused early.
         """
         fallbacks, past_first = list[Node](), False
-        for node in self.ring.walk(f"{pending.key}#{self.random.randrange(self._names(pending.key))}"):
-            if not self._may_send(node, pending) or self.s.direct and self._pain(node) > FAILED_SCORE:
+        for node in self.ring.walk(f"{pending.key}#{self.random.randrange(self._name_count(pending.key))}"):
+            if (
+                not self._may_send(node, pending)
+                or self.settings.direct
+                and self._error_score(node) > FAILED_SCORE
+            ):
                 continue
-            limit = max(node.limit, node.bears) * (SPILLOVER_SHARE if past_first else 1.0)
+            limit = max(node.limit, node.reported_capacity) * (SPILLOVER_SHARE if past_first else 1.0)
             # An idle cache with a concurrency limit of at least one always accepts an attempt, even if the
             # request's factor reduces the limit below one.
             allowed, past_first = max(limit * pending.limit_factor, min(limit, 1.0)), True
@@ -406,7 +427,7 @@
             default=None,
             key=lambda candidate: (
                 pending.tried_caches.count(candidate.member.cache),
-                round(self._pain(candidate), 1 if pending.write else 9),
+                round(self._error_score(candidate), 1 if pending.write else 9),
             ),
         )
 
@@ -448,8 +469,12 @@
             # Departure: all routers use the same one of the two preferred parents, the one nearer to their
             # zone, unless the mean fill wait of the more distant one is clearly shorter, because the mean
             # fill wait that each router measures rests on few misses.
-            preferred.sort(key=lambda n: ring_distance(self.s.zone_hub, n.member.zone, self.s.zone))
-            second_is_faster = (preferred[-1].wait or math.inf) < CLEARLY_FASTER * (preferred[0].wait or 0.0)
+            preferred.sort(
+                key=lambda n: ring_distance(self.settings.zone_hub, n.member.zone, self.settings.zone)
+            )
+            second_is_faster = (preferred[-1].fill_wait_ns or math.inf) < CLEARLY_FASTER * (
+                preferred[0].fill_wait_ns or 0.0
+            )
             return preferred[-1 if second_is_faster else 0]
         return next(
             (n for n in [*filter(is_up, order[2:]), *self.origins, *order] if permitted(n, pending)), None
@@ -460,20 +485,25 @@
     def _send(self, pending: PendingRequest) -> None:
         """Sends one more attempt of a request, or refuses or fails the request if no attempt is possible."""
         node = source = None
-        if pending.sent < self.s.max_attempts and pending.deadline - self.now > self.s.tick_ns:
-            if not (pending.write and self.s.direct):
+        if (
+            pending.attempts_sent < self.settings.max_attempts
+            and pending.deadline - self.now > self.settings.tick_ns
+        ):
+            if not (pending.write and self.settings.direct):
                 node = self._pick_cache(pending)
-            draw, class_index = min(pending.fill_draw / pending.limit_factor, 1.0), pending.ask.cls
-            pending.near = not pending.write and draw >= self.fills[class_index]
-            if node is not None and not (pending.near and draw >= self.near[class_index]):
+            draw, class_index = min(pending.fill_draw / pending.limit_factor, 1.0), pending.request.cls
+            pending.parent_only = not pending.write and draw >= self.fill_shares[class_index]
+            if node is not None and not (
+                pending.parent_only and draw >= self.parent_fill_shares[class_index]
+            ):
                 source = self._pick_source(pending)
-                if pending.near and source not in self.parents:
+                if pending.parent_only and source not in self.parents:
                     # The class's fill share allows this request a fill only with a copy that a parent holds.
                     # The origin is no source for it, because the share was lowered to relieve the origin.
                     source = None
             # Departure: if no cache may get the attempt, the request goes straight to a parent or origin
             # where the settings allow it (`Settings.direct`).
-            elif node is None and self.s.direct:
+            elif node is None and self.settings.direct:
                 node = self._pick_source(pending, as_target=True)
                 spillover = SPILLOVER_SHARE**2 if pending.caches_full else 1.0
                 node = (
@@ -486,8 +516,8 @@
         if node is None or (pending.write and source is None and node not in self.origins):
             self._give_up(pending)
             return
-        remaining_ns, key = pending.deadline - self.now, (pending.ask.request, pending.sent)
-        pending.sent += 1
+        remaining_ns, key = pending.deadline - self.now, (pending.request.request, pending.attempts_sent)
+        pending.attempts_sent += 1
         pending.tried_caches.append(node.member.cache)
         pending.in_flight[key[1]] = (node, source)
         pending.maybe_executed.append((self.now, node))
@@ -496,18 +526,22 @@
         node.in_flight[key] = self.now
         for used in (node, source) if source is not node else (node,):
             if used is not None:
-                used.credit -= self.price_ns[pending.ask.cls]
+                used.credit -= self.cold_budget_cost_ns[pending.request.cls]
         # The origin holds every object, so an attempt sent to it needs no fill source.
         if node in self.origins:
-            self.actions.append(w.Look(key[0], node.member.cache, remaining_ns))
+            self.actions.append(interface.Look(key[0], node.member.cache, remaining_ns))
             return
         max_age, purge_bound = self._max_age(pending)
-        how = w.How(0) if pending.write or purge_bound or not self.s.joins else w.How.JOIN
-        how |= w.How.RENEW if pending.request_class.fresh_ns and not pending.write else 0
-        how |= w.How.HELD_ONLY if pending.near and source is not None else 0
+        how = (
+            interface.How(0)
+            if pending.write or purge_bound or not self.settings.joins
+            else interface.How.JOIN
+        )
+        how |= interface.How.RENEW if pending.request_class.fresh_ns and not pending.write else 0
+        how |= interface.How.HELD_ONLY if pending.parent_only and source is not None else 0
         fill_source = (source or node).member.cache
         self.actions.append(
-            w.ReadThrough(
+            interface.ReadThrough(
                 key[0], node.member.cache, remaining_ns, fill_source, 0 if pending.write else 1, max_age, how
             )
         )
@@ -516,15 +550,15 @@
         """Returns whether an attempt may go to this node: repeating the request must be safe there, by the
         effect of its class, and the rules for drains and cold starts must allow the node.
         """
-        if pending.maybe_executed and pending.request_class.effect is not w.Effect.IDEMPOTENT:
-            if pending.request_class.effect is w.Effect.AT_MOST_ONCE:
+        if pending.maybe_executed and pending.request_class.effect is not interface.Effect.IDEMPOTENT:
+            if pending.request_class.effect is interface.Effect.AT_MOST_ONCE:
                 return False
             (sent_at, first), scope = pending.maybe_executed[0], pending.request_class.key_scope
             if (
-                self.now >= sent_at + pending.request_class.key_memory_ns - self.s.tick_ns
-                or scope is w.Scope.ZONE
+                self.now >= sent_at + pending.request_class.key_memory_ns - self.settings.tick_ns
+                or scope is interface.Scope.ZONE
                 and first.member.zone != node.member.zone
-                or scope is w.Scope.CELL
+                or scope is interface.Scope.CELL
                 and first.member.cell != node.member.cell
             ):
                 return False
@@ -534,16 +568,16 @@
         """Returns whether this node may be used as a cache or as a fill source: discovery lists it as ready,
         and if it was just started it has credit for one more attempt.
         """
-        if node.member.state is not w.State.READY or self.nodes.get(node.member.cache) is not node:
+        if node.member.state is not interface.State.READY or self.nodes.get(node.member.cache) is not node:
             return False
-        entry, parent = node.member, node.member.kind == self.s.parent_kind
+        entry, parent = node.member, node.member.kind == self.settings.parent_kind
         floor, ramp, multiple = (
-            (self.s.parent_cold_from, self.s.parent_cold_ns, self.s.parent_fall_multiple)
+            (self.settings.parent_cold_from, self.settings.parent_cold_ns, self.settings.parent_fall_multiple)
             if parent
-            else (self.s.cold_from, self.s.cold_ns, self.s.fall_multiple)
+            else (self.settings.cold_from, self.settings.cold_ns, self.settings.fall_multiple)
         )
         age = max(self.now - (entry.ready_at_ns or 0), 0)
-        if not entry.ready_at_ns or entry.kind == self.s.origin_kind or age >= ramp:
+        if not entry.ready_at_ns or entry.kind == self.settings.origin_kind or age >= ramp:
             return True
         # A cold node (one that became ready less than `ramp` ago) gets an attempt only for credit, counted in
         # ns of sending answers to clients. Credit starts from a random amount and grows by this router's
@@ -552,11 +586,11 @@
         # requests does not find every router with full credit.
         weight = (
             self.reports.min_capacity(entry, self.caches)
-            if self.s.weights == "silent"
+            if self.settings.weights == "silent"
             else entry.weight or 1.0
         )
         rate = COLD_SAFETY * multiple * (floor + (1 - floor) * age / ramp) * weight / node.sharing_routers
-        cycle = (largest := max(self.price_ns)) + rate * self.s.fall_ns
+        cycle = (largest := max(self.cold_budget_cost_ns)) + rate * self.settings.fall_ns
         node.credit = max(node.credit + rate * (self.now - node.credit_at), 0.0) % cycle
         node.credit_at = self.now
         return node.credit >= largest
@@ -565,38 +599,44 @@
         """Returns a pair: the maximum age in ns of a cached copy that may be served, 0 for no bound; and
         whether a purge of the object or its group is in effect, so that the bound excludes older copies.
         """
-        ages = [self.now - at for at in self.purges.find(pending.ask.object, pending.ask.group)]
+        ages = [self.now - at for at in self.purges.find(pending.request.object, pending.request.group)]
         return (max(min(*ages, pending.request_class.fresh_ns or ages[0]), 1), True) if ages else (0, False)
 
     def _give_up(self, pending: PendingRequest) -> None:
         """Ends a request without an answer: refuses it if the client may safely retry, else fails it."""
         self.actions += [
-            w.Cancel(pending.ask.request, attempt) for attempt in pending.in_flight if self.s.cancel
+            interface.Cancel(pending.request.request, attempt)
+            for attempt in pending.in_flight
+            if self.settings.cancel
         ]
         # After MAX_ERRORS server errors the request itself is taken to be at fault, and the errors do not
         # count in the error score of any node.
         if len(pending.uncharged_errors) < MAX_ERRORS:
             self._attribute_failures(pending.uncharged_errors)
         harmless = (
-            pending.request_class.effect is w.Effect.IDEMPOTENT
+            pending.request_class.effect is interface.Effect.IDEMPOTENT
             or not pending.maybe_executed
-            or pending.request_class.effect is w.Effect.DEDUPLICATED
-            and pending.request_class.key_scope is w.Scope.ALL
+            or pending.request_class.effect is interface.Effect.DEDUPLICATED
+            and pending.request_class.key_scope is interface.Scope.ALL
         )
         # The client is told to wait for the longest delay that clients respect: the latency target is already
         # missed, and an early retry would only displace other requests.
-        retry_delay_ns = self.s.max_retry_after_ns if self.s.retry_after else 0
+        retry_delay_ns = self.settings.max_retry_after_ns if self.settings.retry_after else 0
         retry_delay_ns = (
-            retry_delay_ns if self.limits is None else self.limits.wait(pending.ask, retry_delay_ns)
+            retry_delay_ns
+            if self.limits is None
+            else self.limits.retry_after_ns(pending.request, retry_delay_ns)
         )
         self.actions.append(
-            w.Refuse(pending.ask.request, retry_delay_ns) if harmless else w.Fail(pending.ask.request)
+            interface.Refuse(pending.request.request, retry_delay_ns)
+            if harmless
+            else interface.Fail(pending.request.request)
         )
-        del self.held[pending.ask.request]
+        del self.pending_requests[pending.request.request]
 
     # Outcomes ---------------------------------------------------------------------------------------
 
-    def _on_attempt_ended(self, end: w.AttemptEnded) -> None:
+    def _on_attempt_ended(self, end: interface.AttemptEnded) -> None:
         """Records how an attempt ended, then closes, retries or gives up its request if that is still
         unanswered.
         """
@@ -610,11 +650,13 @@
         if end.status.never_ran:
             pending.maybe_executed.remove((sent_at, node))
         self._record_outcome(end, pending, node, source)
-        if self.held.get(end.request) is not pending:
+        if self.pending_requests.get(end.request) is not pending:
             return
         if end.closed:
-            del self.held[end.request]
-        elif end.status is w.Status.MISS and source is None or self._parent_lacks_object(end, pending):
+            del self.pending_requests[end.request]
+        elif (
+            end.status is interface.Status.MISS and source is None or self._parent_lacks_object(end, pending)
+        ):
             # The attempt could be served only by a hit or by a fill from a parent's own copy, and there was
             # neither; the fill share allows this request no other fill.
             self._give_up(pending)
@@ -628,23 +670,23 @@
             # lost on the way, because the cache then has the copy.
             if (
                 source_failed
-                or end.status is w.Status.RESET
+                or end.status is interface.Status.RESET
                 or pending.repeated_early
-                and end.status is w.Status.CANCELLED
+                and end.status is interface.Status.CANCELLED
             ):
                 pending.tried_caches.remove(node.member.cache)
             self.retry_budget -= not end.status.never_ran  # an attempt that never ran cost nothing
             may_retry = self.retry_budget >= 0 and (
                 self.limits is None
-                or self.limits.again(
-                    pending.ask, node.member.cache, None if source is None else source.member.cache
+                or self.limits.may_retry(
+                    pending.request, node.member.cache, None if source is None else source.member.cache
                 )
             )
             (self._send if may_retry else self._give_up)(pending)
             self.retry_budget = max(self.retry_budget, 0.0)
 
     def _record_outcome(
-        self, end: w.AttemptEnded, pending: PendingRequest, node: Node, source: Node | None
+        self, end: interface.AttemptEnded, pending: PendingRequest, node: Node, source: Node | None
     ) -> None:
         """Updates error scores, concurrency limits, fill shares and learned times after an attempt ended."""
         note, latency, busy = end.note, end.latency_ns or 0, len(node.in_flight) + 1 >= node.limit / 2
@@ -654,56 +696,56 @@
         # fill) only if the fill source failed. A lost response says nothing about fills, and a source that is
         # found unreachable within the latency target says nothing about overload.
         if self._is_source_failure(end, pending, source) and (
-            note is not w.Note.SOURCE_UNREACHED or latency > pending.aim
+            note is not interface.Note.SOURCE_UNREACHED or latency > pending.aim
         ):
             self._adapt_fill_share(pending, False)
-        if end.status in (w.Status.CANCELLED, w.Status.NOT_SENT, w.Status.MISS):
+        if end.status in (interface.Status.CANCELLED, interface.Status.NOT_SENT, interface.Status.MISS):
             return
-        if end.status is not w.Status.CONNECT_FAILED and end.status is not w.Status.TIMEOUT:
-            node.heard = self.now
-        if end.status is w.Status.SERVED:
+        if end.status is not interface.Status.CONNECT_FAILED and end.status is not interface.Status.TIMEOUT:
+            node.last_answer_at = self.now
+        if end.status is interface.Status.SERVED:
             aim, sample = pending.aim, min(1.0, latency / max(pending.aim, 1))
             # The fill share is adapted only by fills: a hit uses neither the shared link nor the fill source.
             # An overdue fill has already been counted as late while it was unanswered.
             if (note.filled or not note) and not pending.overdue:
                 self._adapt_fill_share(
-                    pending, latency <= aim, note is w.Note.FILLED and self.s.notes == "all"
+                    pending, latency <= aim, note is interface.Note.FILLED and self.settings.notes == "all"
                 )
             # The latency of a fill does not depend on the load of the cache alone, so fills do not change the
             # cache's concurrency limit.
             if busy and not note.filled:
                 self._adapt_limit(node, LATE_LIMIT_FACTOR if latency > aim else None, bool(note))
-            if not (pending.ask.size_kb or pending.write or end.same or note is w.Note.JOINED):
-                self.sizes.saw(pending.ask.object or "", latency - (end.source_wait_ns or 0))
+            if not (pending.request.size_kb or pending.write or end.same or note is interface.Note.JOINED):
+                self.sizes.observe(pending.request.object or "", latency - (end.source_wait_ns or 0))
             # The request was served now, so it did not itself cause the server errors of its earlier
             # attempts: they count in the error scores of the nodes that those attempts used.
             self._attribute_failures(pending.uncharged_errors)
             if pending.repeated_early and latency < pending.aim:
-                self.lost = min(self.lost + 1.0, MAX_LOST_RESPONSE_CREDIT)
+                self.lost_response_credit = min(self.lost_response_credit + 1.0, MAX_LOST_RESPONSE_CREDIT)
             self._update_error_score(node, sample, ANSWER_WEIGHT)
-            if source is not None and note not in (w.Note.HIT, w.Note.STALE):
+            if source is not None and note not in (interface.Note.HIT, interface.Note.STALE):
                 self._update_error_score(source, sample, ANSWER_WEIGHT)
-                fill_wait = end.source_wait_ns or max(latency - pending.size_ns, 0)
-                source.wait = (
+                fill_wait = end.source_wait_ns or max(latency - pending.sending_ns, 0)
+                source.fill_wait_ns = (
                     fill_wait
-                    if source.wait is None
-                    else source.wait + ANSWER_WEIGHT * (fill_wait - source.wait)
+                    if source.fill_wait_ns is None
+                    else source.fill_wait_ns + ANSWER_WEIGHT * (fill_wait - source.fill_wait_ns)
                 )
             return
-        if end.status is w.Status.FULL and busy and latency <= LOCAL_REFUSAL_NS:
+        if end.status is interface.Status.FULL and busy and latency <= LOCAL_REFUSAL_NS:
             self._adapt_limit(node, REFUSED_LIMIT_FACTOR)
         if self._is_source_failure(end, pending, source):
             charges = [(source or node, FAILURE_WEIGHT)]
-        elif end.status is w.Status.CONNECT_FAILED or source is None:
+        elif end.status is interface.Status.CONNECT_FAILED or source is None:
             charges = [(node, CONNECT_FAILURE_WEIGHT)]
         else:
             # Either the cache or its fill source may be at fault, or only one response was lost, so each node
             # is charged with half the weight. If a server is down, connection failures show it.
             charges = [(node, FAILURE_WEIGHT / 2), (source, FAILURE_WEIGHT / 2)]
         if (
-            end.status is w.Status.ERROR
+            end.status is interface.Status.ERROR
             and not end.note
-            and pending.request_class.effect is w.Effect.IDEMPOTENT
+            and pending.request_class.effect is interface.Effect.IDEMPOTENT
         ):
             # The request itself may cause the error. Whether nodes are charged with it is decided by how
             # further attempts of the request end.
@@ -719,9 +761,11 @@
         for node, weight in [charge for charges in uncharged_errors for charge in charges]:
             self._update_error_score(node, 1.0, weight)
 
-    def _parent_lacks_object(self, end: w.AttemptEnded, pending: PendingRequest) -> bool:
+    def _parent_lacks_object(self, end: interface.AttemptEnded, pending: PendingRequest) -> bool:
         """Returns whether an attempt that could be filled only from a parent's own copy ended without one."""
-        return pending.near and (end.status is w.Status.MISS or end.note is w.Note.SOURCE_LACKS)
+        return pending.parent_only and (
+            end.status is interface.Status.MISS or end.note is interface.Note.SOURCE_LACKS
+        )
 
     def _adapt_fill_share(self, pending: PendingRequest, timely: bool, from_parent: bool = False) -> None:
         """Raises the fill share of the request's class after a timely fill and lowers it after a late one.
@@ -729,22 +773,24 @@
         A fill share is the share of a class's requests that may cause a fill. With `from_parent`, or if the
         request could be filled only from a parent's own copy, the share for such fills is adapted instead.
         """
-        class_index, from_parent = pending.ask.cls, from_parent or pending.near
+        class_index, from_parent = pending.request.cls, from_parent or pending.parent_only
         shares, sample_weight = (
-            (self.near, self.sample_weight) if from_parent else (self.fills, self.origin_sample_weight)
+            (self.parent_fill_shares, self.sample_weight)
+            if from_parent
+            else (self.fill_shares, self.origin_sample_weight)
         )
         # The steps by which timely fills raise the share grow while no fill is late; otherwise a router with
         # few fills would take a long time to return to a full share.
-        streak = self.streak[class_index, from_parent] = (
-            self.streak.get((class_index, from_parent), 0) + 1 if timely else 0
+        timely_fill_streak = self.timely_fill_streak[class_index, from_parent] = (
+            self.timely_fill_streak.get((class_index, from_parent), 0) + 1 if timely else 0
         )
         shares[class_index] = (
-            min(shares[class_index] + TIMELY_FILL_STEP * sample_weight * streak, MOST_FILLS)
+            min(shares[class_index] + TIMELY_FILL_STEP * sample_weight * timely_fill_streak, MAX_FILL_SHARE)
             if timely
             else max(shares[class_index] * LATE_FILL_FACTOR**sample_weight, MIN_FILL_SHARE)
         )
         if not timely:
-            self.late_at[class_index] = self.now
+            self.last_late_fill_at[class_index] = self.now
 
     def _adapt_limit(self, node: Node, factor: float | None, representative: bool = True) -> None:
         """Multiplies a cache's concurrency limit by `factor`; None raises the limit by a small step.
@@ -759,43 +805,49 @@
             else max(node.limit * factor**sample_weight, MIN_LIMIT / node.sharing_routers)
         )
 
-    def _is_source_failure(self, end: w.AttemptEnded, pending: PendingRequest, source: Node | None) -> bool:
+    def _is_source_failure(
+        self, end: interface.AttemptEnded, pending: PendingRequest, source: Node | None
+    ) -> bool:
         """Returns whether an attempt failed because of its fill source, rather than its cache.
 
         That is so if the note of the outcome says so. Without a note it is also assumed for a refusal that
         came after LOCAL_REFUSAL_NS and for a server error that came after the latency target.
         """
         latency = end.latency_ns or 0
-        min_latency = {w.Status.FULL: LOCAL_REFUSAL_NS, w.Status.ERROR: pending.aim}.get(end.status, math.inf)
+        min_latency = {interface.Status.FULL: LOCAL_REFUSAL_NS, interface.Status.ERROR: pending.aim}.get(
+            end.status, math.inf
+        )
         return source is not None and (end.note.of_source or not end.note and latency > min_latency)
 
-    def _pain(self, node: Node) -> float:
+    def _error_score(self, node: Node) -> float:
         """Returns a node's error score now, from 0 (healthy) to 1 (failing).
 
         It halves every SCORE_HALF_LIFE_NS while no outcome updates it.
         """
-        return float(node.pain * 0.5 ** (max(self.now - node.pain_at, 0) / SCORE_HALF_LIFE_NS))
+        return float(node.error_score * 0.5 ** (max(self.now - node.error_score_at, 0) / SCORE_HALF_LIFE_NS))
 
     def _update_error_score(self, node: Node, sample: float, weight: float) -> None:
         """Moves a node's error score towards `sample`, which runs from 0 (good outcome) to 1 (failure), by
         the share `weight` of the difference; logs when the node starts or stops counting as failing.
         """
-        score = self._pain(node)
+        score = self._error_score(node)
         weight = (
             1 - (1 - weight) ** min(node.sharing_routers, MAX_SAMPLE_WEIGHT)
             if weight == ANSWER_WEIGHT
             else weight
         )
-        # `node.taught` is the minimum weight of an outcome after the score was restored from the state of an
-        # earlier process. It lets outcomes soon overrule that score; each outcome halves it.
-        weight, node.taught = max(weight, node.taught), node.taught / 2
-        # A restored score has `pain_at` in the future and does not decay before that time, unless a good
-        # outcome contradicts the score.
-        node.pain_at = max(node.pain_at, self.now) if sample > SLACK else self.now
-        node.pain = score + weight * (sample - score)
-        if (node.pain > (SLACK if node.failing else FAILED_SCORE)) != node.failing:
+        # `node.restored_weight` is the minimum weight of an outcome after the score was restored from the
+        # state of an earlier process. It lets outcomes soon overrule that score; each outcome halves it.
+        weight, node.restored_weight = max(weight, node.restored_weight), node.restored_weight / 2
+        # A restored score has `error_score_at` in the future and does not decay before that time, unless a
+        # good outcome contradicts the score.
+        node.error_score_at = max(node.error_score_at, self.now) if sample > SCORE_TOLERANCE else self.now
+        node.error_score = score + weight * (sample - score)
+        if (node.error_score > (SCORE_TOLERANCE if node.failing else FAILED_SCORE)) != node.failing:
             node.failing = not node.failing
-            self.actions.append(w.Log(f"cache {node.member.cache} {('serves again', 'fails')[node.failing]}"))
+            self.actions.append(
+                interface.Log(f"cache {node.member.cache} {('serves again', 'fails')[node.failing]}")
+            )
 
     def _trust(self, node: Node, peers: list[Node]) -> float:
         """Returns a node's trust: the share of its normal traffic that it receives, from MIN_TRUST to 1.
@@ -804,39 +856,49 @@
         the distance from that lowest score to 1. Without this division a failed parent would keep its traffic
         next to a parent with slow fills, whose score is raised, too.
         """
-        best = min((self._pain(n) for n in peers), default=0.0)
-        excess = (self._pain(node) - best) / max(1.0 - best, 0.1)
-        return max(MIN_TRUST, 1.0 - STEEP * max(excess - SLACK, 0.0))
+        best = min((self._error_score(n) for n in peers), default=0.0)
+        excess = (self._error_score(node) - best) / max(1.0 - best, 0.1)
+        return max(MIN_TRUST, 1.0 - TRUST_SLOPE * max(excess - SCORE_TOLERANCE, 0.0))
 
     # Time, discovery and purges ---------------------------------------------------------------------
 
-    def _on_timer(self, fired: w.TimerFired) -> None:
+    def _on_timer(self, fired: interface.TimerFired) -> None:
         """Handles a timer: a lost-response check, a request's deadline or the periodic tick (token 0)."""
-        if fired.token in self.looks:
-            self._check_lost_response(self.looks.pop(fired.token))
+        if fired.token in self.lost_response_checks:
+            self._check_lost_response(self.lost_response_checks.pop(fired.token))
             return
         if fired.token:
-            pending = self.held.get(self.timers.pop(fired.token, ""))
+            pending = self.pending_requests.get(self.timers.pop(fired.token, ""))
             if pending is not None:
-                if any(self._seems_lost(*self.attempts[pending.ask.request, a]) for a in pending.in_flight):
-                    self.lost = min(self.lost + CREDIT_PER_LOST_RESPONSE, MAX_LOST_RESPONSE_CREDIT)
+                if any(
+                    self._seems_lost(*self.attempts[pending.request.request, a]) for a in pending.in_flight
+                ):
+                    self.lost_response_credit = min(
+                        self.lost_response_credit + CREDIT_PER_LOST_RESPONSE, MAX_LOST_RESPONSE_CREDIT
+                    )
                 self._give_up(pending)
             return
-        self.actions.append(w.SetTimer(TICK_NS, 0))
-        for class_index, at in enumerate(self.late_at):
+        self.actions.append(interface.SetTimer(TICK_NS, 0))
+        for class_index, at in enumerate(self.last_late_fill_at):
             if self.now - at > FILL_RECOVERY_DELAY_NS:
-                self.fills[class_index] = min(self.fills[class_index] * FILL_RECOVERY_FACTOR, MOST_FILLS)
-                self.near[class_index] = min(self.near[class_index] * FILL_RECOVERY_FACTOR, MOST_FILLS)
+                self.fill_shares[class_index] = min(
+                    self.fill_shares[class_index] * FILL_RECOVERY_FACTOR, MAX_FILL_SHARE
+                )
+                self.parent_fill_shares[class_index] = min(
+                    self.parent_fill_shares[class_index] * FILL_RECOVERY_FACTOR, MAX_FILL_SHARE
+                )
         if (
-            min(self.fills, default=1.0) < (1.0 if self.fills_restricted else UP_THRESHOLD)
+            min(self.fill_shares, default=1.0) < (1.0 if self.fills_restricted else UP_THRESHOLD)
         ) != self.fills_restricted:
             self.fills_restricted = not self.fills_restricted
-            self.actions.append(w.Log(f"fills {'held back' if self.fills_restricted else 'free again'}"))
+            self.actions.append(
+                interface.Log(f"fills {'held back' if self.fills_restricted else 'free again'}")
+            )
         if self.now >= self.retune_at:
             self._retune()
             self.purges.expire(self.now)
         if self.now >= self.next_subscribe_at:
-            self.actions.append(w.Subscribe(True))
+            self.actions.append(interface.Subscribe(True))
             self.next_subscribe_at = float(self.now + RESUBSCRIBE_NS)
         for sent_at, pending, _, source in self.attempts.values():
             if (
@@ -860,8 +922,8 @@
                     lambda request_class, sending_time: (
                         request_class.aim_ns + request_class.aim_stretch * sending_time
                     ),
-                    self.s.classes,
-                    self.size_ns,
+                    self.settings.classes,
+                    self.mean_sending_ns,
                 ),
             ]
         )
@@ -869,17 +931,17 @@
             unanswered = [
                 key
                 for key, sent_at in node.in_flight.items()
-                if self.now - max(sent_at, node.heard) > silence_ns
+                if self.now - max(sent_at, node.last_answer_at) > silence_ns
             ]
             if len(unanswered) > 1:
                 self._update_error_score(node, 1.0, FAILURE_WEIGHT)
                 self.actions += [
-                    w.Cancel(*key)
+                    interface.Cancel(*key)
                     for key in unanswered
-                    if self.s.cancel
-                    and key[0] in self.held
-                    and not self.held[key[0]].write
-                    and key[1] + 1 < self.s.max_attempts
+                    if self.settings.cancel
+                    and key[0] in self.pending_requests
+                    and not self.pending_requests[key[0]].write
+                    and key[1] + 1 < self.settings.max_attempts
                 ]
 
     def _schedule_lost_check(
@@ -891,20 +953,20 @@
         a repeat could still meet the latency target, but only if that is clearly later than the time at which
         the response is expected.
         """
-        expected_ns = pending.size_ns + (0.0 if source is None else source.wait or 0.0)
-        check_delay_ns = pending.aim - REPEAT_TIME_FACTOR * pending.size_ns - REPEAT_OVERHEAD_NS
+        expected_ns = pending.sending_ns + (0.0 if source is None else source.fill_wait_ns or 0.0)
+        check_delay_ns = pending.aim - REPEAT_TIME_FACTOR * pending.sending_ns - REPEAT_OVERHEAD_NS
         if (
-            self.lost >= 1.0
-            and self.s.cancel
+            self.lost_response_credit >= 1.0
+            and self.settings.cancel
             and not pending.write
-            and pending.sent == 1
+            and pending.attempts_sent == 1
             and pending.size_known
-            and pending.request_class.effect is w.Effect.IDEMPOTENT
+            and pending.request_class.effect is interface.Effect.IDEMPOTENT
             and check_delay_ns > LOST_AFTER_FACTOR * expected_ns
         ):
             self.last_token += 1
-            self.looks[self.last_token] = key
-            self.actions.append(w.SetTimer(int(check_delay_ns), self.last_token))
+            self.lost_response_checks[self.last_token] = key
+            self.actions.append(interface.SetTimer(int(check_delay_ns), self.last_token))
 
     def _check_lost_response(self, key: tuple[str, int]) -> None:
         """Cancels an unanswered attempt, so that its request is repeated, if its response seems lost.
@@ -912,9 +974,14 @@
         Called when the timer of `_schedule_lost_check` expires; `key` is the request id and attempt number.
         """
         attempt = self.attempts.get(key)
-        if attempt is not None and key[0] in self.held and self.lost >= 1.0 and self._seems_lost(*attempt):
-            self.lost, attempt[1].repeated_early = self.lost - 1.0, True
-            self.actions.append(w.Cancel(*key))
+        if (
+            attempt is not None
+            and key[0] in self.pending_requests
+            and self.lost_response_credit >= 1.0
+            and self._seems_lost(*attempt)
+        ):
+            self.lost_response_credit, attempt[1].repeated_early = self.lost_response_credit - 1.0, True
+            self.actions.append(interface.Cancel(*key))
 
     def _seems_lost(self, sent_at: int, pending: PendingRequest, node: Node, source: Node | None) -> bool:
         """Returns whether only a lost response explains why an attempt is unanswered.
@@ -923,28 +990,33 @@
         full by its concurrency limit, and its fill source, if any, has a low error score.
         """
         return (
-            node.heard > sent_at
+            node.last_answer_at > sent_at
             and len(node.in_flight) <= node.limit / 2
-            and (source is None or self._pain(source) <= SLACK)
+            and (source is None or self._error_score(source) <= SCORE_TOLERANCE)
         )
 
-    def _on_cache_list(self, cache_list: w.CacheList) -> None:
+    def _on_cache_list(self, cache_list: interface.CacheList) -> None:
         """Applies a list of caches, parents and origins from discovery: updates the known nodes, rebuilds the
         ring of this zone's caches and, after a failed call, schedules the next one.
         """
         self.next_subscribe_at = (
-            self.now + RESUBSCRIBE_NS if cache_list.kind is w.ListKind.FAILED else math.inf
+            self.now + RESUBSCRIBE_NS if cache_list.kind is interface.ListKind.FAILED else math.inf
         )
         old = self.nodes
-        self.nodes = {} if cache_list.kind in (w.ListKind.FULL, w.ListKind.HELD) else dict(old)
+        self.nodes = (
+            {} if cache_list.kind in (interface.ListKind.FULL, interface.ListKind.HELD) else dict(old)
+        )
         for entry in cache_list.members:
             known = old.get(entry.cache)
-            if entry.state is w.State.GONE:
+            if entry.state is interface.State.GONE:
                 self.nodes.pop(entry.cache, None)
             elif known is None or known.member.ready_at_ns != entry.ready_at_ns:
                 # No setting gives an origin's capacity, so each router learns its own concurrency limit for
                 # the origin as if it alone used it.
-                routers_by_kind = {self.s.origin_kind: 1, self.s.parent_kind: max(self.s.routers, 1)}
+                routers_by_kind = {
+                    self.settings.origin_kind: 1,
+                    self.settings.parent_kind: max(self.settings.routers, 1),
+                }
                 sharing_routers = (
                     self.routers_in_zone
                     if entry.kind is None
@@ -952,40 +1024,42 @@
                 )
                 start_weight = (
                     (entry.weight or 1.0)
-                    if self.s.weights != "silent"
+                    if self.settings.weights != "silent"
                     else ASSUMED_WEIGHTS[entry.kind in routers_by_kind]
                 )
                 initial_limit = max(INITIAL_LIMIT * start_weight / sharing_routers, MIN_LIMIT)
                 self.nodes[entry.cache] = Node(
                     entry,
                     sharing_routers,
-                    heard=self.now,
+                    last_answer_at=self.now,
                     limit=initial_limit,
                     credit_at=self.now,
-                    credit=self.random.random() * max(self.price_ns, default=0.0),
+                    credit=self.random.random() * max(self.cold_budget_cost_ns, default=0.0),
                 )
-                self.recall(self.nodes[entry.cache])
+                self.restore_node(self.nodes[entry.cache])
             else:
                 known.member = entry
                 self.nodes[entry.cache] = known
-        ready = [self.nodes[c] for c in sorted(self.nodes) if self.nodes[c].member.state is w.State.READY]
-        kind_of_parents, kind_of_origins = self.s.parent_kind, self.s.origin_kind
+        ready = [
+            self.nodes[c] for c in sorted(self.nodes) if self.nodes[c].member.state is interface.State.READY
+        ]
+        kind_of_parents, kind_of_origins = self.settings.parent_kind, self.settings.origin_kind
         self.parents = [n for n in ready if n.member.kind == kind_of_parents and kind_of_parents >= 0]
         self.origins = [n for n in ready if n.member.kind == kind_of_origins]
         self.caches = [
             n
             for n in ready
-            if n.member.kind not in (kind_of_parents, kind_of_origins) and n.member.zone == self.s.zone
+            if n.member.kind not in (kind_of_parents, kind_of_origins) and n.member.zone == self.settings.zone
         ]
         mean_weight = sum(n.member.weight or 1.0 for n in self.caches) / max(len(self.caches), 1)
         self.ring = Ring(
             (n, max(1, round(POINTS_PER_CACHE * (n.member.weight or 1.0) / mean_weight))) for n in self.caches
         )
 
-    def _on_purged(self, purge: w.Purged) -> None:
+    def _on_purged(self, purge: interface.Purged) -> None:
         """Records a purge of an object or a group: until no cache holds the purged copies any more
         (`purge_settles_ns` after the purge was received), requests bound the age of the copies they accept.
         """
         key = purge.group if purge.object is None else purge.object  # a group is a number, an object a string
-        at, settles = self.now - (purge.age_ns or 0), self.s.purge_settles_ns
+        at, settles = self.now - (purge.age_ns or 0), self.settings.purge_settles_ns
         self.purges.add(key, at, self.now + settles, self.now, 0 < settles <= self.now - at)
--- a/olivecourse/config/discovery_events.py
+++ b/olivecourse/config/discovery_events.py
@@ -12,10 +12,14 @@
 from hashlib import blake2b
 from typing import Any
 
-from olivecourse import interface as w
+from olivecourse import interface
 from olivecourse.config.address import Address, parse_address
 
-STATES = {"Ready": w.State.READY, "Terminating": w.State.DRAINING, "Gone": w.State.GONE}
+STATES = {
+    "Ready": interface.State.READY,
+    "Terminating": interface.State.DRAINING,
+    "Gone": interface.State.GONE,
+}
 HEX_NUMBERED_ID = re.compile(r"[A-Za-z]*-?([0-9a-f]{8})")
 # Maximum number of server ids kept in `ServerDirectory.recently_listed`; they take at most about 2 MB.
 MAX_RECENTLY_LISTED = 16_384
@@ -50,7 +54,7 @@
         self,
         zones: list[str],
         kinds: list[str],
-        settings: w.Settings,
+        settings: interface.Settings,
         from_unix_ms: Callable[[int], int],
         now: Callable[[], int],
     ) -> None:
@@ -73,8 +77,8 @@
         }
         self.names: dict[int, str] = {}
         self.addresses: dict[int, Address] = {}
-        self.states: dict[int, w.State] = {}
-        self.members: dict[int, w.Member] = {}
+        self.states: dict[int, interface.State] = {}
+        self.members: dict[int, interface.Member] = {}
         # Servers that were removed or restarted since the control plane last emptied this table, with the
         # latest time at which their old process can have ended.
         self.terminated_at: dict[int, int] = {}
@@ -95,21 +99,21 @@
         """Returns whether discovery reports a server as ready and it is in neither `manually_drained` nor
         `leased_out`.
         """
-        return self.states.get(cache) is w.State.READY and not self._withdrawn(cache)
+        return self.states.get(cache) is interface.State.READY and not self._withdrawn(cache)
 
     def _withdrawn(self, cache: int) -> bool:
         """Returns whether a server is in `manually_drained` or `leased_out`."""
         name = self.names.get(cache)
         return name in self.manually_drained or name in self.leased_out
 
-    def effective_member(self, member: w.Member) -> w.Member:
+    def effective_member(self, member: interface.Member) -> interface.Member:
         """Returns the member as the routing module is told of it: a ready server that is in
         `manually_drained` or `leased_out` is reported as draining.
         """
-        withdrawn = member.state is w.State.READY and self._withdrawn(member.cache)
-        return replace(member, state=w.State.DRAINING) if withdrawn else member
+        withdrawn = member.state is interface.State.READY and self._withdrawn(member.cache)
+        return replace(member, state=interface.State.DRAINING) if withdrawn else member
 
-    def effective_change(self, name: str) -> w.CacheList | None:
+    def effective_change(self, name: str) -> interface.CacheList | None:
         """Returns the event that reports the present state of a server to the routing module, after it was
         taken out of service or restored by hand or for a rollout. `name` is its id. Returns None for a server
         that is not listed.
@@ -117,9 +121,9 @@
         member = self.members.get(node_number(name))
         if member is None or self.names.get(member.cache) != name:
             return None
-        return w.CacheList(0, w.ListKind.CHANGES, (self.effective_member(member),))
+        return interface.CacheList(0, interface.ListKind.CHANGES, (self.effective_member(member),))
 
-    def events(self, event: Any, first: bool = False) -> Iterator[w.Event]:
+    def events(self, event: Any, first: bool = False) -> Iterator[interface.Event]:
         """Applies one discovery event to the directory and yields it as events of the routing module: a list
         of servers, a purge, or both. `first` is true for the events known at startup. Raises InvalidEvent.
         """
@@ -140,11 +144,11 @@
         except CONVERSION_ERRORS as error:
             raise InvalidEvent(f"{type(error).__name__}: {error}") from None
 
-    def _members(self, entries: Any) -> tuple[list[w.Member], list[str]]:
+    def _members(self, entries: Any) -> tuple[list[interface.Member], list[str]]:
         """Returns the entries of a server list as members, and an error text for each invalid entry. In place
         of an invalid entry, the server's last valid member is returned if there is one.
         """
-        members, errors = list[w.Member](), list[str]()
+        members, errors = list[interface.Member](), list[str]()
         for entry in entries:
             try:
                 members.append(self._member(entry))
@@ -156,7 +160,7 @@
                 members += [] if known is None else [known]
         return members, errors
 
-    def _pool(self, pool: Any, members: list[w.Member], first: bool) -> w.CacheList:
+    def _pool(self, pool: Any, members: list[interface.Member], first: bool) -> interface.CacheList:
         """Applies a list of servers, the complete one or only changes, to the directory and returns it as an
         event of the routing module.
         """
@@ -167,7 +171,7 @@
             self.members.clear()
         for member in members:
             known = self.members.get(member.cache)
-            if member.state is w.State.GONE:
+            if member.state is interface.State.GONE:
                 self._forget(member.cache)
                 continue
             if known is not None and member.ready_at_ns and member.ready_at_ns != known.ready_at_ns:
@@ -176,8 +180,16 @@
             self.members[member.cache] = member
         # A list of changes is reported as CHANGES even at startup, because the routing module would remove
         # all servers missing from a complete list.
-        kind = w.ListKind.CHANGES if not complete else w.ListKind.HELD if first else w.ListKind.FULL
-        return w.CacheList(int(pool.get("revision", 0)), kind, tuple(map(self.effective_member, members)))
+        kind = (
+            interface.ListKind.CHANGES
+            if not complete
+            else interface.ListKind.HELD
+            if first
+            else interface.ListKind.FULL
+        )
+        return interface.CacheList(
+            int(pool.get("revision", 0)), kind, tuple(map(self.effective_member, members))
+        )
 
     def _forget(self, cache: int) -> None:
         """Removes a server that discovery no longer lists and notes its end in `terminated_at`. A server that
@@ -187,7 +199,7 @@
         for table in (self.names, self.addresses, self.states, self.members, self.started):
             table.pop(cache, None)
 
-    def _member(self, entry: Any) -> w.Member:
+    def _member(self, entry: Any) -> interface.Member:
         """Translates the entry of one server and records its name, address and start time. Raises one of
         CONVERSION_ERRORS for an invalid entry.
         """
@@ -215,7 +227,7 @@
             self.started[cache] = (up_since_ms, started_at)
         kind = self._kinds.index(entry["flavor"]) if entry.get("flavor") in self._kinds else None
         zones = self._hub_zones if kind in self._hub_kinds else self._office_zones
-        return w.Member(
+        return interface.Member(
             cache,
             weight,
             started_at,
@@ -226,11 +238,11 @@
             "{}:{}@{}".format(*self.addresses.get(cache, ("", 0)), up_since_ms),
         )
 
-    def _flush(self, flush: Any) -> w.Purged:
+    def _flush(self, flush: Any) -> interface.Purged:
         """Translates the purge of one object (an asset) or of a group of objects (a collection)."""
         age_ns = max(self._now() - self._from_unix_ms(int(flush["ms"])), 0)
         if "asset" in flush:
             if not OBJECT_ID.fullmatch(str(flush["asset"])):
                 raise InvalidEvent("asset is not 16 hex digits")
-            return w.Purged(str(flush["asset"]), None, age_ns)
-        return w.Purged(None, int(flush["collection"]), age_ns)
+            return interface.Purged(str(flush["asset"]), None, age_ns)
+        return interface.Purged(None, int(flush["collection"]), age_ns)
--- a/olivecourse/config/gateway_config.py
+++ b/olivecourse/config/gateway_config.py
@@ -13,7 +13,7 @@
 
 import yaml
 
-from olivecourse import interface as w
+from olivecourse import interface
 from olivecourse.config.address import Address, parse_address
 from olivecourse.config.inventory import BadInventory, read_inventory
 from olivecourse.config.settings import Malformed, check_settings, nested_pairs, read_settings, unread
@@ -50,7 +50,7 @@
 
     name: str
     listen: Address
-    settings: w.Settings
+    settings: interface.Settings
     zones: list[str]
     kinds: list[str]
     connect_ns: int
--- a/olivecourse/config/settings.py
+++ b/olivecourse/config/settings.py
@@ -12,7 +12,7 @@
 from dataclasses import fields
 from typing import Any
 
-from olivecourse import interface as w
+from olivecourse import interface
 
 Convert = Callable[[str], Any]
 
@@ -93,8 +93,8 @@
     "deadline_ns": ("deadline_ns", int),
     "worth": ("worth", float),
     "late_worth": ("late_worth", float),
-    "effect": ("effect", w.Effect),
-    "key_scope": ("key_scope", w.Scope),
+    "effect": ("effect", interface.Effect),
+    "key_scope": ("key_scope", interface.Scope),
     "key_memory_ns": ("memory_span_ns", int),
     "streamed": ("streamed", read_flag),
 }
@@ -125,7 +125,7 @@
     return values
 
 
-def read_settings(seed: int, pairs: Iterable[str]) -> w.Settings:
+def read_settings(seed: int, pairs: Iterable[str]) -> interface.Settings:
     """Returns the settings that path=value pairs, as in the simulator's start message, contain. Unknown paths
     are ignored. Raises Malformed.
     """
@@ -140,8 +140,8 @@
                 class_values[field] = column[index]
         # For a class without a target time `aim_ns`, any answer within the deadline counts as on time.
         class_values["aim_ns"] = class_values.get("aim_ns") or class_values.get("deadline_ns", 0)
-        classes.append(w.RequestClass(**class_values))
-    return w.Settings(seed=seed, classes=tuple(classes), **_parse_fields(values, SETTINGS))
+        classes.append(interface.RequestClass(**class_values))
+    return interface.Settings(seed=seed, classes=tuple(classes), **_parse_fields(values, SETTINGS))
 
 
 # Paths of settings that other functions than `_parse_fields` with the tables above read.
@@ -177,7 +177,7 @@
 MAY_BE_MINUS_ONE = ("parent_kind", "origin_kind")
 
 
-def check_settings(settings: w.Settings) -> None:
+def check_settings(settings: interface.Settings) -> None:
     """Raises Malformed if a gateway could not serve with these settings. Called for a configuration file, at
     the start and at a reload.
 
--- a/olivecourse/control_plane.py
+++ b/olivecourse/control_plane.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import Any
 
-from olivecourse import interface as w
+from olivecourse import interface
 from olivecourse.config.discovery_events import InvalidEvent, ServerDirectory
 from olivecourse.config.gateway_config import Config
 from olivecourse.core.ledger import Ledger
@@ -20,7 +20,7 @@
 from olivecourse.purge_table import PurgeTable
 
 
-def _graces_ns(settings: w.Settings) -> tuple[int, ...]:
+def _graces_ns(settings: interface.Settings) -> tuple[int, ...]:
     """Returns two grace periods in nanoseconds: the times within which the settings require a gateway to obey
     a purge, and a drain. 0 means that the settings define none.
     """
@@ -37,7 +37,7 @@
         loop: Loop,
         config: Config,
         tracker: Ledger,
-        emit: Callable[[w.Event], None],
+        emit: Callable[[interface.Event], None],
         server_terminated: Callable[[int, int], None],
         log: Callable[..., None],
     ) -> None:
@@ -115,7 +115,7 @@
         for raw in events:
             try:
                 for event in self.directory.events(raw, first):
-                    if isinstance(event, w.Purged):
+                    if isinstance(event, interface.Purged):
                         self._tracker.purge(event)
                         self._record_purge(event)
                     self._emit(event)
@@ -135,7 +135,7 @@
             self._logged_merged = merged
             self.log("purges_folded", since_start=merged)
 
-    def _record_purge(self, purge: w.Purged) -> None:
+    def _record_purge(self, purge: interface.Purged) -> None:
         """Records a purge for a planner process that connects later; does nothing if the planner runs in this
         process.
         """
@@ -151,12 +151,12 @@
         """
         now = self.loop.clock.now()
         members = map(self.directory.effective_member, self.directory.members.values())
-        self._emit(w.CacheList(0, w.ListKind.HELD, tuple(members)))
+        self._emit(interface.CacheList(0, interface.ListKind.HELD, tuple(members)))
         self.purges.expire(now)
         for object_or_group, (valid_from, _) in self.purges.items():
             age = now - valid_from
             self._emit(
-                w.Purged(object_or_group, None, age)
+                interface.Purged(object_or_group, None, age)
                 if isinstance(object_or_group, str)
-                else w.Purged(None, object_or_group, age)
+                else interface.Purged(None, object_or_group, age)
             )
--- a/olivecourse/core/ledger.py
+++ b/olivecourse/core/ledger.py
@@ -11,14 +11,18 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from olivecourse import interface as w
+from olivecourse import interface
 from olivecourse.purge_table import PurgeTable
 
 MS = 1_000_000
 # How long the tracker remembers a request after its final answer, so that planner actions that arrive late
 # are recognized as concerning a closed request. The tracker also keeps each purge for this long.
 CLOSED_RETENTION_NS = 2_000 * MS
-EFFECTS_STRICTEST_FIRST = (w.Effect.AT_MOST_ONCE, w.Effect.DEDUPLICATED, w.Effect.IDEMPOTENT)
+EFFECTS_STRICTEST_FIRST = (
+    interface.Effect.AT_MOST_ONCE,
+    interface.Effect.DEDUPLICATED,
+    interface.Effect.IDEMPOTENT,
+)
 # A request is not repeated in the last 2 ms of the time for which stores remember its idempotency key. This
 # covers the send itself and one tick of the timer wheel.
 KEY_MEMORY_MARGIN_NS = 2 * MS
@@ -100,8 +104,8 @@
 class RequestEntry:
     """A request and its state, kept until CLOSED_RETENTION_NS after its final answer."""
 
-    ask: w.Request
-    cls: w.RequestClass
+    ask: interface.Request
+    cls: interface.RequestClass
     body: bytes
     holds: str | None
     reply: Reply
@@ -127,7 +131,7 @@
 
     entry: RequestEntry
     number: int
-    action: w.Look | w.ReadThrough
+    action: interface.Look | interface.ReadThrough
     sent_at: int
     deadline: int
     ended: bool = False
@@ -143,7 +147,7 @@
         decision = self.action
         return (
             decision.source
-            if isinstance(decision, w.ReadThrough) and decision.source != decision.cache
+            if isinstance(decision, interface.ReadThrough) and decision.source != decision.cache
             else None
         )
 
@@ -153,9 +157,9 @@
 
     def __init__(
         self,
-        settings: w.Settings,
+        settings: interface.Settings,
         timers: Timers,
-        emit: Callable[[w.Event], None],
+        emit: Callable[[interface.Event], None],
         log: Callable[..., None],
         most: int,
     ) -> None:
@@ -183,7 +187,7 @@
         # For each class index, the numbers of requests served, refused and failed since the start.
         self.outcomes = [[0, 0, 0] for _ in settings.classes]
 
-    def settle(self, settings: w.Settings) -> None:
+    def settle(self, settings: interface.Settings) -> None:
         """Applies new settings, in which each request class keeps its index.
 
         Open requests keep their deadline and the class settings that they arrived with. For repeating them,
@@ -193,7 +197,7 @@
         self._settings = settings
         self.outcomes += [[0, 0, 0] for _ in settings.classes[len(self.outcomes) :]]
 
-    def _effect(self, entry: RequestEntry) -> w.Effect:
+    def _effect(self, entry: RequestEntry) -> interface.Effect:
         """Returns the effect that decides whether the request may be repeated: the stricter of the one that
         its class had when the request arrived and the one that its class has now.
         """
@@ -211,7 +215,7 @@
     # Called by the client listeners -----------------------------------------------------------------
 
     def take(
-        self, ask: w.Request, body: bytes, holds: str | None, reply: Reply, key: str | None = None
+        self, ask: interface.Request, body: bytes, holds: str | None, reply: Reply, key: str | None = None
     ) -> None:
         """Accepts a request, which from here on must get exactly one final answer.
 
@@ -267,11 +271,11 @@
             return
         self.left += 1
         self._close(entry)
-        self._emit(w.ClientLeft(request))
+        self._emit(interface.ClientLeft(request))
 
     # Called with the Router's actions ---------------------------------------------------------------
 
-    def attempt(self, action: w.Look | w.ReadThrough) -> None:
+    def attempt(self, action: interface.Look | interface.ReadThrough) -> None:
         """Starts an attempt that the planner decided on. If the request is closed, or its guarantees or the
         settings' limits forbid the attempt, reports at once that it was not sent.
         """
@@ -287,7 +291,7 @@
         entry.out[new_attempt.number] = new_attempt
         # A request with effect "at most once" that may have run is never sent again, even if the Router asks
         # for it.
-        at_most_once = self._effect(entry) is w.Effect.AT_MOST_ONCE
+        at_most_once = self._effect(entry) is interface.Effect.AT_MOST_ONCE
         would_repeat = at_most_once and (entry.may_have_run or len(entry.out) > 1)
         if would_repeat and not entry.closed:
             self._log("second_send_blocked", request=action.request)
@@ -298,21 +302,21 @@
             or new_attempt.deadline <= now
             or self.carrier is None
         ):
-            self.end(new_attempt, w.Status.NOT_SENT)
+            self.end(new_attempt, interface.Status.NOT_SENT)
             return
         new_attempt.timer = self._timers.after(
             new_attempt.deadline - now, lambda: self._on_timeout(new_attempt)
         )
         self.carrier.send(new_attempt)
 
-    def cancel(self, action: w.Cancel) -> None:
+    def cancel(self, action: interface.Cancel) -> None:
         """Cancels one attempt of a request, if it has no outcome yet."""
         entry = self.entries.get(action.request)
         new_attempt = entry.out.get(action.attempt) if entry else None
         if new_attempt is not None:
-            self._abort(new_attempt, w.Status.CANCELLED)
+            self._abort(new_attempt, interface.Status.CANCELLED)
 
-    def refuse(self, action: w.Refuse) -> None:
+    def refuse(self, action: interface.Refuse) -> None:
         """Answers a request with a refusal, which asks the client to retry later, or with a failure if a
         repeat by the client could do harm.
         """
@@ -321,7 +325,7 @@
             return
         self._answer_unserved(entry, action.retry_after_ns)
 
-    def fail(self, action: w.Fail) -> None:
+    def fail(self, action: interface.Fail) -> None:
         """Answers a request with a failure."""
         entry = self.entries.get(action.request)
         if entry is None or entry.closed:
@@ -338,7 +342,7 @@
             self._log("gave_up_open", why=why, requests=len(open_entries))
         for entry in open_entries:
             self._answer_unserved(entry, wait_ns)
-            self._emit(w.ClientLeft(entry.ask.request))
+            self._emit(interface.ClientLeft(entry.ask.request))
 
     # Called by the transport ------------------------------------------------------------------------
 
@@ -381,16 +385,16 @@
         had forgotten the key.
         """
         entry, now = attempt.entry, self._timers.now()
-        if not entry.first_sent_at or self._effect(entry) is not w.Effect.DEDUPLICATED:
+        if not entry.first_sent_at or self._effect(entry) is not interface.Effect.DEDUPLICATED:
             return True
         key_memories_ns = [
             c.key_memory_ns
             for c in (entry.cls, self._settings.classes[entry.ask.cls])
-            if c.effect is w.Effect.DEDUPLICATED
+            if c.effect is interface.Effect.DEDUPLICATED
         ]
         return now < entry.first_sent_at + min(key_memories_ns) - KEY_MEMORY_MARGIN_NS
 
-    def purge(self, event: w.Purged) -> None:
+    def purge(self, event: interface.Purged) -> None:
         """Records a purge, so that queued attempts decided on before it are not sent."""
         object_or_group = event.group if event.object is None else event.object
         if object_or_group is not None:
@@ -403,8 +407,8 @@
     def end(
         self,
         attempt: Attempt,
-        status: w.Status,
-        note: w.Note = w.Note.NONE,
+        status: interface.Status,
+        note: interface.Note = interface.Note.NONE,
         wait_ns: int | None = None,
         body: bytes = b"",
         tag: str | None = None,
@@ -424,14 +428,14 @@
         entry.may_have_run |= not status.never_ran
         if status.never_ran:
             self._reset_first_sent(entry)
-        if status is w.Status.SERVED and not entry.closed:
+        if status is interface.Status.SERVED and not entry.closed:
             self.outcomes[entry.ask.cls][0] += 1
             self.late += self._timers.now() > entry.target_time
             entry.reply.served(body, tag, same)
             self._close(entry)
         now = self._timers.now()
         self._emit(
-            w.AttemptEnded(
+            interface.AttemptEnded(
                 entry.ask.request,
                 attempt.number,
                 attempt.action.cache,
@@ -447,7 +451,7 @@
 
     # Internal ---------------------------------------------------------------------------------------
 
-    def _abort(self, attempt: Attempt, status: w.Status) -> None:
+    def _abort(self, attempt: Attempt, status: interface.Status) -> None:
         """Aborts an attempt and records `status` as its outcome.
 
         If no byte was sent, the outcome is CONNECT_FAILED instead of TIMEOUT, and NOT_SENT instead of any
@@ -459,12 +463,16 @@
             self.carrier.abort(attempt)
         # An attempt that was never sent had no effect, so that even an "at most once" request may still be
         # refused.
-        unsent_status = w.Status.CONNECT_FAILED if status is w.Status.TIMEOUT else w.Status.NOT_SENT
+        unsent_status = (
+            interface.Status.CONNECT_FAILED
+            if status is interface.Status.TIMEOUT
+            else interface.Status.NOT_SENT
+        )
         self.end(attempt, status if attempt.went else unsent_status)
 
     def _on_timeout(self, attempt: Attempt) -> None:
         """Aborts an attempt that got no answer before its own timeout or the request's deadline."""
-        self._abort(attempt, w.Status.TIMEOUT)
+        self._abort(attempt, interface.Status.TIMEOUT)
 
     def _on_deadline_missed(self, entry: RequestEntry) -> None:
         """Refuses or fails a request that is still open DEADLINE_GRACE_NS after its deadline, and tells the
@@ -474,7 +482,7 @@
             return
         self._log("answered_by_guard", request=entry.ask.request)
         self._answer_unserved(entry, 0)
-        self._emit(w.ClientLeft(entry.ask.request))
+        self._emit(interface.ClientLeft(entry.ask.request))
 
     def _answer_unserved(self, entry: RequestEntry, wait_ns: int | None) -> None:
         """Answers a request with a refusal if `wait_ns`, the time after which the client may retry, is given
@@ -485,10 +493,10 @@
         possibly_run = entry.may_have_run or any(a.went for a in entry.out.values())
         effect = self._effect(entry)
         repeat_is_safe = (
-            effect is w.Effect.IDEMPOTENT
+            effect is interface.Effect.IDEMPOTENT
             or not possibly_run
-            or effect is w.Effect.DEDUPLICATED
-            and entry.cls.key_scope is w.Scope.ALL
+            or effect is interface.Effect.DEDUPLICATED
+            and entry.cls.key_scope is interface.Scope.ALL
         )
         if wait_ns is not None and repeat_is_safe:
             self.outcomes[entry.ask.cls][1] += 1
@@ -508,5 +516,5 @@
         if entry.deadline_timer is not None:
             entry.deadline_timer.cancel()
         for attempt in list(entry.out.values()):
-            self._abort(attempt, w.Status.CANCELLED)
+            self._abort(attempt, interface.Status.CANCELLED)
         self._timers.after(CLOSED_RETENTION_NS, lambda: self.entries.pop(entry.ask.request, None))
--- a/olivecourse/core/planner.py
+++ b/olivecourse/core/planner.py
@@ -7,24 +7,24 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from olivecourse import interface as w
+from olivecourse import interface
 from olivecourse.choice import Router
 
 
-class TrafficLimiter(w.Limits, Protocol):
+class TrafficLimiter(interface.Limits, Protocol):
     """Limits on the traffic that the Router may cause, applied during a retry storm. The limiter also
     observes all of the Router's events and actions.
     """
 
-    def settle(self, settings: w.Settings) -> None:
+    def settle(self, settings: interface.Settings) -> None:
         """Applies new settings, in which each request class keeps its index."""
         ...
 
-    def came(self, event: w.Event, now: int) -> None:
+    def came(self, event: interface.Event, now: int) -> None:
         """Observes an event before the Router handles it."""
         ...
 
-    def went(self, actions: list[w.Action], now: int) -> list[w.Action]:
+    def went(self, actions: list[interface.Action], now: int) -> list[interface.Action]:
         """Observes the Router's actions and returns the actions to execute: these, and possibly actions that
         write a log line.
         """
@@ -34,7 +34,7 @@
 class Planner:
     """A Router, the latest time passed to it, which never runs backwards, and the limiter if there is one."""
 
-    def __init__(self, settings: w.Settings, now: int, log: Callable[..., None]) -> None:
+    def __init__(self, settings: interface.Settings, now: int, log: Callable[..., None]) -> None:
         self._now, self._log = now, log
         self.router = Router(settings, now)
         self._limiter: TrafficLimiter | None = None
@@ -43,35 +43,35 @@
         """Makes the Router consult this limiter."""
         self._limiter = self.router.limits = limiter
 
-    def start(self) -> list[w.Action]:
+    def start(self) -> list[interface.Action]:
         """Returns the actions that the Router wants executed at the start, before its first event."""
         return self.router.start()
 
-    def settle(self, settings: w.Settings) -> None:
+    def settle(self, settings: interface.Settings) -> None:
         """Makes the Router use new settings. Existing request classes keep their index and what the Router
         has learned about them. New classes get the next indexes and start without any learned values, as all
         classes do at startup.
         """
-        router, known_classes = self.router, len(self.router.s.classes)
+        router, known_classes = self.router, len(self.router.settings.classes)
         fresh_router = Router(settings, self._now)
-        router.s, router.reports = settings, fresh_router.reports
+        router.settings, router.reports = settings, fresh_router.reports
         for current, initial in (
-            (router.size_ns, fresh_router.size_ns),
-            (router.price_ns, fresh_router.price_ns),
-            (router.fills, fresh_router.fills),
-            (router.near, fresh_router.near),
+            (router.mean_sending_ns, fresh_router.mean_sending_ns),
+            (router.cold_budget_cost_ns, fresh_router.cold_budget_cost_ns),
+            (router.fill_shares, fresh_router.fill_shares),
+            (router.parent_fill_shares, fresh_router.parent_fill_shares),
         ):
             current += initial[known_classes:]
-        router.late_at += fresh_router.late_at[known_classes:]
+        router.last_late_fill_at += fresh_router.last_late_fill_at[known_classes:]
         if self._limiter is not None:
             self._limiter.settle(settings)
 
-    def decide(self, events: Iterable[w.Event], now: int) -> list[w.Action]:
+    def decide(self, events: Iterable[interface.Event], now: int) -> list[interface.Action]:
         """Passes a batch of events to the Router and returns the resulting actions. `now` is in nanoseconds;
         an earlier time than in the last call is replaced by that one.
         """
         self._now = max(self._now, now)
-        actions: list[w.Action] = []
+        actions: list[interface.Action] = []
         for event in events:
             try:
                 if self._limiter is not None:
--- a/olivecourse/fronts/listener.py
+++ b/olivecourse/fronts/listener.py
@@ -11,7 +11,7 @@
 from itertools import islice
 from typing import Any, Protocol
 
-from olivecourse import interface as w
+from olivecourse import interface
 from olivecourse.config.address import Address
 from olivecourse.net.loop import READ, Loop
 from olivecourse.net.ringbuf import MAX_IDLE_CAPACITY
@@ -46,7 +46,7 @@
     """The part of the gateway that serves requests (the `Ledger`), as the Thrift and HTTP servers use it."""
 
     def take(
-        self, ask: w.Request, body: bytes, holds: str | None, reply: Any, key: str | None = None
+        self, ask: interface.Request, body: bytes, holds: str | None, reply: Any, key: str | None = None
     ) -> None:
         """Accepts a request, which then gets exactly one answer through `reply`.
 
--- a/olivecourse/fronts/signed.py
+++ b/olivecourse/fronts/signed.py
@@ -15,7 +15,7 @@
 
 import httptools
 
-from olivecourse import interface as w
+from olivecourse import interface
 from olivecourse.config.address import Address
 from olivecourse.core.ledger import Crowded, Duplicate
 from olivecourse.fronts.listener import Client, Listener, RequestCore
@@ -220,7 +220,7 @@
             self.front.recording += 1
 
     def _hand_over(
-        self, request_event: w.Request, body: bytes, holds: str | None, reply: SignedReply
+        self, request_event: interface.Request, body: bytes, holds: str | None, reply: SignedReply
     ) -> None:
         self.open_request = request_event.request
         try:
@@ -297,7 +297,7 @@
 
     def parse_request(
         self, client: SignedClient, http_request: HttpRequest
-    ) -> tuple[SignedReply, w.Request, bytes, str | None]:
+    ) -> tuple[SignedReply, interface.Request, bytes, str | None]:
         """Parses an HTTP request and checks its token; raises BadRequest or Rejected.
 
         Returns the reply object, the request event, the body and the version tag of the client's copy (None
--- a/olivecourse/fronts/thrift.py
+++ b/olivecourse/fronts/thrift.py
@@ -11,7 +11,7 @@
 
 from thrift.Thrift import TApplicationException, TMessageType
 
-from olivecourse import interface as w
+from olivecourse import interface
 from olivecourse.config.address import Address
 from olivecourse.config.vocabulary import IDEMPOTENCY_KEY
 from olivecourse.core.ledger import Crowded, Duplicate
@@ -51,10 +51,10 @@
 TAG = re.compile(r"[0-9A-Za-z_.-]{1,64}")  # version tags and idempotency keys
 # The request's flags by (whether the client marks it as a repeat, whether its class writes).
 FLAGS = {
-    (False, False): w.Flag(0),
-    (True, False): w.Flag.REPEAT,
-    (False, True): w.Flag.WRITE,
-    (True, True): w.Flag.REPEAT | w.Flag.WRITE,
+    (False, False): interface.Flag(0),
+    (True, False): interface.Flag.REPEAT,
+    (False, True): interface.Flag.WRITE,
+    (True, True): interface.Flag.REPEAT | interface.Flag.WRITE,
 }
 
 
@@ -64,7 +64,7 @@
 
 def read_request(
     fields: dict[str, str] | None, body: bytes | None, classes: dict[str, tuple[int, bool]], lag_ns: int
-) -> tuple[w.Request, bytes, str | None, str | None]:
+) -> tuple[interface.Request, bytes, str | None, str | None]:
     """Translates the fields of a client's request; raises BadRequest with a short reason.
 
     `classes` maps the name of a request class to its number and whether it writes; `lag_ns` is `Loop.lag_ns`.
@@ -106,7 +106,12 @@
         raise BadRequest(f"{IDEMPOTENCY_KEY} is no key")
     flags = FLAGS[fields.get("r") == "1", write]
     budget_ns = max(budget * MS - TRANSIT_ALLOWANCE_NS - lag_ns, 2 * MS)
-    return w.Request(request, number, None, obj, budget_ns, size, group, part, flags), data, holds, key
+    return (
+        interface.Request(request, number, None, obj, budget_ns, size, group, part, flags),
+        data,
+        holds,
+        key,
+    )
 
 
 class ThriftReply:
--- a/olivecourse/gateway.py
+++ b/olivecourse/gateway.py
@@ -13,7 +13,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING, Any, TypeVar
 
-from olivecourse import interface as w
+from olivecourse import interface
 from olivecourse.config.gateway_config import Config
 from olivecourse.config.merging import MergeResult, merge
 from olivecourse.control_plane import ControlPlane
@@ -78,7 +78,7 @@
         self.loop = loop = Loop()
         loop.stalled = self._on_stall
         loop.faulted = self._on_fault
-        self.batch: list[w.Event] = []
+        self.batch: list[interface.Event] = []
         self.stopping = False
         # The result of merging the settings at the last reload that applied settings, or None before the
         # first.
@@ -427,7 +427,7 @@
         """
         return self.loop.longest_ns / 1e9
 
-    def emit(self, event: w.Event) -> None:
+    def emit(self, event: interface.Event) -> None:
         """Adds an event to the batch that the planner gets in this turn of the event loop."""
         self.batch.append(event)
 
@@ -465,32 +465,32 @@
             elif self.remote is None or not self.remote.send(events, self.loop.clock.now()):
                 self._on_planner_lost()
 
-    def carry_out(self, actions: list[w.Action]) -> None:
+    def carry_out(self, actions: list[interface.Action]) -> None:
         """Executes the planner's actions, by passing each to the request tracker, the timers or another
         component.
         """
         for action in actions:
-            if isinstance(action, w.ReadThrough | w.Look):
+            if isinstance(action, interface.ReadThrough | interface.Look):
                 self.ledger.attempt(action)
-            elif isinstance(action, w.SetTimer):
+            elif isinstance(action, interface.SetTimer):
                 self._set_timer(action)
-            elif isinstance(action, w.Refuse):
+            elif isinstance(action, interface.Refuse):
                 self.ledger.refuse(action)
-            elif isinstance(action, w.Fail):
+            elif isinstance(action, interface.Fail):
                 self.ledger.fail(action)
-            elif isinstance(action, w.Cancel):
+            elif isinstance(action, interface.Cancel):
                 self.ledger.cancel(action)
-            elif isinstance(action, w.Log):
+            elif isinstance(action, interface.Log):
                 self.log("module", text=action.text)
-            elif isinstance(action, w.TellPeer):
+            elif isinstance(action, interface.TellPeer):
                 for part in self.parts:
                     part.execute_action(action)
-            elif isinstance(action, w.CloseIdle):
+            elif isinstance(action, interface.CloseIdle):
                 self.pool.close_idle(action.cache)
 
-    def _set_timer(self, action: w.SetTimer) -> None:
+    def _set_timer(self, action: interface.SetTimer) -> None:
         """Adds a TimerFired event to the planner's batch after the delay that the planner asked for."""
-        self.loop.after(action.delay_ns, lambda: self.batch.append(w.TimerFired(action.token)))
+        self.loop.after(action.delay_ns, lambda: self.batch.append(interface.TimerFired(action.token)))
 
     def stop(self) -> None:
         """Starts the shutdown after SIGTERM. The gateway keeps listening for LINGER_NS unless another process
--- a/olivecourse/interface.py
+++ b/olivecourse/interface.py
@@ -446,13 +446,13 @@
         its deadline.
         """
 
-    def again(self, request: Request, cache: int, source: int | None) -> bool:
+    def may_retry(self, request: Request, cache: int, source: int | None) -> bool:
         """Returns whether to retry the request after an attempt at this cache, with this fill source, failed.
 
         `cache` and `source` are node ids; `source` is None if the attempt had no fill source.
         """
 
-    def wait(self, request: Request, longest_ns: int) -> int:
+    def retry_after_ns(self, request: Request, longest_ns: int) -> int:
         """Returns how long the client of a refused request is told to wait before it retries, in ns.
 
         The result is at most `longest_ns`.
--- a/olivecourse/reports.py
+++ b/olivecourse/load_reports.py
@@ -32,7 +32,7 @@
         self._active_index, self._busy_index = positions.get("active", -1), positions.get("cpu", -1)
 
     def observe(self, node: Node, report: Sequence[float | None] | None) -> None:
-        """Updates `node.bears`, the number of transfers for this router that the node can safely handle.
+        """Updates `node.reported_capacity`, how many transfers for this router the node can safely handle.
 
         n active transfers at a busy share u give a capacity of n / u; the safe share of it is divided among
         the routers that use the node.
@@ -47,7 +47,9 @@
         if active is None or busy is None or active < MIN_ACTIVE or busy < MIN_BUSY:
             return
         capacity = SAFE_SHARE * active / busy / node.sharing_routers
-        node.bears += (REPORT_WEIGHT if node.bears else 1.0) * (capacity - node.bears)
+        node.reported_capacity += (REPORT_WEIGHT if node.reported_capacity else 1.0) * (
+            capacity - node.reported_capacity
+        )
 
     def min_capacity(self, member: Member, peers: Iterable[Node]) -> float:
         """Returns how many concurrent transfers, for all routers together, a store of unknown capacity can
@@ -57,8 +59,8 @@
         but at least one; it is one if no such peer has.
         """
         capacities = [
-            peer.bears * peer.sharing_routers
+            peer.reported_capacity * peer.sharing_routers
             for peer in peers
-            if peer.bears and peer.member.kind == member.kind
+            if peer.reported_capacity and peer.member.kind == member.kind
         ]
         return max(min(capacities, default=1.0), 1.0)
--- a/olivecourse/memory/collect.py
+++ b/olivecourse/memory/collect.py
@@ -39,7 +39,9 @@
             total, distinct, arrivals = self._running
             hot = dict(islice(router.counts.items(), MAX_HOT))
             if total:
-                self.ended.appendleft((now, Interval(0, hot, total, distinct, arrivals, router.t)))
+                self.ended.appendleft(
+                    (now, Interval(0, hot, total, distinct, arrivals, router.hot_threshold))
+                )
         self._retune_at = router.retune_at
         counter = router.counter
         self._running = (counter.total, max(router.distinct.count(), 1.0), counter.arrivals)
@@ -54,7 +56,10 @@
     """
     nodes, purges = list(router.nodes.values()), list(router.purges.items())
     yield from _sliced(_store(router, node, now) for node in nodes)
-    yield [ClassRecord(c.name, router.size_ns[i], router.fills[i]) for i, c in enumerate(router.s.classes)]
+    yield [
+        ClassRecord(c.name, router.mean_sending_ns[i], router.fill_shares[i])
+        for i, c in enumerate(router.settings.classes)
+    ]
     yield from _sliced(_purges(purges, now))
     for ended, interval in list(watcher.ended):
         yield [
@@ -77,22 +82,22 @@
 
 def _store(router: Router, node: Node, now: int) -> StoreRecord:
     member = node.member
-    parent = member.kind == router.s.parent_kind
-    ramp = router.s.parent_cold_ns if parent else router.s.cold_ns
+    parent = member.kind == router.settings.parent_kind
+    ramp = router.settings.parent_cold_ns if parent else router.settings.cold_ns
     cold = (
         bool(member.ready_at_ns)
-        and member.kind != router.s.origin_kind
+        and member.kind != router.settings.origin_kind
         and now - (member.ready_at_ns or 0) < ramp
     )
     return StoreRecord(
         member.cache,
         member.life,
-        min(max(node.pain, 0.0), 1.0),
-        node.wait,
+        min(max(node.error_score, 0.0), 1.0),
+        node.fill_wait_ns,
         node.limit,
         node.failing,
         max(node.credit, 0.0) if cold else None,
-        max(now - node.pain_at, 0),
+        max(now - node.error_score_at, 0),
     )
 
 
--- a/olivecourse/memory/uptake.py
+++ b/olivecourse/memory/uptake.py
@@ -12,7 +12,15 @@
 
 from dataclasses import dataclass, field
 
-from olivecourse.choice import BOUND, MOST_FILLS, NAME_WORTH, SLACK, STEEP, Router, choose_t
+from olivecourse.choice import (
+    MAX_FILL_SHARE,
+    MAX_PEAK_TO_MEAN,
+    MIN_REQUESTS_PER_NAME,
+    SCORE_TOLERANCE,
+    TRUST_SLOPE,
+    Router,
+    choose_threshold,
+)
 from olivecourse.memory.ageing import Elapsed, Kind, Policy
 from olivecourse.memory.lessons import Interval, Snapshot, StoreRecord
 from olivecourse.state import Node
@@ -20,7 +28,7 @@
 # Minimum weight of the next answer in an error score that was restored from a snapshot; each answer halves
 # it.
 DOUBT = 0.6
-# Delay before a restored error score (`pain`) starts to decay, for a record of weight 1; a lower weight
+# Delay before a restored error score starts to decay, for a record of weight 1; a lower weight
 # shortens it in proportion. Without the delay a store that gets no requests would be trusted again after less
 # than 3 s, and half of the attempts sent to stores with a lasting fault were due to that. Any good answer
 # ends the delay.
@@ -28,9 +36,9 @@
 MIN_WEIGHT = 0.01  # records whose weight by age, and restored error scores, below this are ignored
 
 
-def max_pain(trust_floor: float) -> float:
-    """The error score (`pain`) at which a store next to a healthy one keeps `trust_floor` of its traffic."""
-    return SLACK + (1.0 - trust_floor) / STEEP
+def max_error_score(trust_floor: float) -> float:
+    """The error score at which a store next to a healthy one keeps `trust_floor` of its traffic."""
+    return SCORE_TOLERANCE + (1.0 - trust_floor) / TRUST_SLOPE
 
 
 @dataclass
@@ -79,22 +87,22 @@
         self._classes(router)
         self._hot(router, now)
         self._purges(router, now)
-        router.recall = lambda node: self._store(router, node)
+        router.restore_node = lambda node: self._store(router, node)
 
     def _classes(self, router: Router) -> None:
         times_weight, fills_weight = self._weight(Kind.TIMES), self._weight(Kind.FILLS)
         known = {c.name: c for c in self._snapshot.classes}
-        self.dropped.add("class_unknown", len(set(known) - {c.name for c in router.s.classes}))
+        self.dropped.add("class_unknown", len(set(known) - {c.name for c in router.settings.classes}))
         if times_weight < MIN_WEIGHT:
             self.dropped.add("sending_times_old", len(known))
             return
-        for i, cls in enumerate(router.s.classes):
+        for i, cls in enumerate(router.settings.classes):
             record = known.get(cls.name)
             if record is None:
                 continue
-            router.size_ns[i] += times_weight * (record.size_ns - router.size_ns[i])
-            router.fills[i] = min(
-                router.fills[i], MOST_FILLS + fills_weight * (record.fill_part - MOST_FILLS)
+            router.mean_sending_ns[i] += times_weight * (record.size_ns - router.mean_sending_ns[i])
+            router.fill_shares[i] = min(
+                router.fill_shares[i], MAX_FILL_SHARE + fills_weight * (record.fill_part - MAX_FILL_SHARE)
             )
             self.restored["classes"] += 1
         router.density = times_weight * self._snapshot.density
@@ -115,7 +123,7 @@
         # requested again before it is assigned a further store.
         router.counts = {key: amount * newest for key, amount in counts.items()}
         last = min((i for _, i in weighted), key=lambda i: i.age_ns)
-        router.t = last.t
+        router.hot_threshold = last.t
         self.restored["hot"] = len(counts)
 
     def _purges(self, router: Router, now: int) -> None:
@@ -151,13 +159,17 @@
             return
         self._restrain(node, record)
         weight = self._weight(Kind.PAIN, record.pain_age_ns, router.now)
-        pain = min(record.pain * weight, max_pain(self._policy.trust_floor))
-        if pain >= MIN_WEIGHT:
-            node.pain, node.pain_at, node.taught = pain, router.now + int(weight * HOLD_NS), DOUBT
-            node.failing = record.failing and pain > SLACK
+        error_score = min(record.pain * weight, max_error_score(self._policy.trust_floor))
+        if error_score >= MIN_WEIGHT:
+            node.error_score, node.error_score_at, node.restored_weight = (
+                error_score,
+                router.now + int(weight * HOLD_NS),
+                DOUBT,
+            )
+            node.failing = record.failing and error_score > SCORE_TOLERANCE
         wait_weight = self._weight(Kind.WAIT, now=router.now)
         if record.wait_ns is not None and wait_weight >= MIN_WEIGHT:
-            node.wait = record.wait_ns
+            node.fill_wait_ns = record.wait_ns
         self.restored["stores"] += 1
 
     def _restrain(self, node: Node, record: StoreRecord) -> None:
@@ -180,7 +192,7 @@
             return False
         last = min(self._snapshot.intervals, key=lambda i: i.age_ns, default=None)
         if router.counts and last is not None:
-            router.t = self.threshold(router, last)
+            router.hot_threshold = self.threshold(router, last)
         return True
 
     @staticmethod
@@ -192,11 +204,11 @@
         """
         decayed = sum(router.counts.values()) / max(sum(last.counts.values()), 1e-9)
         total = max(last.total * min(decayed, 1.0), sum(router.counts.values()))
-        return choose_t(
+        return choose_threshold(
             list(router.counts.values()),
             total,
             max(last.distinct, len(router.counts)),
             len(router.caches),
-            BOUND,
-            NAME_WORTH * last.total / max(last.arrivals, 1),
+            MAX_PEAK_TO_MEAN,
+            MIN_REQUESTS_PER_NAME * last.total / max(last.arrivals, 1),
         )
--- a/olivecourse/net/peers.py
+++ b/olivecourse/net/peers.py
@@ -5,7 +5,7 @@
 import socket
 from collections.abc import Callable
 
-from olivecourse import interface as w
+from olivecourse import interface
 from olivecourse.config.address import Address
 from olivecourse.net.loop import READ, Loop
 
@@ -22,7 +22,7 @@
         listen: Address,
         peers: list[Address],
         group_address: Address | None,
-        emit: Callable[[w.Event], None],
+        emit: Callable[[interface.Event], None],
         log: Callable[..., None],
         shared: bool = False,
     ) -> None:
@@ -69,9 +69,9 @@
             if number is None or len(data) > MAX_DATAGRAM_BYTES:
                 self._log("peer_datagram_dropped", sender=f"{sender[0]}:{sender[1]}", size=len(data))
                 continue
-            self._emit(w.PeerMessage(number, data))
+            self._emit(interface.PeerMessage(number, data))
 
-    def tell(self, action: w.TellPeer) -> None:
+    def tell(self, action: interface.TellPeer) -> None:
         """Sends the message of a TellPeer action to one peer or to all.
 
         A message that is too long, has no known address or cannot be sent is logged and dropped.
--- a/olivecourse/net/seam.py
+++ b/olivecourse/net/seam.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from olivecourse import interface as w
+from olivecourse import interface
 from olivecourse.core.planner import Planner
 from olivecourse.net.loop import READ, Loop
 from olivecourse.net.stream import Stream, listen_unix
@@ -31,49 +31,49 @@
 MESSAGE_TYPES: dict[str, type] = {
     kind.__name__: kind
     for kind in (
-        w.CacheList,
-        w.Request,
-        w.StreamBegan,
-        w.AttemptEnded,
-        w.ClientLeft,
-        w.TimerFired,
-        w.Probed,
-        w.PeerMessage,
-        w.Purged,
-        w.Look,
-        w.ReadThrough,
-        w.Cancel,
-        w.Refuse,
-        w.Fail,
-        w.SetTimer,
-        w.Probe,
-        w.CloseIdle,
-        w.Subscribe,
-        w.FetchList,
-        w.TellPeer,
-        w.Log,
-        w.Member,
+        interface.CacheList,
+        interface.Request,
+        interface.StreamBegan,
+        interface.AttemptEnded,
+        interface.ClientLeft,
+        interface.TimerFired,
+        interface.Probed,
+        interface.PeerMessage,
+        interface.Purged,
+        interface.Look,
+        interface.ReadThrough,
+        interface.Cancel,
+        interface.Refuse,
+        interface.Fail,
+        interface.SetTimer,
+        interface.Probe,
+        interface.CloseIdle,
+        interface.Subscribe,
+        interface.FetchList,
+        interface.TellPeer,
+        interface.Log,
+        interface.Member,
     )
 }
 FIELD_DECODERS: dict[str, Callable[[Any], Any]] = {
-    "Status": w.Status,
-    "Note": w.Note,
-    "Flag": w.Flag,
-    "How": w.How,
-    "State": w.State,
-    "ListKind": w.ListKind,
+    "Status": interface.Status,
+    "Note": interface.Note,
+    "Flag": interface.Flag,
+    "How": interface.How,
+    "State": interface.State,
+    "ListKind": interface.ListKind,
     "bytes": b64decode,
     "tuple[Member, ...]": lambda v: tuple(map(unpack, v)),
 }
 
 
 def _encode_field(value: Any) -> Any:
-    if isinstance(value, w.Status | w.State | w.ListKind):
+    if isinstance(value, interface.Status | interface.State | interface.ListKind):
         return value.value
     if isinstance(value, bytes):
         return b64encode(value).decode()
     if isinstance(value, tuple):
-        return [encode_message(v) if isinstance(v, w.Member) else v for v in value]
+        return [encode_message(v) if isinstance(v, interface.Member) else v for v in value]
     return value
 
 
@@ -214,7 +214,7 @@
         self._on_disconnected()
         self.loop.after(RECONNECT_DELAY_NS, self._connect)
 
-    def send(self, events: Sequence[w.Event], now: int) -> bool:
+    def send(self, events: Sequence[interface.Event], now: int) -> bool:
         """Sends events with the forwarder's clock `now`; returns whether a planner is still connected."""
         if self.stream is None:
             return False
@@ -241,7 +241,7 @@
         super().__init__(server.loop, sock, server.log, False)
 
     def batch_received(self, now: int, batch: list[Any]) -> None:
-        actions: list[w.Action] = []
+        actions: list[interface.Action] = []
         if self.planner is None:
             self.planner = Planner(self.server.settings, now, self.log)
             self.server.on_planner_created(self.planner)
@@ -268,7 +268,7 @@
         self,
         loop: Loop,
         path: str,
-        settings: w.Settings,
+        settings: interface.Settings,
         log: Callable[..., None],
         on_planner_created: Callable[[Planner], None] = lambda unused: None,
         on_planner_removed: Callable[[Planner], None] = lambda unused: None,
--- a/olivecourse/net/stores.py
+++ b/olivecourse/net/stores.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from olivecourse import interface as w
+from olivecourse import interface
 from olivecourse.config.address import Address
 from olivecourse.config.discovery_events import ServerDirectory
 from olivecourse.config.vocabulary import REPORTED, STORE_IDEMPOTENCY_KEY
@@ -41,30 +41,30 @@
 TAG = re.compile(r"[0-9A-Za-z_.-]{1,64}")
 MOST_BODY = 240_000  # largest response body that is accepted from a store, in bytes
 STATUSES = {
-    "data": w.Status.SERVED,
-    "unchanged": w.Status.SERVED,
-    "absent": w.Status.MISS,
-    "full": w.Status.FULL,
-    "failed": w.Status.ERROR,
-    "moot": w.Status.NOT_SENT,
+    "data": interface.Status.SERVED,
+    "unchanged": interface.Status.SERVED,
+    "absent": interface.Status.MISS,
+    "full": interface.Status.FULL,
+    "failed": interface.Status.ERROR,
+    "moot": interface.Status.NOT_SENT,
 }
 NOTES = {
-    "HIT": w.Note.HIT,
-    "MISS": w.Note.FILLED,
-    "MISS_ORIGIN": w.Note.FILLED_BY_ORIGIN,
-    "COLLAPSED": w.Note.JOINED,
-    "STALE": w.Note.STALE,
-    "UP_BUSY": w.Note.SOURCE_REFUSED,
-    "UP_DOWN": w.Note.SOURCE_UNREACHED,
-    "UP_MISS": w.Note.SOURCE_LACKS,
-    "NO_FILL": w.Note.NO_FILL_PLACE,
-    "ORIGIN_ERR": w.Note.ORIGIN_FAILED,
+    "HIT": interface.Note.HIT,
+    "MISS": interface.Note.FILLED,
+    "MISS_ORIGIN": interface.Note.FILLED_BY_ORIGIN,
+    "COLLAPSED": interface.Note.JOINED,
+    "STALE": interface.Note.STALE,
+    "UP_BUSY": interface.Note.SOURCE_REFUSED,
+    "UP_DOWN": interface.Note.SOURCE_UNREACHED,
+    "UP_MISS": interface.Note.SOURCE_LACKS,
+    "NO_FILL": interface.Note.NO_FILL_PLACE,
+    "ORIGIN_ERR": interface.Note.ORIGIN_FAILED,
 }
 FILL_OPTION_WORDS = (
-    (w.How.JOIN, "coalesce"),
-    (w.How.HELD_ONLY, "shallow"),
-    (w.How.NO_PARENT_COPY, "transit"),
-    (w.How.RENEW, "freshen"),
+    (interface.How.JOIN, "coalesce"),
+    (interface.How.HELD_ONLY, "shallow"),
+    (interface.How.NO_PARENT_COPY, "transit"),
+    (interface.How.RENEW, "freshen"),
 )
 
 
@@ -195,7 +195,7 @@
         self._pumping = True
         try:
             while self.waiting and self.open and not len(self.outbox):
-                if self.waiting[0].entry.cls.effect is w.Effect.AT_MOST_ONCE:
+                if self.waiting[0].entry.cls.effect is interface.Effect.AT_MOST_ONCE:
                     # If the store has closed the connection, this read notices it before anything is sent,
                     # so the attempt has certainly not run. After a send, that would not be certain.
                     self.read()
@@ -208,7 +208,7 @@
                     continue
                 if not self.pool.may_go(attempt):
                     attempt.place = None
-                    self.pool.ledger.end(attempt, w.Status.NOT_SENT)
+                    self.pool.ledger.end(attempt, interface.Status.NOT_SENT)
                     continue
                 if not self._send_attempt(attempt):
                     break
@@ -308,9 +308,12 @@
         del self.in_flight[request]
         self._check_idle()
         try:
-            wait_ms, note = _parse_int(fields.get("took")), NOTES.get(fields.get("n", ""), w.Note.NONE)
+            wait_ms, note = (
+                _parse_int(fields.get("took")),
+                NOTES.get(fields.get("n", ""), interface.Note.NONE),
+            )
         except (ValueError, OverflowError):
-            wait_ms, note = None, w.Note.NONE
+            wait_ms, note = None, interface.Note.NONE
         report_text = fields.get("l")
         report = read_report(report_text, self.pool.reports) if report_text and self.pool.reports else None
         self.pool.ledger.end(
@@ -408,7 +411,7 @@
             f"slice={request_event.part or 0}",
             f"patience={remaining_ms}",
         ]
-        if isinstance(fetch_action, w.ReadThrough):
+        if isinstance(fetch_action, interface.ReadThrough):
             if attempt.source is not None:
                 # `may_go` has just found the source ready, so it has a name.
                 fields.append(f"fetch={names[attempt.source]}")
@@ -436,7 +439,7 @@
         """Queues an attempt on a connection to its store; without one, ends the attempt as CONNECT_FAILED."""
         stream = self._pick(attempt)
         if stream is None:
-            self.ledger.end(attempt, w.Status.CONNECT_FAILED)
+            self.ledger.end(attempt, interface.Status.CONNECT_FAILED)
             return
         attempt.place = stream
         stream.waiting.append(attempt)
@@ -529,11 +532,11 @@
         in_flight, stream.in_flight = list(stream.in_flight.values()), {}
         for attempt in waiting:
             attempt.place = None
-            self.ledger.end(attempt, w.Status.CONNECT_FAILED)
+            self.ledger.end(attempt, interface.Status.CONNECT_FAILED)
         for attempt in in_flight:
             # If the connection closed while the socket had accepted no byte of this attempt, it has not run.
             not_sent = stream.unsent and attempt is stream.writing
-            self.ledger.end(attempt, w.Status.CONNECT_FAILED if not_sent else w.Status.RESET)
+            self.ledger.end(attempt, interface.Status.CONNECT_FAILED if not_sent else interface.Status.RESET)
 
     def _sweep(self) -> None:
         """Every 250 ms, closes idle connections that are old, lost a response, or whose store has moved.
--- a/olivecourse/parts.py
+++ b/olivecourse/parts.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import TYPE_CHECKING, Any, Protocol, TypeVar
 
-from olivecourse import interface as w
+from olivecourse import interface
 from olivecourse.config.gateway_config import Config
 from olivecourse.config.inventory import BadInventory, read_inventory
 from olivecourse.core.planner import Planner
@@ -44,7 +44,7 @@
     conf_loaded: int
     conf_invalid: int
 
-    def emit(self, event: w.Event) -> None:
+    def emit(self, event: interface.Event) -> None:
         """Adds an event to the batch that the planner gets in this turn of the event loop."""
         ...
 
@@ -122,7 +122,7 @@
     def reloaded(self, old: Config) -> None:
         """Called after a reload has replaced the gateway's configuration; `old` is the previous one."""
 
-    def execute_action(self, action: w.TellPeer) -> None:
+    def execute_action(self, action: interface.TellPeer) -> None:
         """Executes an action of the planner that the gateway itself does not: sending a message to peer
         gateways.
         """
@@ -267,7 +267,7 @@
         if self.peers is not None:
             self.peers.move(self.host.config.peers, self.host.config.peers_all)
 
-    def execute_action(self, action: w.TellPeer) -> None:
+    def execute_action(self, action: interface.TellPeer) -> None:
         if self.peers is not None:
             self.peers.tell(action)
 
--- a/olivecourse/sizes.py
+++ b/olivecourse/sending_times.py
@@ -5,10 +5,10 @@
 # Share of the difference by which an answer slower than the estimate raises it; such an answer usually shared
 # its link with others.
 RISE_WEIGHT = 0.05
-MOST = 4096  # the most objects for which an estimate is kept; they take about 1 MB
+MAX_OBJECTS = 4096  # the most objects for which an estimate is kept; they take about 1 MB
 
 
-class Sizes:
+class SendingTimes:
     """Estimates, by object id, how long an answer takes to be sent over an otherwise idle link.
 
     An answer may carry one part of an object; all parts of an object are taken to be of one size. An answer
@@ -19,14 +19,14 @@
 
     __slots__ = ("_max_entries", "_known")
 
-    def __init__(self, max_entries: int = MOST) -> None:
+    def __init__(self, max_entries: int = MAX_OBJECTS) -> None:
         self._max_entries = max_entries
         self._known: dict[str, float] = {}
 
     def __len__(self) -> int:
         return len(self._known)
 
-    def saw(self, key: str, took_ns: float) -> None:
+    def observe(self, key: str, took_ns: float) -> None:
         """Updates the estimate for object `key` with the duration of an answer, without its wait for a fill.
 
         An empty `key` or a duration that is not above 0 is ignored.
--- a/olivecourse/storm/guard.py
+++ b/olivecourse/storm/guard.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Hashable
 from dataclasses import dataclass
 
-from olivecourse import interface as w
+from olivecourse import interface
 from olivecourse.storm.admission import (
     AdmissionController,
     AdmissionRequest,
@@ -100,7 +100,9 @@
     `uniform` returns random numbers from 0 to 1, by which the times of client retries are spread.
     """
 
-    def __init__(self, policy: Policy, settings: w.Settings, now: int, uniform: Callable[[], float]) -> None:
+    def __init__(
+        self, policy: Policy, settings: interface.Settings, now: int, uniform: Callable[[], float]
+    ) -> None:
         self._classes, self._now = settings.classes, now
         self.monitor = Notice(ShareDetector(), now, policy.on, policy.off)
         limiter: Limiter = Gradient() if policy.limiter == "gradient" else Aimd(policy.target_wait_ns)
@@ -119,13 +121,13 @@
         # Rejections since the start: of requests by admission verdict, and of retry attempts ("budget").
         self.rejected = {"late": 0, "crowded": 0, "budget": 0}
 
-    def settle(self, settings: w.Settings) -> None:
+    def settle(self, settings: interface.Settings) -> None:
         """Takes over the request classes of changed `settings`; the limits and rates stay."""
         self._classes = settings.classes
 
     # Limits that the Router applies (interface.Limits) -------------------------------------------------
 
-    def admit(self, request: w.Request, cost_ns: float, left_ns: float, open_: int) -> bool:
+    def admit(self, request: interface.Request, cost_ns: float, left_ns: float, open_: int) -> bool:
         """Whether to accept a new request while `open_` others are open; always True outside a storm.
 
         `cost_ns` is the expected sending time and `left_ns` the time until the deadline.
@@ -143,7 +145,7 @@
             self.rejected[verdict.value] += 1
         return verdict is Verdict.ADMIT
 
-    def again(self, request: w.Request, cache: int, source: int | None) -> bool:
+    def may_retry(self, request: interface.Request, cache: int, source: int | None) -> bool:
         """Whether the gateway may try again after an attempt through `cache` and fill source `source` failed.
 
         During a storm, this spends tokens of the retry budgets.
@@ -155,7 +157,7 @@
         self.rejected["budget"] += 1
         return False
 
-    def wait(self, request: w.Request, longest_ns: int) -> int:
+    def retry_after_ns(self, request: interface.Request, longest_ns: int) -> int:
         """The Retry-After time for a refused request in ns, at most `longest_ns`.
 
         Outside a storm it is `longest_ns`; in a storm, a place in the retry schedule is reserved.
@@ -172,11 +174,11 @@
 
     # Observation of the Router's events and actions -----------------------------------------------------
 
-    def came(self, event: w.Event, now: int) -> None:
+    def came(self, event: interface.Event, now: int) -> None:
         """Observes an event; must be called before the Router handles it, as `admit` uses the findings."""
         self._now = now
-        if isinstance(event, w.Request):
-            marked, client = bool(event.flags & w.Flag.REPEAT), event.client
+        if isinstance(event, interface.Request):
+            marked, client = bool(event.flags & interface.Flag.REPEAT), event.client
             self._request = event.request
             self._is_retry = (
                 marked if client is None else self.retries.is_retry(client, self._key(event), marked, now)
@@ -185,10 +187,10 @@
             self.monitor.arrived(self._is_retry)
             if not self._is_retry:
                 self.rates.first()
-        elif isinstance(event, w.AttemptEnded):
-            if event.status is w.Status.SERVED and event.closed:
+        elif isinstance(event, interface.AttemptEnded):
+            if event.status is interface.Status.SERVED and event.closed:
                 self._served(event, now)
-        elif isinstance(event, w.ClientLeft):
+        elif isinstance(event, interface.ClientLeft):
             opened = self._open.pop(event.request, None)
             if opened is not None and now - opened.began > opened.cost_ns:
                 # The client left after more than the expected sending time: the request waited too long, and
@@ -197,14 +199,14 @@
                 self._failed(opened, now)
 
     @staticmethod
-    def _key(request: w.Request) -> str:
+    def _key(request: interface.Request) -> str:
         return f"{request.object}/{request.part or 0}"
 
     def _failed(self, opened: OpenRequest, now: int) -> None:
         if opened.client is not None:
             self.retries.failed(opened.client, opened.key, now)
 
-    def _served(self, event: w.AttemptEnded, now: int) -> None:
+    def _served(self, event: interface.AttemptEnded, now: int) -> None:
         opened = self._open.pop(event.request, None)
         if opened is None:
             return
@@ -214,23 +216,27 @@
         self.admission.ended(waited, opened.in_flight, False, now)
         self.budgets.succeeded(self._bucket_names(opened.cls, event.cache, opened.source), now)
 
-    def went(self, actions: list[w.Action], now: int) -> list[w.Action]:
+    def went(self, actions: list[interface.Action], now: int) -> list[interface.Action]:
         """Observes the Router's actions; returns them, followed by a log line if a storm began or ended."""
         for action in actions:
-            if isinstance(action, w.Refuse | w.Fail):
+            if isinstance(action, interface.Refuse | interface.Fail):
                 opened = self._open.pop(action.request, None)
                 if opened is not None:
                     self._failed(opened, now)
-                    if isinstance(action, w.Refuse) and opened.client is not None and action.retry_after_ns:
+                    if (
+                        isinstance(action, interface.Refuse)
+                        and opened.client is not None
+                        and action.retry_after_ns
+                    ):
                         self.compliance.record_refusal(opened.client, now + action.retry_after_ns)
-            elif isinstance(action, w.ReadThrough) and action.request in self._open:
+            elif isinstance(action, interface.ReadThrough) and action.request in self._open:
                 self._open[action.request].source = action.source
         self.rates.advance(now)
-        logged: list[w.Action] = []
+        logged: list[interface.Action] = []
         for change in self.monitor.advance(now):
             rejected = " ".join(f"{name}={count}" for name, count in self.rejected.items())
             logged.append(
-                w.Log(
+                interface.Log(
                     f"storm {'begins' if change.begins else 'ends'} level={change.level:.2f} "
                     f"limit={self.admission.limiter.limit:.0f} room={self.rates.spare_per_s():.0f} {rejected}"
                 )
--- a/olivecourse/wirehost.py
+++ b/olivecourse/wirehost.py
@@ -11,19 +11,19 @@
 from dataclasses import fields
 from typing import Any, TextIO
 
-from olivecourse import interface as w
+from olivecourse import interface
 from olivecourse.choice import Router
 from olivecourse.config.settings import Convert, Malformed, read_settings
 from olivecourse.config.settings import read_flag as _read_flag
 
 
-def _read_flags(text: str) -> w.Flag:
-    return w.Flag(int(text))
+def _read_flags(text: str) -> interface.Flag:
+    return interface.Flag(int(text))
 
 
-def _read_note(text: str) -> w.Note:
+def _read_note(text: str) -> interface.Note:
     number = int(text)
-    return w.Note(number) if number in list(w.Note) else w.Note.NONE
+    return interface.Note(number) if number in list(interface.Note) else interface.Note.NONE
 
 
 def _read_object(text: str) -> str | None:
@@ -43,7 +43,7 @@
 # follows the name of the Router. The values stand in the order of the event type's fields.
 EVENTS: dict[str, tuple[type, tuple[tuple[str, Convert], ...]]] = {
     "INGRESS": (
-        w.Request,
+        interface.Request,
         (
             ("msg_id", _read_request_id),
             ("tier_class", int),
@@ -56,14 +56,17 @@
             ("opts", _read_flags),
         ),
     ),
-    "BEGUN": (w.StreamBegan, (("msg_id", _read_request_id), ("lag_ns", int), ("cache", int), ("leg", int))),
+    "BEGUN": (
+        interface.StreamBegan,
+        (("msg_id", _read_request_id), ("lag_ns", int), ("cache", int), ("leg", int)),
+    ),
     "ATTEMPT_END": (
-        w.AttemptEnded,
+        interface.AttemptEnded,
         (
             ("msg_id", _read_request_id),
             ("leg", int),
             ("cache", int),
-            ("reason", w.Status),
+            ("reason", interface.Status),
             ("lag_ns", int),
             ("no_more", _read_flag),
             ("remark", _read_note),
@@ -71,35 +74,38 @@
             ("feedback", _read_report),
         ),
     ),
-    "LEFT": (w.ClientLeft, (("msg_id", _read_request_id),)),
-    "RING": (w.TimerFired, (("handle", int),)),
-    "PONG": (w.Probed, (("cache", int), ("reason", w.Status), ("lag_ns", int), ("feedback", _read_report))),
-    "MEMO": (w.PeerMessage, (("from", int), ("content", b64decode))),
-    "OUTDATED": (w.Purged, (("content_id", _read_object), ("bucket", int), ("oldness_ns", int))),
+    "LEFT": (interface.ClientLeft, (("msg_id", _read_request_id),)),
+    "RING": (interface.TimerFired, (("handle", int),)),
+    "PONG": (
+        interface.Probed,
+        (("cache", int), ("reason", interface.Status), ("lag_ns", int), ("feedback", _read_report)),
+    ),
+    "MEMO": (interface.PeerMessage, (("from", int), ("content", b64decode))),
+    "OUTDATED": (interface.Purged, (("content_id", _read_object), ("bucket", int), ("oldness_ns", int))),
 }
 CACHE: tuple[tuple[str, Convert], ...] = (
     ("cache", int),
     ("capacity_hint", float),
     ("ready_at_ns", int),
     ("area", int),
-    ("stage_state", w.State),
+    ("stage_state", interface.State),
     ("pack", int),
     ("type", int),
 )
-ENDPOINTS: tuple[tuple[str, Convert], ...] = (("rev", int), ("form", w.ListKind), ("page", int))
+ENDPOINTS: tuple[tuple[str, Convert], ...] = (("rev", int), ("form", interface.ListKind), ("page", int))
 ACTIONS: dict[type, str] = {
-    w.Look: "RELAY",
-    w.ReadThrough: "READ_THROUGH",
-    w.Cancel: "CALL_OFF",
-    w.Refuse: "REJECT",
-    w.Fail: "RESPOND_ERROR",
-    w.SetTimer: "AFTER",
-    w.Probe: "TEST",
-    w.CloseIdle: "CLOSE",
-    w.Subscribe: "OBSERVE",
-    w.FetchList: "FETCH",
-    w.TellPeer: "POST",
-    w.Log: "NOTE_DOWN",
+    interface.Look: "RELAY",
+    interface.ReadThrough: "READ_THROUGH",
+    interface.Cancel: "CALL_OFF",
+    interface.Refuse: "REJECT",
+    interface.Fail: "RESPOND_ERROR",
+    interface.SetTimer: "AFTER",
+    interface.Probe: "TEST",
+    interface.CloseIdle: "CLOSE",
+    interface.Subscribe: "OBSERVE",
+    interface.FetchList: "FETCH",
+    interface.TellPeer: "POST",
+    interface.Log: "NOTE_DOWN",
 }
 ACTION_FIELDS = {kind: tuple(f.name for f in fields(kind)) for kind in ACTIONS}
 
@@ -139,8 +145,8 @@
     def __init__(self) -> None:
         self.now = 0
         self.routers: dict[str, Router] = {}
-        self.lists: dict[int, list[w.Member]] = {}
-        self.current_list: list[w.Member] = []
+        self.lists: dict[int, list[interface.Member]] = {}
+        self.current_list: list[interface.Member] = []
         self.members_due = 0
 
     def handle_line(self, text: str) -> list[str]:
@@ -152,7 +158,7 @@
         command, *parts = text.split(" ")
         if self.members_due and command == "CACHE":
             # CACHE lines carry no address, so `Member.life` (address and start time) stays empty.
-            self.current_list.append(_build(w.Member, [*_read_fields(parts, CACHE), ""]))
+            self.current_list.append(_build(interface.Member, [*_read_fields(parts, CACHE), ""]))
             self.members_due -= 1
         elif self.members_due:
             raise Malformed(f"members: {self.members_due} more CACHE lines expected")
@@ -173,8 +179,8 @@
             version, kind, list_number = _read_fields(parts[1:], ENDPOINTS)
             if kind is None:
                 raise Malformed("form: missing")
-            members = () if kind is w.ListKind.FAILED else tuple(self.lists.get(list_number, ()))
-            return self._handle(parts[0], w.CacheList(version or 0, kind, members))
+            members = () if kind is interface.ListKind.FAILED else tuple(self.lists.get(list_number, ()))
+            return self._handle(parts[0], interface.CacheList(version or 0, kind, members))
         elif command in EVENTS:
             kind, layout = EVENTS[command]
             if not parts:
@@ -199,7 +205,7 @@
         except Exception as error:  # an exception in one Router must not stop the others
             return self._drop_instance(arguments[0], error)
 
-    def _handle(self, instance: str, event: w.Event) -> list[str]:
+    def _handle(self, instance: str, event: interface.Event) -> list[str]:
         """Passes an event to the Router with the name `instance` and returns the reply lines for its actions.
 
         If there is no such Router, the event is ignored.
@@ -221,7 +227,7 @@
         return [f"DIE {instance} {type(error).__name__}: {' '.join(str(error).split())}"]
 
     @staticmethod
-    def _write(instance: str, action: w.Action) -> str:
+    def _write(instance: str, action: interface.Action) -> str:
         """Returns the reply line for an action of the Router with the name `instance`.
 
         It holds the action's word, the name and the action's field values; bytes are in base64.
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -3,7 +3,7 @@
 import hypothesis
 import pytest
 
-from olivecourse import interface as w
+from olivecourse import interface
 from olivecourse.choice import Router
 
 # Property tests use the same examples in every run, so that their results are reproducible.
@@ -47,10 +47,10 @@
         purge_settles_ns=6 * S,
         classes=(make_class(),),
     )
-    return w.Settings(**(defaults | overrides))
+    return interface.Settings(**(defaults | overrides))
 
 
-def make_class(effect=w.Effect.IDEMPOTENT, **overrides):
+def make_class(effect=interface.Effect.IDEMPOTENT, **overrides):
     """A request class of reads, with the given overrides."""
     defaults = dict(
         name="read",
@@ -58,15 +58,15 @@
         aim_stretch=1.0,
         deadline_ns=3 * S,
         effect=effect,
-        key_scope=w.Scope.ALL,
+        key_scope=interface.Scope.ALL,
         key_memory_ns=2 * S,
     )
-    return w.RequestClass(**(defaults | overrides))
+    return interface.RequestClass(**(defaults | overrides))
 
 
-def member(cache, kind=0, zone=1, ready_at_ns=0, state=w.State.READY, weight=8.0, cell=0):
+def member(cache, kind=0, zone=1, ready_at_ns=0, state=interface.State.READY, weight=8.0, cell=0):
     """A ready store as a member of the discovery list."""
-    return w.Member(cache, weight, ready_at_ns, zone, state, cell, kind)
+    return interface.Member(cache, weight, ready_at_ns, zone, state, cell, kind)
 
 
 def fleet(caches=4):
@@ -86,40 +86,42 @@
         self.router = Router(make_settings(**settings), self.now)
         self.started = self.router.start()
         self.count = 0
-        self.list(members if members is not None else fleet(), w.ListKind.HELD)
+        self.list(members if members is not None else fleet(), interface.ListKind.HELD)
 
     def event(self, event, after=0):
         """Advances the clock by `after` and passes an event to the router; returns the actions."""
         self.now += after
         return self.router.handle(event, self.now)
 
-    def list(self, members, kind=w.ListKind.CHANGES):
+    def list(self, members, kind=interface.ListKind.CHANGES):
         """Passes a list of members to the router."""
-        return self.event(w.CacheList(1, kind, tuple(members)))
+        return self.event(interface.CacheList(1, kind, tuple(members)))
 
     def ask(self, key="a", after=0, cls=0, **fields):
         """Passes a request with a new id to the router; the id is kept in `self.id`."""
         self.count += 1
         self.id = f"{self.count:016x}"
-        return self.event(w.Request(self.id, cls, object=key, **fields), after)
+        return self.event(interface.Request(self.id, cls, object=key, **fields), after)
 
     def end(self, status, attempt=0, cache=None, request=None, after=1 * MS, closed=None, **fields):
         """Ends an attempt: by default attempt 0 of the latest request, at the cache that the router chose."""
         request = request or self.id
         if cache is None:
             cache = self.router.attempts[(request, attempt)][2].member.cache
-        closed = status is w.Status.SERVED if closed is None else closed
-        return self.event(w.AttemptEnded(request, attempt, cache, status, after, closed, **fields), after)
+        closed = status is interface.Status.SERVED if closed is None else closed
+        return self.event(
+            interface.AttemptEnded(request, attempt, cache, status, after, closed, **fields), after
+        )
 
 
 def sends(actions):
     """The actions that send an attempt to a store."""
-    return [action for action in actions if isinstance(action, w.ReadThrough | w.Look)]
+    return [action for action in actions if isinstance(action, interface.ReadThrough | interface.Look)]
 
 
 def finals(actions):
     """The actions that answer a request without an attempt."""
-    return [action for action in actions if isinstance(action, w.Refuse | w.Fail)]
+    return [action for action in actions if isinstance(action, interface.Refuse | interface.Fail)]
 
 
 @pytest.fixture
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -7,7 +7,7 @@
 import socket
 import time
 
-from olivecourse import interface as w
+from olivecourse import interface
 from olivecourse.config.gateway_config import read_config
 from olivecourse.fronts import codec
 from olivecourse.gateway import Gateway
@@ -275,4 +275,6 @@
 
 def outcome(stage, status):
     """Whether an attempt has ended with `status` among the events that wait for the next decision."""
-    return any(isinstance(event, w.AttemptEnded) and event.status is status for event in stage.gateway.batch)
+    return any(
+        isinstance(event, interface.AttemptEnded) and event.status is status for event in stage.gateway.batch
+    )
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -45,12 +45,12 @@
     client = stage.client()
     send_read(client)
     stage.until(stage.cache.line)
-    assert stage.gateway.local.router.held[REQUEST].ask.size_kb is None
+    assert stage.gateway.local.router.pending_requests[REQUEST].request.size_kb is None
     stage.cache.say(HIT)
     assert stage.until(client.answers) == [(1, "success", {}, b"hello")]
     send_read(client, 2, i="00" * 8, m="3.5")
     stage.until(stage.cache.line)
-    assert stage.gateway.local.router.held["00" * 8].ask.size_kb == 3.5, (
+    assert stage.gateway.local.router.pending_requests["00" * 8].request.size_kb == 3.5, (
         "the client states a size for some requests only"
     )
 
@@ -172,7 +172,7 @@
     )
     reload(stage, settings=settings(orders, pages, class_profile("videos"), max_attempts=2))
     reload(stage, settings=settings(pages, orders, class_profile("videos"), max_attempts=2))
-    assert stage.gateway.local.router.s.max_attempts == 2
+    assert stage.gateway.local.router.settings.max_attempts == 2
     stage.cache.say(HIT)
     assert stage.until(client.answers) == [(1, "success", {}, b"hello")], (
         "the request was accepted under the old settings"
@@ -222,7 +222,7 @@
     assert stage.gateway.config is old_config
     reload(stage, settings=SETTINGS | {"az": 0, "zones": ["hub-nord", "edge-1", "edge-2"]})
     assert [v for e, v in stage.logged if e == "reloaded"][0]["needs_restart"] == ["zones", "zone"]
-    assert stage.gateway.local.router.s.zone == 1
+    assert stage.gateway.local.router.settings.zone == 1
 
 
 UNUSABLE = st.one_of(
@@ -271,12 +271,12 @@
             send_read(client, number, i=f"{number:016x}")
             stage.until(stage.cache.line)
             node = stage.gateway.local.router.nodes[1]
-            node.bears = 0.0
+            node.reported_capacity = 0.0
             answer = f"{number:016x} data version=aa,stamp=1,n=HIT,l={report} 1\r\nx\r\n"
             stage.cache.say(answer.encode())
             stage.until(lambda n=number: [a for a in client.answers() if a[0] == n])
             stage.turn()
-            assert node.bears == (8.0 if number < 3 else 0.0), report
+            assert node.reported_capacity == (8.0 if number < 3 else 0.0), report
         assert [a[1] for a in client.answers()] == ["success"] * 6
     finally:
         stage.close()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,7 +9,7 @@
 import pytest
 from stage import OBJECT, Stage, member
 
-from olivecourse import interface as w
+from olivecourse import interface
 from olivecourse.discovery.event_stream import (
     MAX_VALUE_CHARS,
     WHOLE_RESPONSE_BYTES,
@@ -136,7 +136,7 @@
     control._emit = emitted.append
     control.purges.global_bound = (stage.gateway.loop.clock.now() - S, stage.gateway.loop.clock.now() + S)
     control.sync_planner()
-    assert {event.group for event in emitted if isinstance(event, w.Purged)} == set(range(GROUPS))
+    assert {event.group for event in emitted if isinstance(event, interface.Purged)} == set(range(GROUPS))
 
 
 # Responses as streams -----------------------------------------------------------------------------
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -7,7 +7,7 @@
 import pytest
 from conftest import MS, Drive, S, finals, fleet, make_class, member, sends
 
-from olivecourse import interface as w
+from olivecourse import interface
 
 SLOW, QUICK = 3 * S, 100 * MS  # durations of fills
 
@@ -21,33 +21,40 @@
     """Sends a read that no store holds; the origin fills it unless the router only asks a parent for a
     copy."""
     actions = sends(d.ask(key, size_kb=300.0))
-    if d.router.attempts[d.id, 0][1].near:
-        assert actions[0].source == actions[0].cache or actions[0].how & w.How.HELD_ONLY
-        d.end(w.Status.MISS, note=w.Note.SOURCE_LACKS)
+    if d.router.attempts[d.id, 0][1].parent_only:
+        assert actions[0].source == actions[0].cache or actions[0].how & interface.How.HELD_ONLY
+        d.end(interface.Status.MISS, note=interface.Note.SOURCE_LACKS)
     else:
-        d.end(w.Status.SERVED, after=after, note=w.Note.FILLED_BY_ORIGIN, source_wait_ns=origin_wait_ns)
+        d.end(
+            interface.Status.SERVED,
+            after=after,
+            note=interface.Note.FILLED_BY_ORIGIN,
+            source_wait_ns=origin_wait_ns,
+        )
 
 
 def test_an_overdue_fill_counts_as_late_before_it_ends(drive):
     d = router_in_large_fleet(drive, classes=(make_class(deadline_ns=6 * S),))
     for i in range(4):
         d.ask(f"slow{i}", size_kb=300.0)
-    d.event(w.TimerFired(0), after=1 * S)  # every fill is past its latency target, and none has ended
-    share_before_end = d.router.fills[0]
+    d.event(interface.TimerFired(0), after=1 * S)  # every fill is past its latency target, and none has ended
+    share_before_end = d.router.fill_shares[0]
     assert share_before_end < 0.5
     for request, attempt in list(d.router.attempts):
-        d.end(w.Status.SERVED, attempt, request=request, after=MS, note=w.Note.FILLED_BY_ORIGIN)
-    assert d.router.fills[0] == share_before_end  # no fill is counted twice
+        d.end(
+            interface.Status.SERVED, attempt, request=request, after=MS, note=interface.Note.FILLED_BY_ORIGIN
+        )
+    assert d.router.fill_shares[0] == share_before_end  # no fill is counted twice
 
 
 def test_fills_resume_after_a_few_timely_ones_when_the_source_has_recovered(drive):
     d = router_in_large_fleet(drive)
     for i in range(24):
         send_miss(d, f"slow{i}", SLOW)
-    assert d.router.fills[0] < 0.2
+    assert d.router.fill_shares[0] < 0.2
     for i in range(60):  # each gateway fills rarely at first: five requests per second, twelve seconds
         send_miss(d, f"quick{i}", QUICK)
-        if d.router.fills[0] >= 1.0:
+        if d.router.fill_shares[0] >= 1.0:
             break
     assert i < 30, "a gateway that sees few fills must not refuse for long after the source has recovered"
 
@@ -57,7 +64,7 @@
     limited_count = 0
     for i in range(300):
         send_miss(d, f"mixed{i}", SLOW if i % 3 == 0 else QUICK)
-        limited_count += d.router.fills[0] < 1.0
+        limited_count += d.router.fill_shares[0] < 1.0
     assert limited_count > 150
     assert sends(d.ask("next", size_kb=300.0))
 
@@ -66,42 +73,44 @@
     d = router_in_large_fleet(drive, notes="all")
     for i in range(24):
         send_miss(d, f"slow{i}", SLOW)
-    before, served, refused = d.router.fills[0], 0, 0
+    before, served, refused = d.router.fill_shares[0], 0, 0
     for i in range(40):
         (action,) = sends(d.ask(f"n{i}", size_kb=300.0))
-        if not action.how & w.How.HELD_ONLY:
-            d.end(w.Status.SERVED, note=w.Note.HIT)
+        if not action.how & interface.How.HELD_ONLY:
+            d.end(interface.Status.SERVED, note=interface.Note.HIT)
         elif i % 2:
-            d.end(w.Status.SERVED, after=QUICK, note=w.Note.FILLED)
+            d.end(interface.Status.SERVED, after=QUICK, note=interface.Note.FILLED)
             served += 1
         else:  # refused at once: no second attempt bypasses the parent
-            refused += isinstance(d.end(w.Status.MISS, note=w.Note.SOURCE_LACKS)[-1], w.Refuse)
+            refused += isinstance(
+                d.end(interface.Status.MISS, note=interface.Note.SOURCE_LACKS)[-1], interface.Refuse
+            )
     assert served > 10 and refused > 10
-    assert d.router.fills[0] == before, "hits at a parent say nothing about the origin"
-    assert all(d.router._pain(n) < 0.3 for n in d.router.parents), "a miss is not an error"
+    assert d.router.fill_shares[0] == before, "hits at a parent say nothing about the origin"
+    assert all(d.router._error_score(n) < 0.3 for n in d.router.parents), "a miss is not an error"
 
 
 def test_a_failed_parent_does_not_limit_fills(drive):
     d = router_in_large_fleet(drive, notes="all", max_attempts=8)
     for i in range(20):
         d.ask(f"k{i}", size_kb=300.0)
-        d.end(w.Status.ERROR, after=5 * MS, note=w.Note.SOURCE_UNREACHED)
-        d.end(w.Status.SERVED, 1, after=QUICK, note=w.Note.FILLED_BY_ORIGIN)
-    assert min(d.router.fills) >= 1.0
+        d.end(interface.Status.ERROR, after=5 * MS, note=interface.Note.SOURCE_UNREACHED)
+        d.end(interface.Status.SERVED, 1, after=QUICK, note=interface.Note.FILLED_BY_ORIGIN)
+    assert min(d.router.fill_shares) >= 1.0
 
 
 def test_fills_resume_after_a_time_without_any_fill(drive):
     d = router_in_large_fleet(drive)
     for i in range(24):
         send_miss(d, f"slow{i}", SLOW)
-    assert d.router.fills[0] < 0.2
+    assert d.router.fill_shares[0] < 0.2
     for _ in range(70):  # seven seconds without a fill
-        d.event(w.TimerFired(0), after=100 * MS)
-    assert d.router.fills[0] >= 1.0
+        d.event(interface.TimerFired(0), after=100 * MS)
+    assert d.router.fill_shares[0] >= 1.0
 
 
 def test_a_write_goes_to_a_store_with_the_lowest_error_score_and_never_probes(drive):
-    write_class = make_class(w.Effect.AT_MOST_ONCE, write=True, name="order")
+    write_class = make_class(interface.Effect.AT_MOST_ONCE, write=True, name="order")
     d = router_in_large_fleet(drive, classes=(make_class(), write_class))
     failing_cache = d.router.caches[0]
     for i in range(400):  # reads that succeed elsewhere show that the store is at fault and not the read
@@ -109,14 +118,14 @@
         for attempt in range(3):
             cache = d.router.attempts[d.id, attempt][2]
             if cache is not failing_cache:
-                d.end(w.Status.SERVED, attempt, note=w.Note.HIT)
+                d.end(interface.Status.SERVED, attempt, note=interface.Note.HIT)
                 break
-            d.end(w.Status.ERROR, attempt)
-    assert d.router._pain(failing_cache) > 0.5
+            d.end(interface.Status.ERROR, attempt)
+    assert d.router._error_score(failing_cache) > 0.5
     for i in range(200):
         (action,) = sends(d.ask(f"o{i}", cls=1))
         assert action.cache != failing_cache.member.cache
-        d.end(w.Status.SERVED)
+        d.end(interface.Status.SERVED)
 
 
 def test_a_late_fill_weighs_more_when_more_gateways_share_the_origin(drive):
@@ -124,7 +133,7 @@
     for routers in (4, 40):
         d = drive(fleet(), routers=routers, zone_routers=(0, 1))
         send_miss(d, "slow", SLOW)
-        shares.append(d.router.fills[0])
+        shares.append(d.router.fill_shares[0])
     assert shares[1] < 0.7 * shares[0]
 
 
@@ -143,8 +152,8 @@
             for action in sends(d.ask(f"{number}/{step}", after=20 * MS, size_kb=500.0)):
                 if cold.cache in (action.cache, action.source):
                     sent.append((d.now, 0.5))  # sending time in seconds
-                d.end(w.Status.SERVED, request=action.request, after=0, note=w.Note.FILLED)
-    settings = drives[0].router.s
+                d.end(interface.Status.SERVED, request=action.request, after=0, note=interface.Note.FILLED)
+    settings = drives[0].router.settings
     initial_share, slow_start_ns, budget_multiple = (
         (settings.parent_cold_from, settings.parent_cold_ns, settings.parent_fall_multiple)
         if parent
@@ -192,8 +201,10 @@
             for n in range(0 if quiet else 2 if rush else random.random() < request_probabilities[number]):
                 for action in sends(d.ask(f"{number}/{at}/{n}", size_kb=500.0)):
                     sent += [at] if cold.cache in (action.cache, action.source) else []
-                    d.end(w.Status.SERVED, request=action.request, after=0, note=w.Note.FILLED)
-    settings = drives[0].router.s
+                    d.end(
+                        interface.Status.SERVED, request=action.request, after=0, note=interface.Note.FILLED
+                    )
+    settings = drives[0].router.settings
     initial_share, slow_start_ns, budget_multiple = (
         (settings.parent_cold_from, settings.parent_cold_ns, settings.parent_fall_multiple)
         if parent
@@ -214,15 +225,20 @@
     for step in range(200):
         old_id, new_id = live_ids.pop(0), 1000 + step
         live_ids.append(new_id)
-        d.list([member(old_id, state=w.State.GONE), member(new_id, ready_at_ns=d.now)])
+        d.list([member(old_id, state=interface.State.GONE), member(new_id, ready_at_ns=d.now)])
         d.ask(f"k{step}", size_kb=300.0, after=50 * MS)
         token = max(r.timers)
         if (d.id, 0) in r.attempts:
-            d.end(w.Status.SERVED, note=w.Note.HIT)
-        d.event(w.TimerFired(token))
-        d.event(w.TimerFired(0))
+            d.end(interface.Status.SERVED, note=interface.Note.HIT)
+        d.event(interface.TimerFired(token))
+        d.event(interface.TimerFired(0))
     assert len(r.nodes) == 63 and len(r.caches) == 60
-    assert not r.held and not r.timers and not r.attempts and len(r.streak) <= 2 * len(r.fills)
+    assert (
+        not r.pending_requests
+        and not r.timers
+        and not r.attempts
+        and len(r.timely_fill_streak) <= 2 * len(r.fill_shares)
+    )
 
 
 def lose_answer(d):
@@ -232,16 +248,18 @@
     while True:
         d.ask(f"k{d.count}", size_kb=50.0)
         node = d.router.attempts[(d.id, 0)][2]
-        d.end(w.Status.SERVED, note=w.Note.HIT, after=10 * MS)
+        d.end(interface.Status.SERVED, note=interface.Note.HIT, after=10 * MS)
         if node is cache:
             break
     token = next(t for t, r in d.router.timers.items() if r == lost_request)
-    return finals(d.event(w.TimerFired(token), after=3 * S))
+    return finals(d.event(interface.TimerFired(token), after=3 * S))
 
 
 def early_repeat_timers(actions, d):
     """The timers at which the router checks whether an answer seems lost."""
-    return [a for a in actions if isinstance(a, w.SetTimer) and a.token in d.router.looks]
+    return [
+        a for a in actions if isinstance(a, interface.SetTimer) and a.token in d.router.lost_response_checks
+    ]
 
 
 def test_a_read_is_repeated_early_once_and_only_after_an_answer_was_lost(drive):
@@ -249,36 +267,40 @@
     assert not early_repeat_timers(d.ask("x", size_kb=50.0), d), (
         "no read is repeated early before an answer was lost"
     )
-    d.end(w.Status.SERVED, note=w.Note.HIT)
-    assert len(lose_answer(d)) == 1 and d.router.lost > 1.0
+    d.end(interface.Status.SERVED, note=interface.Note.HIT)
+    assert len(lose_answer(d)) == 1 and d.router.lost_response_credit > 1.0
     (timer,) = early_repeat_timers(d.ask("b", size_kb=50.0), d)
     request, (_, held, cache, _) = d.id, d.router.attempts[(d.id, 0)]
-    assert held.size_ns < timer.delay_ns < held.aim - held.size_ns, "a repeat can still be answered in time"
-    cache.heard = d.now + 1
-    (cancel,) = d.event(w.TimerFired(timer.token), after=timer.delay_ns)
+    assert held.sending_ns < timer.delay_ns < held.aim - held.sending_ns, (
+        "a repeat can still be answered in time"
+    )
+    cache.last_answer_at = d.now + 1
+    (cancel,) = d.event(interface.TimerFired(timer.token), after=timer.delay_ns)
     assert (cancel.request, cancel.attempt) == (request, 0)
-    (repeat,) = sends(d.end(w.Status.CANCELLED, request=request, cache=cache.member.cache, closed=False))
-    assert repeat.cache == cache.member.cache and repeat.how & w.How.JOIN, (
+    (repeat,) = sends(
+        d.end(interface.Status.CANCELLED, request=request, cache=cache.member.cache, closed=False)
+    )
+    assert repeat.cache == cache.member.cache and repeat.how & interface.How.JOIN, (
         "the cache holds the copy, or its fill is under way"
     )
-    assert not early_repeat_timers([repeat], d) and not d.router.looks
-    credit_before = d.router.lost
-    d.end(w.Status.SERVED, attempt=1, request=request, note=w.Note.HIT)
-    assert d.router.lost == credit_before + 1.0
+    assert not early_repeat_timers([repeat], d) and not d.router.lost_response_checks
+    credit_before = d.router.lost_response_credit
+    d.end(interface.Status.SERVED, attempt=1, request=request, note=interface.Note.HIT)
+    assert d.router.lost_response_credit == credit_before + 1.0
 
 
 def test_no_early_repeat_at_silent_caches_or_for_large_reads_or_writes(drive):
-    d = drive(classes=(make_class(), make_class(w.Effect.AT_MOST_ONCE, name="order", write=True)))
+    d = drive(classes=(make_class(), make_class(interface.Effect.AT_MOST_ONCE, name="order", write=True)))
     lose_answer(d)
     assert not early_repeat_timers(d.ask("o", cls=1, size_kb=50.0), d)
     assert not early_repeat_timers(d.ask("big", size_kb=2_000.0), d), (
         "a repeat of this read could not be answered in time"
     )
     (timer,) = early_repeat_timers(d.ask("c", size_kb=50.0), d)
-    assert d.event(w.TimerFired(timer.token), after=timer.delay_ns) == [], (
+    assert d.event(interface.TimerFired(timer.token), after=timer.delay_ns) == [], (
         "the cache has not answered any request since"
     )
-    assert not d.router.looks
+    assert not d.router.lost_response_checks
 
 
 class LoadSimulation:
@@ -309,7 +331,7 @@
                 if kind == "ask"
                 else self._end(*payload)
                 if kind == "end"
-                else (self.drive.event(w.TimerFired(payload)))
+                else (self.drive.event(interface.TimerFired(payload)))
             )
             for action in actions:
                 self._act(action, at, end)
@@ -327,37 +349,45 @@
 
     def _end(self, request, attempt, cache, status, sent):
         """Ends an attempt with `status`."""
-        self.open[cache] -= status is not w.Status.FULL
-        if status is w.Status.SERVED:
+        self.open[cache] -= status is not interface.Status.FULL
+        if status is interface.Status.SERVED:
             self.served.add(request)
         return self.drive.event(
-            w.AttemptEnded(
-                request, attempt, cache, status, self.drive.now - sent, status is w.Status.SERVED, w.Note.HIT
+            interface.AttemptEnded(
+                request,
+                attempt,
+                cache,
+                status,
+                self.drive.now - sent,
+                status is interface.Status.SERVED,
+                interface.Note.HIT,
             )
         )
 
     def _act(self, action, at, end):
         """Carries out an action of the router: sets a timer or simulates the cache's work on an attempt."""
-        if isinstance(action, w.SetTimer) and (action.token or at < end + 5 * S):
+        if isinstance(action, interface.SetTimer) and (action.token or at < end + 5 * S):
             self._push(at + max(action.delay_ns, 0), "timer", action.token)
-        if not isinstance(action, w.ReadThrough):
+        if not isinstance(action, interface.ReadThrough):
             return
-        held = self.drive.router.held[action.request]
+        held = self.drive.router.pending_requests[action.request]
         in_trouble = at - self.begin > 8 * S
-        transfer_ns = held.ask.size_kb / 1000 * S * (2 if in_trouble and action.cache in self.slow else 1)
+        transfer_ns = held.request.size_kb / 1000 * S * (2 if in_trouble and action.cache in self.slow else 1)
         is_full = self.open[action.cache] >= self.slots
         status = (
-            w.Status.FULL
+            interface.Status.FULL
             if is_full
-            else w.Status.ERROR
+            else interface.Status.ERROR
             if in_trouble and action.cache in self.broken and self.random.random() < 0.5
-            else w.Status.SERVED
+            else interface.Status.SERVED
         )
         self.open[action.cache] += not is_full
-        duration_ns = 1 * MS if is_full else 20 * MS if status is w.Status.ERROR else transfer_ns
+        duration_ns = 1 * MS if is_full else 20 * MS if status is interface.Status.ERROR else transfer_ns
         if duration_ns > action.timeout_ns:
-            status, duration_ns = w.Status.TIMEOUT, action.timeout_ns
-        self._push(at + duration_ns, "end", (action.request, held.sent - 1, action.cache, status, at))
+            status, duration_ns = interface.Status.TIMEOUT, action.timeout_ns
+        self._push(
+            at + duration_ns, "end", (action.request, held.attempts_sent - 1, action.cache, status, at)
+        )
 
     def share(self, part=None):
         """The share of reads that are answered, among all reads or among the largest `part` of them."""
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -5,10 +5,10 @@
 
 from conftest import MS, S, fleet, make_class, make_settings, sends
 
-from olivecourse import interface as w
-from olivecourse.choice import choose_t
+from olivecourse import interface
+from olivecourse.choice import choose_threshold
 from olivecourse.ring import Ring, rendezvous_order
-from olivecourse.sizes import Sizes
+from olivecourse.sending_times import SendingTimes
 from olivecourse.sketch import HyperLogLog, LossyCounter, max_balls
 from olivecourse.state import Node
 
@@ -58,20 +58,20 @@
 
 def test_choose_t_returns_the_largest_threshold_that_meets_the_bound():
     counts, total = [50.0, 10.0, 5.0], 165.0
-    threshold = choose_t(counts, total, 103, 4, 2.0, 1.0)
+    threshold = choose_threshold(counts, total, 103, 4, 2.0, 1.0)
     assert threshold == 50.0  # an object at T keeps one name, and the estimate already meets the bound
-    tight_threshold = choose_t([300.0, 10.0], 410.0, 102, 4, 1.8, 1.0)
+    tight_threshold = choose_threshold([300.0, 10.0], 410.0, 102, 4, 1.8, 1.0)
     assert tight_threshold < 300.0
 
 
 def test_choose_t_returns_the_lowest_peak_estimate_if_no_threshold_meets_the_bound():
-    threshold = choose_t([100.0], 200.0, 5, 10, 1.0001, 1.0)
+    threshold = choose_threshold([100.0], 200.0, 5, 10, 1.0001, 1.0)
     assert 0 < threshold < 100.0 and threshold < math.inf
 
 
 def test_choose_t_does_not_divide_by_zero_without_cold_objects():
-    assert choose_t([10.0, 9.0], 19.0, 2, 3, 3.0, 0.5) > 0  # fewer than one cold object for small T
-    assert choose_t([], 5.0, 5, 3, 2.0, 1.0) == math.inf
+    assert choose_threshold([10.0, 9.0], 19.0, 2, 3, 3.0, 0.5) > 0  # fewer than one cold object for small T
+    assert choose_threshold([], 5.0, 5, 3, 2.0, 1.0) == math.inf
 
 
 def test_ring_moves_only_the_keys_of_a_cache_that_leaves():
@@ -92,7 +92,7 @@
     caches = []
     for _ in range(count):
         caches.append(sends(driver.ask(key, after=interval_ns))[0].cache)
-        driver.end(w.Status.SERVED, note=w.Note.HIT)
+        driver.end(interface.Status.SERVED, note=interface.Note.HIT)
     return caches
 
 
@@ -102,8 +102,8 @@
     for i in range(60):
         request_repeatedly(driver, f"k{i}", 1)
     request_repeatedly(driver, "hot", 400)
-    driver.event(w.TimerFired(0), after=5 * S)
-    assert driver.router.counts["hot"] > driver.router.t
+    driver.event(interface.TimerFired(0), after=5 * S)
+    assert driver.router.counts["hot"] > driver.router.hot_threshold
     caches = request_repeatedly(driver, "hot", 40)
     assert len(set(caches)) >= 2
     assert len(set(request_repeatedly(driver, "k3", 10))) == 1
@@ -114,17 +114,19 @@
     for i in range(60):
         request_repeatedly(driver, f"k{i}", 1)
     request_repeatedly(driver, "old", 200)
-    driver.event(w.TimerFired(0), after=5 * S)
+    driver.event(interface.TimerFired(0), after=5 * S)
     assert len(set(request_repeatedly(driver, "new", 300))) >= 2
 
 
 def test_client_repeats_writes_and_retries_are_not_counted(drive):
-    write = w.RequestClass("write", aim_ns=S, deadline_ns=3 * S, effect=w.Effect.IDEMPOTENT, write=True)
+    write = interface.RequestClass(
+        "write", aim_ns=S, deadline_ns=3 * S, effect=interface.Effect.IDEMPOTENT, write=True
+    )
     driver = drive(classes=(make_settings().classes[0], write))
     driver.ask("a")
-    driver.end(w.Status.ERROR, closed=False)  # the router's retry
-    driver.ask("a", flags=w.Flag.REPEAT)  # the client's repeat
-    driver.ask("a", flags=w.Flag.WRITE)
+    driver.end(interface.Status.ERROR, closed=False)  # the router's retry
+    driver.ask("a", flags=interface.Flag.REPEAT)  # the client's repeat
+    driver.ask("a", flags=interface.Flag.WRITE)
     driver.ask("a", cls=1)
     assert driver.router.counter.count("a") == 1
 
@@ -141,12 +143,12 @@
     caches = set()
     for part in range(12):
         caches.add(sends(driver.ask("video", part=part, after=S))[0].cache)
-        driver.end(w.Status.SERVED)
+        driver.end(interface.Status.SERVED)
     assert len(caches) >= 3
 
 
 def test_share_of_objects_per_parent_is_proportional_to_its_weight():
-    nodes = [Node(w.Member(i, weight)) for i, weight in ((1, 10.0), (2, 30.0))]
+    nodes = [Node(interface.Member(i, weight)) for i, weight in ((1, 10.0), (2, 30.0))]
     firsts = [
         rendezvous_order(f"k{i}", [(n, n.member.weight) for n in nodes])[0].member.cache for i in range(2000)
     ]
@@ -158,7 +160,7 @@
 
 def hit(driver, key, latency_ns, **more):
     driver.ask(key, 200 * MS)
-    driver.end(w.Status.SERVED, after=latency_ns, note=w.Note.HIT, **more)
+    driver.end(interface.Status.SERVED, after=latency_ns, note=interface.Note.HIT, **more)
 
 
 def test_unreported_sizes_are_learned_per_object_and_large_objects_get_less_room(drive):
@@ -168,26 +170,26 @@
         hit(driver, "large", 900 * MS)
         hit(driver, "large", 2_000 * MS)  # the link is busy, so only the shortest time counts
     driver.ask("large", part=7)
-    large = driver.router.held[driver.id]
-    assert 0.9 * S <= large.size_ns <= 1.1 * S and large.size_known, (
+    large = driver.router.pending_requests[driver.id]
+    assert 0.9 * S <= large.sending_ns <= 1.1 * S and large.size_known, (
         "another part of the object, never requested before"
     )
     driver.ask("small")
-    small = driver.router.held[driver.id]
-    assert 9 * MS <= small.size_ns <= 11 * MS and small.limit_factor > 1.0 > large.limit_factor
+    small = driver.router.pending_requests[driver.id]
+    assert 9 * MS <= small.sending_ns <= 11 * MS and small.limit_factor > 1.0 > large.limit_factor
     driver.ask("other")
-    assert not driver.router.held[driver.id].size_known
+    assert not driver.router.pending_requests[driver.id].size_known
     hit(driver, "small", 1 * MS, same=True)  # answered without content, so nothing is learned
     hit(driver, "small", 0)
     driver.ask("small")
-    assert driver.router.held[driver.id].size_ns >= 9 * MS
+    assert driver.router.pending_requests[driver.id].sending_ns >= 9 * MS
 
 
 def test_number_of_learned_sizes_is_limited():
-    sizes = Sizes(max_entries=8)
+    sizes = SendingTimes(max_entries=8)
     for i in range(100):
-        sizes.saw(f"o{i}", 5.0)
-        sizes.saw("known", 7.0)
+        sizes.observe(f"o{i}", 5.0)
+        sizes.observe("known", 7.0)
     assert len(sizes) == 8 and sizes.estimate("known") == 7.0 and sizes.estimate("o1") is None
 
 
@@ -197,8 +199,8 @@
     initial_limit = max(n.limit for n in driver.router.caches)
     for report in ((None, 0.5), (40.0,), (), (1.0, 0.01), (40.0, None)):
         hit(driver, "a", 10 * MS, report=report)
-    assert not any(n.bears for n in driver.router.caches)
+    assert not any(n.reported_capacity for n in driver.router.caches)
     hit(driver, "a", 10 * MS, report=(40.0, 0.4, 0.0, 0.0))
-    assert max(n.bears for n in driver.router.caches) == 50.0 > 2 * initial_limit
+    assert max(n.reported_capacity for n in driver.router.caches) == 50.0 > 2 * initial_limit
     actions = [driver.ask("a") for _ in range(40)]
     assert sum(bool(sends(a)) for a in actions) == 40
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -22,7 +22,7 @@
 from powercut import RecordingDisk, StillDisk, states
 from test_program import ROOT, run, until, world  # noqa: F401
 
-from olivecourse import interface as w
+from olivecourse import interface
 from olivecourse.choice import Router
 from olivecourse.config.gateway_config import BadConfig, load_operator
 from olivecourse.memory import codec, container
@@ -211,7 +211,7 @@
         if saved is not None:
             restore = Uptake(saved, passed, now, POLICY)
             restore.begin(router, now)
-        router.handle(w.CacheList(1, w.ListKind.HELD, tuple(members)), now)
+        router.handle(interface.CacheList(1, interface.ListKind.HELD, tuple(members)), now)
         if saved is not None:
             restore.settle(router)
         both.append(router)
@@ -267,19 +267,21 @@
     snap, passed, purged, age
 ):
     fresh, restored = routers(snap, passed)
-    assert restored.price_ns == fresh.price_ns
-    assert all(a <= b for a, b in zip(restored.fills, fresh.fills, strict=True))
+    assert restored.cold_budget_cost_ns == fresh.cold_budget_cost_ns
+    assert all(a <= b for a, b in zip(restored.fill_shares, fresh.fill_shares, strict=True))
     for cache, node in fresh.nodes.items():
         restored_node = restored.nodes[cache]
         assert (
             restored_node.credit <= node.credit
             and restored_node.limit <= node.limit
-            and restored_node.pain >= node.pain
+            and restored_node.error_score >= node.error_score
         )
         assert (
             restored._trust(restored_node, [restored_node, node]) >= POLICY.trust_floor - 1e-9
         )  # nor does it exclude a store
-    event = w.Purged(purged if isinstance(purged, str) else None, purged if purged == 3 else None, age)
+    event = interface.Purged(
+        purged if isinstance(purged, str) else None, purged if purged == 3 else None, age
+    )
     for router in (fresh, restored):
         router.handle(event, 100 * S)
     for key, (at, until_) in fresh.purges.items():
@@ -296,22 +298,22 @@
     sent = 0
     for n in range(rounds):
         request = f"{now:x}-{n}"
-        acts = router.handle(w.Request(request, 0, object=f"o{n % 97}"), now + n * 10 * MS)
+        acts = router.handle(interface.Request(request, 0, object=f"o{n % 97}"), now + n * 10 * MS)
         for attempt in range(4):
             attempts = sends(acts)
             if not attempts:
                 break
             sent += attempts[0].cache in bad
-            status = w.Status.ERROR if attempts[0].cache in bad else w.Status.SERVED
+            status = interface.Status.ERROR if attempts[0].cache in bad else interface.Status.SERVED
             acts = router.handle(
-                w.AttemptEnded(
+                interface.AttemptEnded(
                     request,
                     attempt,
                     attempts[0].cache,
                     status,
                     MS,
-                    status is w.Status.SERVED,
-                    w.Note.HIT if status is w.Status.SERVED else w.Note.NONE,
+                    status is interface.Status.SERVED,
+                    interface.Note.HIT if status is interface.Status.SERVED else interface.Note.NONE,
                 ),
                 now + n * 10 * MS + MS,
             )
@@ -336,9 +338,9 @@
     # Every record is wrong: failing stores have recovered, and the others fail. 2 s of answers correct it.
     _, misled = routers(snap, Elapsed(S, True), members)
     learn(misled, (), (3, 4, 5, 6, 7, 8), 200)
-    assert misled._pain(misled.nodes[1]) < 0.3 and misled._pain(misled.nodes[3]) > misled._pain(
-        misled.nodes[1]
-    )
+    assert misled._error_score(misled.nodes[1]) < 0.3 and misled._error_score(
+        misled.nodes[3]
+    ) > misled._error_score(misled.nodes[1])
 
 
 def test_a_record_applies_to_one_run_of_one_store():
@@ -349,14 +351,14 @@
         for cache, node in fresh.nodes.items():
             restored_node = restored.nodes[cache]
             assert (
-                restored_node.pain,
-                restored_node.wait,
+                restored_node.error_score,
+                restored_node.fill_wait_ns,
                 restored_node.limit,
                 restored_node.credit,
                 restored_node.failing,
             ) == (
-                node.pain,
-                node.wait,
+                node.error_score,
+                node.fill_wait_ns,
                 node.limit,
                 node.credit,
                 node.failing,
@@ -373,16 +375,16 @@
         classes=[ClassRecord("read", 5.0 * MS, 0.2)],
     )
     fresh, week = routers(snap, Elapsed(7 * 86_400 * S, True))
-    assert week.nodes[3].pain == 0 and week.counts == {} and week.fills == fresh.fills
-    assert week.size_ns == fresh.size_ns
-    names = [routers(snap, Elapsed(age * S, True))[1]._names("a") for age in (0, 20, 60, 119)]
+    assert week.nodes[3].error_score == 0 and week.counts == {} and week.fill_shares == fresh.fill_shares
+    assert week.mean_sending_ns == fresh.mean_sending_ns
+    names = [routers(snap, Elapsed(age * S, True))[1]._name_count("a") for age in (0, 20, 60, 119)]
     assert names[0] > 1 and names == sorted(names, reverse=True)
 
 
 def test_purges_above_the_maximum_are_saved_as_groups():
     router = routers(snapshot(), Elapsed(0, True))[0]
     for n in range(MAX_PURGES + 1):
-        router.handle(w.Purged(f"{n:016x}", None, 0), 100 * S)
+        router.handle(interface.Purged(f"{n:016x}", None, 0), 100 * S)
     purges = take_snapshot(router, 101 * S).purges
     assert {p.key for p in purges} == set(range(GROUPS)) and {p.left_ns for p in purges} == {5 * S}
 
--- a/tests/test_native.py
+++ b/tests/test_native.py
@@ -129,5 +129,5 @@
         "olivecourse.net.seam",
         "_PlannerConnection",
     )
-    assert origin("olivecourse.net.seam", "w.Settings") == ("olivecourse.interface", "Settings")
+    assert origin("olivecourse.net.seam", "interface.Settings") == ("olivecourse.interface", "Settings")
     assert origin("olivecourse.net.seam", "socket.socket") is None
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -10,8 +10,7 @@
 from stage import OBJECT, REQUEST, SETTINGS, Peer, S, Stage, member
 
 from olivecourse import gateway as gateway_module
-from olivecourse import interface as w
-from olivecourse import logs
+from olivecourse import interface, logs
 from olivecourse.fronts import codec, listener, thrift
 from olivecourse.net import stores
 from olivecourse.net.stream import Stream
@@ -451,7 +450,7 @@
     with monkeypatch.context() as patch:
         patch.setattr(stage.gateway.pool, "close_idle", fault)
         stage.gateway.batch.append(None)
-        patch.setattr(stage.gateway.local, "decide", lambda events, now: [w.CloseIdle(1)])
+        patch.setattr(stage.gateway.local, "decide", lambda events, now: [interface.CloseIdle(1)])
         stage.gateway.decide()
     failing_client.call()
     stage.until(lambda: failing_client.poll() is not None and failing_client.closed)
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -89,14 +89,14 @@
 
 
 def test_a_second_send_of_a_write_is_blocked_even_if_the_decision_module_orders_it(stage):
-    from olivecourse import interface as w
+    from olivecourse import interface as interface
 
     client = stage.client()
     client.call(c="commande", body=b"once")
     stage.until(lambda: stage.cache.line() == "once")
-    stage.gateway.carry_out([w.ReadThrough(REQUEST, 1, 10**9, 9, 0, 0, w.How(0))])
+    stage.gateway.carry_out([interface.ReadThrough(REQUEST, 1, 10**9, 9, 0, 0, interface.How(0))])
     assert "second_send_blocked" in stage.names()
-    stage.gateway.carry_out([w.Refuse(REQUEST, 0)])
+    stage.gateway.carry_out([interface.Refuse(REQUEST, 0)])
     assert stage.until(client.answers)[0][1] == "failed"
 
 
@@ -139,7 +139,7 @@
     client = stage.client()
     client.call(d="120")
     stage.until(stage.cache.line)
-    stage.gateway.local.router.held.clear()
+    stage.gateway.local.router.pending_requests.clear()
     assert stage.until(client.answers)[0][1] == "refused"
     assert "answered_by_guard" in stage.names()
 
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -17,7 +17,7 @@
 from test_program import run
 
 from benchmarks.notice import STORIES, played
-from olivecourse import interface as w
+from olivecourse import interface
 from olivecourse.storm.admission import AdmissionController, AdmissionRequest, Aimd, Gradient, Verdict
 from olivecourse.storm.budgets import BudgetPolicy, RetryBudgets
 from olivecourse.storm.calendar import MIN_WAIT_NS, SLOT_NS, RetrySchedule
@@ -234,8 +234,8 @@
 
     def __init__(self, with_controller, ignores_retry_after, seed=5, marked=True):
         self.random, self.ignores_retry_after, self.marked = random.Random(seed), ignores_retry_after, marked
-        classes = (w.RequestClass("read", 300 * MS, 0.0, S, effect=w.Effect.IDEMPOTENT),)
-        router_settings = w.Settings(classes=classes, retry_after=True, max_retry_after_ns=S)
+        classes = (interface.RequestClass("read", 300 * MS, 0.0, S, effect=interface.Effect.IDEMPOTENT),)
+        router_settings = interface.Settings(classes=classes, retry_after=True, max_retry_after_ns=S)
         self.guard = Guard(Policy(), router_settings, 0, self.random.random) if with_controller else None
         self.queue, self.open, self.good = [], {}, [0] * 400
         self.due = [(self.random.randrange(5 * S), c, 0) for c in range(300)]
@@ -249,14 +249,18 @@
                 self.send_request(client, tries, now)
             for name, (client, tries, since) in list(self.open.items()):
                 if now - since >= S:
-                    self.end(name, now, w.ClientLeft(name))
+                    self.end(name, now, interface.ClientLeft(name))
                     heapq.heappush(self.due, (now, client, tries + 1))  # the client retries at once
             if self.queue and not 15 * S <= now < 20 * S:
                 name = self.queue.pop(0)
                 if name in self.open:
                     client, _, since = self.open[name]
                     self.good[now // S] += 1
-                    self.end(name, now, w.AttemptEnded(name, 0, 1, w.Status.SERVED, now - since, True))
+                    self.end(
+                        name,
+                        now,
+                        interface.AttemptEnded(name, 0, 1, interface.Status.SERVED, now - since, True),
+                    )
                     heapq.heappush(self.due, (now + int(self.random.expovariate(1 / (5 * S))), client, 0))
             if self.guard is not None:
                 self.logged += self.guard.went([], now)
@@ -264,18 +268,18 @@
 
     def send_request(self, client, tries, now):
         self.count += 1
-        request = w.Request(
+        request = interface.Request(
             f"r{self.count}",
             0,
             object=f"o{client}",
             client=client,
-            flags=w.Flag(2 if tries and self.marked else 0),
+            flags=interface.Flag(2 if tries and self.marked else 0),
         )
         if self.guard is not None:
             self.guard.came(request, now)
             if not self.guard.admit(request, 10 * MS, S, len(self.open)):
-                wait = self.guard.wait(request, S)
-                self.guard.went([w.Refuse(request.request, wait)], now)
+                wait = self.guard.retry_after_ns(request, S)
+                self.guard.went([interface.Refuse(request.request, wait)], now)
                 heapq.heappush(
                     self.due, (now + (10 * MS if self.ignores_retry_after else wait), client, tries + 1)
                 )
@@ -321,7 +325,7 @@
     end = office.end
 
     def count_served(name, now, event):
-        if isinstance(event, w.AttemptEnded) and 20 * S <= now < 24 * S:
+        if isinstance(event, interface.AttemptEnded) and 20 * S <= now < 24 * S:
             served[office.open[name][0] % 2] += 1
         end(name, now, event)
 
@@ -340,12 +344,16 @@
 def test_the_controller_limits_nothing_without_a_storm():
     guard = Office(True, False).guard
     for n in range(3000):
-        request = w.Request(f"r{n}", 0, object="o")
+        request = interface.Request(f"r{n}", 0, object="o")
         guard.came(request, n * 10 * MS)
         assert (
-            guard.admit(request, 10 * MS, S, 5) and guard.again(request, 1, 2) and guard.wait(request, S) == S
+            guard.admit(request, 10 * MS, S, 5)
+            and guard.may_retry(request, 1, 2)
+            and guard.retry_after_ns(request, S) == S
+        )
+        guard.came(
+            interface.AttemptEnded(request.request, 0, 1, interface.Status.SERVED, MS, True), n * 10 * MS + MS
         )
-        guard.came(w.AttemptEnded(request.request, 0, 1, w.Status.SERVED, MS, True), n * 10 * MS + MS)
         assert guard.went([], n * 10 * MS + MS) == [] and not guard._open
 
 
@@ -357,23 +365,23 @@
         def admit(self, ask, cost_ns, left_ns, open_):
             return self.admits
 
-        def again(self, ask, cache, source):
+        def may_retry(self, ask, cache, source):
             return False
 
-        def wait(self, ask, longest_ns):
+        def retry_after_ns(self, ask, longest_ns):
             return 123 * MS
 
-    d = drive(classes=(make_class(), make_class(w.Effect.AT_MOST_ONCE, write=True)))
+    d = drive(classes=(make_class(), make_class(interface.Effect.AT_MOST_ONCE, write=True)))
     d.router.limits = limits = StubLimits()
     d.ask("a")
-    (refused,) = finals(d.end(w.Status.ERROR, closed=False))
-    assert refused == w.Refuse(d.id, 123 * MS)
+    (refused,) = finals(d.end(interface.Status.ERROR, closed=False))
+    assert refused == interface.Refuse(d.id, 123 * MS)
     d.ask("b", cls=1)
-    (failed,) = finals(d.end(w.Status.ERROR, closed=False))
-    assert isinstance(failed, w.Fail)  # the write may have run
+    (failed,) = finals(d.end(interface.Status.ERROR, closed=False))
+    assert isinstance(failed, interface.Fail)  # the write may have run
     limits.admits = False
     acts = d.ask("c", cls=1)
-    assert finals(acts) == [w.Refuse(d.id, 123 * MS)] and not sends(acts)
+    assert finals(acts) == [interface.Refuse(d.id, 123 * MS)] and not sends(acts)
 
 
 def test_storms_explain_reports_for_each_storm_what_was_limited_and_what_preceded_it(tmp_path):
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -5,8 +5,7 @@
 import pytest
 from test_library import CONF, LIST
 
-from olivecourse import interface as w
-from olivecourse import wirehost
+from olivecourse import interface, wirehost
 from olivecourse.wirehost import read_settings, serve
 
 
@@ -99,7 +98,7 @@
     original_handle = wirehost.Router.handle
 
     def fail(self, event, now):
-        if isinstance(event, w.TimerFired):
+        if isinstance(event, interface.TimerFired):
             raise RuntimeError("broken\nbadly")
         return original_handle(self, event, now)
 
@@ -131,5 +130,6 @@
     assert (settings.seed, settings.zone, settings.cold_from, settings.parent_kind) == (9, 4, 0.19, -1)
     assert [request_class.write for request_class in settings.classes] == [False, True]
     assert (
-        settings.classes[1].key_scope is w.Scope.ZONE and settings.classes[0].effect is w.Effect.AT_MOST_ONCE
+        settings.classes[1].key_scope is interface.Scope.ZONE
+        and settings.classes[0].effect is interface.Effect.AT_MOST_ONCE
     )
