--- a/benchmarks/_capacity_memory.py
+++ b/benchmarks/_capacity_memory.py
@@ -13,7 +13,7 @@
 from olivecourse import interface
 from olivecourse.choice import COUNT_ERROR, HLL_BITS, INTERVAL_NS, SUPPORT
 from olivecourse.config.discovery_events import ServerDirectory
-from olivecourse.core.ledger import Ledger
+from olivecourse.core.requests import RequestTracker
 from olivecourse.gateway import LoopTimers
 from olivecourse.net.loop import Loop
 from olivecourse.net.stores import Limits, Pool, StoreStream
@@ -158,7 +158,9 @@
     def __init__(self, seed: int) -> None:
         self.loop = Loop()
         router_settings = settings(seed)
-        tracker = Ledger(router_settings, LoopTimers(self.loop), lambda event: None, _silent, most=16)
+        tracker = RequestTracker(
+            router_settings, LoopTimers(self.loop), lambda event: None, _silent, max_open_requests=16
+        )
         limits = Limits(5_000 * MS, 60_000 * MS, 100, 24, 4096)
         self.directory = directory(seed)
         self.pool = Pool(self.loop, self.directory, tracker, limits, ["read"], (), _silent)
--- a/benchmarks/_capacity_target.py
+++ b/benchmarks/_capacity_target.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from olivecourse.core import descriptors
-from olivecourse.core.descriptors import PER_STORE
+from olivecourse.core.descriptors import MAX_CONNECTIONS_PER_STORE
 from olivecourse.net.stores import MOST_BODY
 from olivecourse.rollout.hearing import DEAD_BEATS, Hearing
 from olivecourse.sending_times import MAX_OBJECTS as MOST_SIZES
@@ -50,13 +50,13 @@
         "beat_period_s": beat_period_s(),
         "death_noticed_s": DEAD_BEATS * beat_period_s(),
         "store_connections_zone_one_each": round(GATEWAYS / ZONES),
-        "store_connections_zone_most": round(GATEWAYS / ZONES) * PER_STORE,
+        "store_connections_zone_most": round(GATEWAYS / ZONES) * MAX_CONNECTIONS_PER_STORE,
         "store_connections_all_one_each": GATEWAYS,
-        "store_connections_all_most": GATEWAYS * PER_STORE,
+        "store_connections_all_most": GATEWAYS * MAX_CONNECTIONS_PER_STORE,
         "gateway_connections_zone_one_each": round(STORES / ZONES),
-        "gateway_connections_zone_most": round(STORES / ZONES) * PER_STORE,
+        "gateway_connections_zone_most": round(STORES / ZONES) * MAX_CONNECTIONS_PER_STORE,
         "gateway_connections_all_one_each": STORES,
-        "least_sockets_zone_most": least_sockets(round(STORES / ZONES) * PER_STORE),
+        "least_sockets_zone_most": least_sockets(round(STORES / ZONES) * MAX_CONNECTIONS_PER_STORE),
         "least_sockets_all_one_each": least_sockets(STORES),
     }
 
@@ -69,7 +69,7 @@
 def least_sockets(connections: int) -> int:
     """Returns the fewest descriptors that leave a gateway with a management port `connections` for stores."""
     sockets = 2 * connections
-    while descriptors.split(sockets, MANAGEMENT_PORTS).stores < connections:
+    while descriptors.divide_descriptors(sockets, MANAGEMENT_PORTS).stores < connections:
         sockets += 1
     return sockets
 
@@ -78,7 +78,7 @@
     """Returns how a gateway with a management port divides its descriptors, by their number."""
     division = {}
     for sockets in SOCKETS:
-        descriptor_split = descriptors.split(sockets, MANAGEMENT_PORTS)
+        descriptor_split = descriptors.divide_descriptors(sockets, MANAGEMENT_PORTS)
         division[str(sockets)] = {
             "stores": descriptor_split.stores,
             "per_store": descriptor_split.per_store,
--- a/benchmarks/_hollow.py
+++ b/benchmarks/_hollow.py
@@ -1,7 +1,7 @@
 """Hollow gateways: gateways without a request path, whose control side is the program's own classes.
 
 Each has its own `Loop` with a selector and timers, a `ControlPlane` (discovery client, server directory,
-purge checks), a `Ledger` without requests, a `Planner` with the decision module's `Router`, and the
+purge checks), a `RequestTracker` without requests, a `Planner` with the decision module's `Router`, and the
 settings with their merge at a reload. Left out entirely: fronts, connections to stores, requests and their
 attempts, management ports, peers' datagrams, optional parts, logs on standard error, and signals. A reload
 reads the configuration file again, as a signal makes a real gateway do.
@@ -28,8 +28,8 @@
 from olivecourse.config.gateway_config import Config, load_config
 from olivecourse.config.merging import merge
 from olivecourse.control_plane import ControlPlane
-from olivecourse.core.ledger import Ledger
 from olivecourse.core.planner import Planner
+from olivecourse.core.requests import RequestTracker
 from olivecourse.gateway import LoopTimers
 from olivecourse.net.loop import Loop
 
@@ -91,12 +91,14 @@
         self.started_us = 0
         self.bookkeeping_ns = 0  # thread time that the benchmark's own bookkeeping took
         settings = self.config.settings
-        self.tracker = Ledger(settings, LoopTimers(self.loop), self.batch.append, self.log, most=MOST_OPEN)
+        self.tracker = RequestTracker(
+            settings, LoopTimers(self.loop), self.batch.append, self.log, max_open_requests=MOST_OPEN
+        )
         self.control = ControlPlane(
             self.loop, self.config, self.tracker, self.batch.append, self._server_terminated, self.log
         )
         self.planner = Planner(settings, self.loop.clock.now(), self.log)
-        self._carry_out(self.planner.start())
+        self._execute(self.planner.start())
         self.control.on_events(self.config.notices, first=True)
         self.decide()
         self.started_us = time.monotonic_ns() // 1_000
@@ -117,7 +119,7 @@
     def _server_terminated(self, server: int, when: int) -> None:
         """A real gateway closes its connections to the server here; a hollow gateway has none."""
 
-    def _carry_out(self, actions: list[interface.Action]) -> None:
+    def _execute(self, actions: list[interface.Action]) -> None:
         for action in actions:
             if isinstance(action, interface.SetTimer):
                 self._set_timer(action)
@@ -130,7 +132,7 @@
         while self.batch:
             events = self.batch[:]
             self.batch.clear()
-            self._carry_out(self.planner.decide(events, self.loop.clock.now()))
+            self._execute(self.planner.decide(events, self.loop.clock.now()))
             if self.started_us:
                 self._report_applied(events)
 
@@ -166,8 +168,8 @@
         merged = merge(old.settings, fresh.settings)
         self.config = replace(old, board=fresh.board, boards=fresh.boards, settings=merged.settings)
         self.control.reload(old, self.config)
-        self.tracker.settle(merged.settings)
-        self.planner.settle(merged.settings)
+        self.tracker.apply_settings(merged.settings)
+        self.planner.apply_settings(merged.settings)
 
     def stop(self) -> None:
         """Stops polling and closes the loop."""
--- a/benchmarks/_virtual_agreement.py
+++ b/benchmarks/_virtual_agreement.py
@@ -1,7 +1,7 @@
 """The load of each role in the rollout agreement, for a fleet of any size, in virtual time and without I/O.
 
 Every node runs the program's own `Member`, `Agent` and `Wire`; messages are encoded and signed as on the
-network. Left out entirely: sockets, the disk, and `RolloutPart`, which connects them to the gateway
+network. Left out entirely: sockets, the disk, and `RolloutComponent`, which connects them to the gateway
 (`store_scan_cpu_ms` measures its scan of the list of stores separately).
 
 All voting members and a sample of the other nodes run a tick every 20 ms, as in the program. The remaining
@@ -374,8 +374,8 @@
 
 
 def store_scan_cpu_ms(stores: int) -> float:
-    """Measures `RolloutPart._see_stores` for stores in 46 zones, which every gateway calls every 100 ms."""
-    from olivecourse.rollout.part import RolloutPart
+    """Measures `RolloutComponent._see_stores` for stores in 46 zones; every gateway calls it every 100 ms."""
+    from olivecourse.rollout.part import RolloutComponent
 
     ready, names = (
         interface.State.READY,
@@ -387,17 +387,17 @@
     budget = types.SimpleNamespace(budget=Budget)
     directory = types.SimpleNamespace(members=members, names=names, manually_drained=set())
     settings = interface.Settings(parent_kind=1, origin_kind=2, cold_ns=15 * S, parent_cold_ns=18 * S)
-    host = types.SimpleNamespace(
+    gateway = types.SimpleNamespace(
         directory=directory,
         avoided=set,
         config=types.SimpleNamespace(settings=settings, zones=[f"zone-{number}" for number in range(46)]),
     )
     part: Any = types.SimpleNamespace(
-        host=host,
+        gateway=gateway,
         member=types.SimpleNamespace(world=types.SimpleNamespace()),
         _left=set(),
         config=types.SimpleNamespace(
             section=types.SimpleNamespace(budgets=types.SimpleNamespace(hubs=budget, stores=budget))
         ),
     )
-    return _cpu_ms(lambda: RolloutPart._see_stores(part, EPOCH_NS))
+    return _cpu_ms(lambda: RolloutComponent._see_stores(part, EPOCH_NS))
--- a/build_native.py
+++ b/build_native.py
@@ -25,7 +25,7 @@
     "config/discovery_events",
     "control_plane",
     "gateway",
-    "core/ledger",
+    "core/requests",
     "core/planner",
     "discovery/event_stream",
     "discovery/pacing",
--- a/olivecourse/cli.py
+++ b/olivecourse/cli.py
@@ -17,7 +17,7 @@
 import click
 
 from olivecourse import logs
-from olivecourse.config.gateway_config import BadConfig, Config, load_config, load_operator
+from olivecourse.config.gateway_config import Config, InvalidConfig, load_config, load_operator
 
 VERSION = "0.3.0"
 
@@ -28,7 +28,7 @@
     """
     try:
         return load_operator(operator, os.environ) if operator else load_config(os.environ, path)
-    except BadConfig as error:
+    except InvalidConfig as error:
         click.echo(f"olivecourse: {error}", err=True)
         sys.exit(2)
 
@@ -162,7 +162,7 @@
         try:
             new_config = load_operator(operator, os.environ) if operator else load_config(os.environ, path)
             gateway.reload(new_config if role == "forwarder" else replace(new_config, planner=None))
-        except (BadConfig, OSError, ValueError) as error:
+        except (InvalidConfig, OSError, ValueError) as error:
             if not isinstance(gateway, PlannerService):
                 gateway.conf_invalid += 1
             log("reload_refused", why=str(error))
@@ -175,7 +175,7 @@
     """Runs a relay, a process that receives discovery events and distributes them to many gateways, as
     configured by the operator's file `operator`, until SIGTERM or SIGINT.
     """
-    from olivecourse.config.sections import BadSection
+    from olivecourse.config.sections import InvalidSection
     from olivecourse.relay.commands import most_descriptors
     from olivecourse.relay.section import read_relay
     from olivecourse.relay.service import RelayService
@@ -188,7 +188,7 @@
         logs.set_up()
         log = logs.logger(relay=config.name)
         relay = RelayService(config, log, most_descriptors())
-    except (BadSection, OSError, ValueError) as error:
+    except (InvalidSection, OSError, ValueError) as error:
         click.echo(f"olivecourse: cannot start: {error}", err=True)
         sys.exit(2)
 
@@ -200,7 +200,7 @@
         if signal.SIGHUP in arrived:
             try:
                 relay.reload(read_relay(operator))
-            except (BadSection, ValueError) as error:
+            except (InvalidSection, ValueError) as error:
                 log("reload_refused", why=str(error))
         if arrived & {signal.SIGTERM, signal.SIGINT}:
             relay.stop()
--- a/olivecourse/parts.py
+++ b/olivecourse/components.py
@@ -13,7 +13,7 @@
 
 from olivecourse import interface
 from olivecourse.config.gateway_config import Config
-from olivecourse.config.inventory import BadInventory, read_inventory
+from olivecourse.config.inventory import InvalidInventory, read_inventory
 from olivecourse.core.planner import Planner
 from olivecourse.fronts.listener import Listener
 from olivecourse.net.loop import Loop
@@ -23,22 +23,22 @@
     import socket
 
     from olivecourse.config.discovery_events import ServerDirectory
-    from olivecourse.core.ledger import Ledger
+    from olivecourse.core.requests import RequestTracker
     from olivecourse.net.stores import Pool
 
 MS = 1_000_000
 # Interval between checks of the inventory file and the key file for changes.
 FILE_CHECK_INTERVAL_NS = 1_000 * MS
-ComponentT = TypeVar("ComponentT", bound="Part")
+ComponentT = TypeVar("ComponentT", bound="Component")
 
 
-class Host(Protocol):
+class GatewayContext(Protocol):
     """What the optional components use of the gateway that they belong to; `Gateway` implements it."""
 
     config: Config
     loop: Loop
     log: Callable[..., None]
-    ledger: Ledger
+    tracker: RequestTracker
     pool: Pool
     directory: ServerDirectory
     conf_loaded: int
@@ -60,7 +60,7 @@
         """
         ...
 
-    def part(self, kind: type[ComponentT]) -> ComponentT | None:
+    def component(self, kind: type[ComponentT]) -> ComponentT | None:
         """Returns the optional component of the class `kind`, or None if the configuration does not enable it
         or it has not been created yet.
         """
@@ -97,15 +97,15 @@
         ...
 
 
-class Part:
+class Component:
     """Base class of the optional components. Every method does nothing unless a component overrides it.
     Components are created before the planner and the client listener.
     """
 
-    def __init__(self, host: Host) -> None:
-        self.host = host
+    def __init__(self, gateway: GatewayContext) -> None:
+        self.gateway = gateway
 
-    def teach(self, planner: Planner) -> None:
+    def configure_planner(self, planner: Planner) -> None:
         """Called before the first event of a planner that runs in this process, so that the component can
         configure it. Not called if the planner runs in a separate process.
         """
@@ -119,7 +119,7 @@
         """
         return None
 
-    def reloaded(self, old: Config) -> None:
+    def on_reload(self, old: Config) -> None:
         """Called after a reload has replaced the gateway's configuration; `old` is the previous one."""
 
     def execute_action(self, action: interface.TellPeer) -> None:
@@ -127,21 +127,21 @@
         gateways.
         """
 
-    def settle(self, classes: Sequence[str]) -> None:
+    def apply_settings(self, classes: Sequence[str]) -> None:
         """Called after a reload with the names of all request classes since the start, in the order of their
         indexes.
         """
 
-    def takes_work(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Returns whether clients should send requests to the gateway, as far as this component is concerned;
         false while an operator drains the gateway.
         """
         return True
 
-    def serves(self) -> None:
+    def before_ready(self) -> None:
         """Called whenever this process is about to report that it is ready to serve requests."""
 
-    def retire(self) -> bool:
+    def hand_over_clients(self) -> bool:
         """Called at SIGTERM. Returns whether this component has handed the gateway's clients over to its next
         process.
         """
@@ -162,36 +162,36 @@
         """Called after the event loop has ended, to release the component's sockets and files."""
 
 
-class DoorPart(Part):
+class OperatorEndpointComponent(Component):
     """Serves the operators' HTTP endpoints, for readiness, metrics, drains and taking stores out of service,
     as described in `docs/design/daily.md`.
     """
 
-    def __init__(self, host: Host) -> None:
-        super().__init__(host)
+    def __init__(self, gateway: GatewayContext) -> None:
+        super().__init__(gateway)
         from olivecourse.ops.desk import GatewayDesk
         from olivecourse.ops.door import Door
 
         self.desk = GatewayDesk(
-            host,
-            [c.name for c in host.config.settings.classes],
-            host.ledger,
-            host.pool,
-            host.directory,
-            host.log,
+            gateway,
+            [c.name for c in gateway.config.settings.classes],
+            gateway.tracker,
+            gateway.pool,
+            gateway.directory,
+            gateway.log,
         )
         self.doors: list[Door] = []
 
     def start(self, front: Listener) -> None:
         from olivecourse.ops.door import Door
 
-        host = self.host
-        self.doors = [Door(host.loop, address, self.desk, host.log) for address in host.config.doors]
+        gateway = self.gateway
+        self.doors = [Door(gateway.loop, address, self.desk, gateway.log) for address in gateway.config.doors]
 
-    def settle(self, classes: Sequence[str]) -> None:
+    def apply_settings(self, classes: Sequence[str]) -> None:
         self.desk.classes[:] = classes
 
-    def takes_work(self) -> bool:
+    def accepts_requests(self) -> bool:
         return not self.desk.draining
 
     def stop(self) -> None:
@@ -199,28 +199,28 @@
             door.close()
 
 
-class UpgradePart(Part):
+class UpgradeComponent(Component):
     """Hands clients over from the old to the new process of one gateway during an upgrade. It is created
-    after DoorPart, because the processes share the list of stores that operators took out of service, which
-    the operators' endpoint keeps.
+    after OperatorEndpointComponent, because the processes share the list of stores that operators took out of
+    service, which the operators' endpoint keeps.
     """
 
-    def __init__(self, host: Host) -> None:
-        super().__init__(host)
+    def __init__(self, gateway: GatewayContext) -> None:
+        super().__init__(gateway)
         from olivecourse.ops.succession import open_succession
 
-        door_part = host.part(DoorPart)
+        door_part = gateway.component(OperatorEndpointComponent)
         assert door_part is not None
-        config = host.config
+        config = gateway.config
         self.succession = open_succession(
-            host.loop, config.tmpdir, config.name, door_part.desk, host.share_descriptors, host.log
+            gateway.loop, config.tmpdir, config.name, door_part.desk, gateway.share_descriptors, gateway.log
         )
         if self.succession is not None:
             door_part.desk.spoken = self.succession.say
 
-    def teach(self, planner: Planner) -> None:
+    def configure_planner(self, planner: Planner) -> None:
         if self.succession is not None:
-            self.succession.teach(planner.router)
+            self.succession.configure_planner(planner.router)
 
     def listener(self) -> socket.socket | None:
         return None if self.succession is None else self.succession.listener
@@ -229,11 +229,11 @@
         if self.succession is not None:
             self.succession.start(front)
 
-    def serves(self) -> None:
+    def before_ready(self) -> None:
         if self.succession is not None:
             self.succession.serves()
 
-    def retire(self) -> bool:
+    def hand_over_clients(self) -> bool:
         return self.succession is not None and self.succession.retire()
 
     def flushed(self) -> bool:
@@ -244,28 +244,28 @@
             self.succession.close()
 
 
-class PeersPart(Part):
+class PeersComponent(Component):
     """Exchanges the messages of the Routers with peer gateways as UDP datagrams. Enabled by `peer_listen` in
     the configuration, where the platform allows such messages.
     """
 
-    def __init__(self, host: Host) -> None:
-        super().__init__(host)
-        config = host.config
+    def __init__(self, gateway: GatewayContext) -> None:
+        super().__init__(gateway)
+        config = gateway.config
         assert config.peer_listen is not None
         self.peers: Peers | None = Peers(
-            host.loop,
+            gateway.loop,
             config.peer_listen,
             config.peers,
             config.peers_all,
-            host.emit,
-            host.log,
+            gateway.emit,
+            gateway.log,
             bool(config.doors),
         )
 
-    def reloaded(self, old: Config) -> None:
+    def on_reload(self, old: Config) -> None:
         if self.peers is not None:
-            self.peers.move(self.host.config.peers, self.host.config.peers_all)
+            self.peers.move(self.gateway.config.peers, self.gateway.config.peers_all)
 
     def execute_action(self, action: interface.TellPeer) -> None:
         if self.peers is not None:
@@ -283,18 +283,20 @@
             self.peers = None
 
 
-class MemoryPart(Part):
+class MemoryComponent(Component):
     """Keeps what the Router has learned across restarts, in files, as described in `docs/design/memory.md`.
     The platform's gateway has no disk and does not use this component.
     """
 
-    def __init__(self, host: Host) -> None:
-        super().__init__(host)
+    def __init__(self, gateway: GatewayContext) -> None:
+        super().__init__(gateway)
         from olivecourse.memory.keeper import Keeper
 
-        self.keeper = Keeper(host.loop, host.config.sections["memory"], host.config.name, host.log)
+        self.keeper = Keeper(
+            gateway.loop, gateway.config.sections["memory"], gateway.config.name, gateway.log
+        )
 
-    def teach(self, planner: Planner) -> None:
+    def configure_planner(self, planner: Planner) -> None:
         self.keeper.adopt(planner.router)
         self.keeper.start()
 
@@ -302,18 +304,18 @@
         self.keeper.stop()
 
 
-class StormsPart(Part):
+class StormsComponent(Component):
     """Makes the Router limit the traffic that repeats by clients cause during a retry storm, as described in
     `docs/design/storms.md`.
     """
 
-    def teach(self, planner: Planner) -> None:
+    def configure_planner(self, planner: Planner) -> None:
         from olivecourse.storm.guard import Guard
 
-        settings = self.host.config.settings
-        section = self.host.config.sections["storms"]
+        settings = self.gateway.config.settings
+        section = self.gateway.config.sections["storms"]
         planner.set_limiter(
-            Guard(section.policy(), settings, self.host.loop.clock.now(), Random(settings.seed).random)
+            Guard(section.policy(), settings, self.gateway.loop.clock.now(), Random(settings.seed).random)
         )
 
     def start(self, front: Listener) -> None:
@@ -330,24 +332,24 @@
         return 0
 
 
-class FilesPart(Part):
+class WatchedFilesComponent(Component):
     """Checks every second whether the inventory file or the key file of an operator's configuration has
     changed, and then reads it again. An invalid file is logged and changes nothing.
     """
 
-    def __init__(self, host: Host) -> None:
-        super().__init__(host)
-        self.inventory_seen = modification_time_ns(host.config.inventory)
+    def __init__(self, gateway: GatewayContext) -> None:
+        super().__init__(gateway)
+        self.inventory_seen = modification_time_ns(gateway.config.inventory)
         self.keys_seen = modification_time_ns(self._key_file())
 
     def _key_file(self) -> str | None:
-        return self.host.config.signed.keys if self.host.config.signed else None
+        return self.gateway.config.signed.keys if self.gateway.config.signed else None
 
     def start(self, front: Listener) -> None:
-        self.host.loop.after(FILE_CHECK_INTERVAL_NS, self.look)
+        self.gateway.loop.after(FILE_CHECK_INTERVAL_NS, self.look)
 
-    def reloaded(self, old: Config) -> None:
-        if self.host.config.inventory != old.inventory:
+    def on_reload(self, old: Config) -> None:
+        if self.gateway.config.inventory != old.inventory:
             # No file has this modification time, so the next check, within a second, reads the new inventory.
             self.inventory_seen = -1
 
@@ -355,43 +357,43 @@
         """Reads the inventory file and the key file again if they have changed, then schedules the next
         check.
         """
-        host, config = self.host, self.host.config
+        gateway, config = self.gateway, self.gateway.config
         try:
             changed_at = modification_time_ns(config.inventory)
             if config.inventory is not None and changed_at != self.inventory_seen:
                 self.inventory_seen = changed_at
-                host.on_events([read_inventory(config.inventory, config.zones, config.kinds)])
-                host.log("inventory_read", stores=len(host.directory.members))
+                gateway.on_events([read_inventory(config.inventory, config.zones, config.kinds)])
+                gateway.log("inventory_read", stores=len(gateway.directory.members))
             changed_at = modification_time_ns(self._key_file())
             if changed_at != self.keys_seen:
                 self.keys_seen = changed_at
-                host.reload_keys()
-        except (BadInventory, ValueError) as error:
-            host.log("file_unusable", why=str(error))
-        host.loop.after(FILE_CHECK_INTERVAL_NS, self.look)
+                gateway.reload_keys()
+        except (InvalidInventory, ValueError) as error:
+            gateway.log("file_unusable", why=str(error))
+        gateway.loop.after(FILE_CHECK_INTERVAL_NS, self.look)
 
 
-def _rollout_component() -> type[Part]:
+def _rollout_component() -> type[Component]:
     """Returns the class of the rollout component. Its module is imported here, only if the component is
     enabled.
     """
-    from olivecourse.rollout.part import RolloutPart
+    from olivecourse.rollout.part import RolloutComponent
 
-    return RolloutPart
+    return RolloutComponent
 
 
-def parts_of(config: Config) -> list[type[Part]]:
+def enabled_components(config: Config) -> list[type[Component]]:
     """Returns the classes of the optional components that a configuration enables, in the order in which the
     gateway creates them.
     """
     planner_is_local = config.planner is None
-    candidates: tuple[tuple[bool, type[Part]], ...] = (
-        (bool(config.doors), DoorPart),
-        (bool(config.doors), UpgradePart),
-        (config.peer_listen is not None, PeersPart),
-        (planner_is_local and "memory" in config.sections, MemoryPart),
-        ("storms" in config.sections, StormsPart),
-        (config.inventory is not None, FilesPart),
+    candidates: tuple[tuple[bool, type[Component]], ...] = (
+        (bool(config.doors), OperatorEndpointComponent),
+        (bool(config.doors), UpgradeComponent),
+        (config.peer_listen is not None, PeersComponent),
+        (planner_is_local and "memory" in config.sections, MemoryComponent),
+        ("storms" in config.sections, StormsComponent),
+        (config.inventory is not None, WatchedFilesComponent),
     )
     return [component_class for enabled, component_class in candidates if enabled] + (
         [_rollout_component()] if "rollout" in config.sections else []
--- a/olivecourse/config/gateway_config.py
+++ b/olivecourse/config/gateway_config.py
@@ -15,8 +15,8 @@
 
 from olivecourse import interface
 from olivecourse.config.address import Address, parse_address
-from olivecourse.config.inventory import BadInventory, read_inventory
-from olivecourse.config.settings import Malformed, check_settings, nested_pairs, read_settings, unread
+from olivecourse.config.inventory import InvalidInventory, read_inventory
+from olivecourse.config.settings import Malformed, check_settings, nested_pairs, read_settings, unused_paths
 from olivecourse.config.vocabulary import DOORS
 
 # Optional sections of an operator's YAML file. Each is read by the function given as module:name, which takes
@@ -28,7 +28,7 @@
 }
 
 
-class BadConfig(Exception):
+class InvalidConfig(Exception):
     """A configuration that a gateway cannot start with."""
 
 
@@ -73,14 +73,16 @@
     signed: SignedListenerConfig | None = None
     inventory: str | None = None
     planner: str | None = None  # Path of the Unix socket of a planner in a separate process.
-    unread: tuple[str, ...] = ()  # Paths of settings in the file that this program does not use; logged.
+    unused_paths: tuple[
+        str, ...
+    ] = ()  # Paths of settings in the file that this program does not use; logged.
     # The optional sections that the operator's file contains, as read by the functions in SECTIONS, by name.
     sections: Mapping[str, Any] = field(default_factory=dict)
 
 
 def _address(raw: Mapping[str, Any], name: str) -> Address | None:
     """Returns the HOST:PORT address that the configuration `raw` contains under `name`, or None if it is
-    absent or empty. Raises BadConfig if it is invalid.
+    absent or empty. Raises InvalidConfig if it is invalid.
     """
     text = raw.get(name)
     if text in (None, ""):
@@ -88,7 +90,7 @@
     try:
         return parse_address(str(text))
     except ValueError as error:
-        raise BadConfig(f"{name}: {error}") from None
+        raise InvalidConfig(f"{name}: {error}") from None
 
 
 def _doors(raw: Mapping[str, Any], env: Mapping[str, str]) -> tuple[Address, ...]:
@@ -102,16 +104,16 @@
 
 def read_config(raw: Any, env: Mapping[str, str]) -> Config:
     """Checks a parsed configuration file and returns it as a Config. Environment variables take precedence
-    for the name, the client listener's address and the operators' endpoints. Raises BadConfig.
+    for the name, the client listener's address and the operators' endpoints. Raises InvalidConfig.
     """
     if not isinstance(raw, dict):
-        raise BadConfig("the configuration is not a JSON object")
+        raise InvalidConfig("the configuration is not a JSON object")
     nested = raw.get("settings")
     if not isinstance(nested, dict):
-        raise BadConfig("settings: missing or not an object")
+        raise InvalidConfig("settings: missing or not an object")
     listen = _address({"listen": env.get("EDGE_LISTEN") or raw.get("listen")}, "listen")
     if listen is None:
-        raise BadConfig("listen: missing, and EDGE_LISTEN is not set")
+        raise InvalidConfig("listen: missing, and EDGE_LISTEN is not set")
     try:
         seed = int(str(raw.get("seed", "0")), 16)
         settings = read_settings(seed, nested_pairs(nested))
@@ -136,42 +138,42 @@
             memory_mb=int(process_limits.get("memory_mb", 192)),
             board=_address(raw, "board"),
             doors=_doors(raw, env),
-            unread=unread(nested_pairs(nested)),
+            unused_paths=unused_paths(nested_pairs(nested)),
             tmpdir=env.get("TMPDIR"),
             peer_listen=_address(raw, "peer_listen"),
             peers=[parse_address(peer) for peer in raw.get("peers", ())],
             peers_all=_address(raw, "peers_all"),
         )
     except Malformed as error:
-        raise BadConfig(f"settings: {error}") from None
+        raise InvalidConfig(f"settings: {error}") from None
     except (ValueError, TypeError, AttributeError) as error:
-        raise BadConfig(f"cannot read a value: {error}") from None
+        raise InvalidConfig(f"cannot read a value: {error}") from None
 
 
 def load_config(env: Mapping[str, str], path: str | None = None) -> Config:
     """Reads the JSON configuration file at `path`, or without a path the one that EDGE_CONFIG names. Raises
-    BadConfig.
+    InvalidConfig.
     """
     path = path or env.get("EDGE_CONFIG")
     if not path:
-        raise BadConfig("no configuration: set EDGE_CONFIG or give --config")
+        raise InvalidConfig("no configuration: set EDGE_CONFIG or give --config")
     try:
         raw = json.loads(Path(path).read_text("utf-8"))
     except OSError as error:
-        raise BadConfig(f"{path}: {error.strerror}") from None
+        raise InvalidConfig(f"{path}: {error.strerror}") from None
     except ValueError as error:
-        raise BadConfig(f"{path}: not JSON: {error}") from None
+        raise InvalidConfig(f"{path}: not JSON: {error}") from None
     try:
         return read_config(raw, env)
-    except BadConfig as error:
-        raise BadConfig(f"{path}: {error}") from None
+    except InvalidConfig as error:
+        raise InvalidConfig(f"{path}: {error}") from None
 
 
 def _sections(path: str, raw: dict[str, Any]) -> dict[str, Any]:
     """Returns the optional sections that the operator's file contains, by name. `path` is the path of the
     file and `raw` its content. The package that reads a section is imported only if the file contains it.
     """
-    from olivecourse.config.sections import BadSection
+    from olivecourse.config.sections import InvalidSection
 
     found = {}
     for name, reader in SECTIONS.items():
@@ -179,25 +181,25 @@
             module, _, function = reader.partition(":")
             try:
                 found[name] = getattr(import_module(module), function)(path)
-            except BadSection as error:
-                raise BadConfig(str(error)) from None
+            except InvalidSection as error:
+                raise InvalidConfig(str(error)) from None
     return found
 
 
 def load_operator(path: str, env: Mapping[str, str]) -> Config:
     """Reads an operator's YAML file. It names a file with the inventory of stores and contains the settings
     or names a file with them; the signed listener and the sections in SECTIONS are optional. Raises
-    BadConfig.
+    InvalidConfig.
     """
     try:
         raw = yaml.safe_load(Path(path).read_text("utf-8"))
     except OSError as error:
-        raise BadConfig(f"{path}: {error.strerror}") from None
+        raise InvalidConfig(f"{path}: {error.strerror}") from None
     except (yaml.YAMLError, UnicodeDecodeError) as error:
         mark = getattr(error, "problem_mark", None)
-        raise BadConfig(f"{path}:{mark.line + 1 if mark else 1}: not YAML") from None
+        raise InvalidConfig(f"{path}:{mark.line + 1 if mark else 1}: not YAML") from None
     if not isinstance(raw, dict):
-        raise BadConfig(f"{path}: not a mapping")
+        raise InvalidConfig(f"{path}: not a mapping")
     folder = Path(path).parent
     try:
         if isinstance(raw.get("settings"), str):
@@ -206,21 +208,21 @@
         signed_listener = raw.get("signed")
         if signed_listener is not None:
             if not isinstance(signed_listener, dict) or not {"public", "keys"} <= set(signed_listener):
-                raise BadConfig("signed: public and keys are needed")
+                raise InvalidConfig("signed: public and keys are needed")
             leeway_s = float(signed_listener.get("leeway_s", 3))
             if not 0 <= leeway_s <= 60:
-                raise BadConfig("signed: leeway_s is 0 to 60 seconds")
+                raise InvalidConfig("signed: leeway_s is 0 to 60 seconds")
             signed_listener = SignedListenerConfig(
                 str(signed_listener["public"]), str(folder / signed_listener["keys"]), leeway_s
             )
         if not raw.get("inventory"):
-            raise BadConfig("inventory: missing")
+            raise InvalidConfig("inventory: missing")
         inventory = str(folder / raw["inventory"])
         notice = read_inventory(inventory, config.zones, config.kinds)
         planner = raw.get("planner")
         boards = raw.get("boards") or []
         if boards and config.board is None:
-            raise BadConfig("boards: alternatives to `board`, which is missing")
+            raise InvalidConfig("boards: alternatives to `board`, which is missing")
         return replace(
             config,
             signed=signed_listener,
@@ -230,9 +232,9 @@
             boards=tuple(parse_address(str(text)) for text in boards),
             sections=_sections(path, raw),
         )
-    except (BadConfig, BadInventory) as error:
+    except (InvalidConfig, InvalidInventory) as error:
         # The message of an error in a section may already start with the path of this file.
         text = str(error)
-        raise BadConfig(text if text.startswith(f"{path}:") else f"{path}: {text}") from None
+        raise InvalidConfig(text if text.startswith(f"{path}:") else f"{path}: {text}") from None
     except (OSError, ValueError, TypeError) as error:
-        raise BadConfig(f"{path}: cannot read a value: {error}") from None
+        raise InvalidConfig(f"{path}: cannot read a value: {error}") from None
--- a/olivecourse/config/inventory.py
+++ b/olivecourse/config/inventory.py
@@ -21,7 +21,7 @@
 STATES = {"ready": "Ready", "draining": "Terminating", "gone": "Gone"}
 
 
-class BadInventory(Exception):
+class InvalidInventory(Exception):
     """Raised for an inventory that cannot be used; the message contains the path of the file and, for an
     invalid entry, its line.
     """
@@ -29,25 +29,25 @@
 
 def read_inventory(path: str, zones: list[str], kinds: list[str]) -> dict[str, Any]:
     """Reads the inventory file and returns it in the form of a discovery event with a complete list of
-    stores. `zones` and `kinds` are the names that its entries may use. Raises BadInventory.
+    stores. `zones` and `kinds` are the names that its entries may use. Raises InvalidInventory.
     """
     try:
         text = Path(path).read_text("utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        raise BadInventory(f"{path}: {getattr(error, 'strerror', None) or 'not UTF-8'}") from None
+        raise InvalidInventory(f"{path}: {getattr(error, 'strerror', None) or 'not UTF-8'}") from None
     rows = _yaml_rows(path, text) if path.endswith((".yaml", ".yml")) else _csv_rows(path, text)
     members, names, addresses = [], dict[str, int](), dict[str, int]()
     for line, row in rows:
         member = _member(f"{path}:{line}", row, zones, kinds)
         for field, seen in (("id", names), ("host_port", addresses)):
             if member[field] in seen:
-                raise BadInventory(
+                raise InvalidInventory(
                     f"{path}:{line}: {member[field]} stands at line {seen[member[field]]} already"
                 )
             seen[member[field]] = line
         members.append(member)
     if not members:
-        raise BadInventory(f"{path}: no store")
+        raise InvalidInventory(f"{path}: no store")
     return {"rev": 0, "pool": {"revision": 0, "complete": True, "members": members}}
 
 
@@ -59,15 +59,15 @@
     try:
         columns = reader.fieldnames or []
         if set(REQUIRED_COLUMNS) - set(columns):
-            raise BadInventory(
+            raise InvalidInventory(
                 f"{path}:1: columns missing: {', '.join(sorted(set(REQUIRED_COLUMNS) - set(columns)))}"
             )
         for row in reader:
             if None in row or None in row.values():
-                raise BadInventory(f"{path}:{reader.line_num}: as many values as columns are needed")
+                raise InvalidInventory(f"{path}:{reader.line_num}: as many values as columns are needed")
             yield reader.line_num, row
     except csv.Error as error:
-        raise BadInventory(f"{path}:{reader.line_num}: {error}") from None
+        raise InvalidInventory(f"{path}:{reader.line_num}: {error}") from None
 
 
 def _yaml_rows(path: str, text: str) -> Iterator[tuple[int, dict[str, Any]]]:
@@ -77,15 +77,15 @@
         value = yaml.safe_load(text)
     except yaml.MarkedYAMLError as error:
         line = error.problem_mark.line + 1 if error.problem_mark else 1
-        raise BadInventory(f"{path}:{line}: {error.problem}") from None
+        raise InvalidInventory(f"{path}:{line}: {error.problem}") from None
     except yaml.YAMLError as error:
-        raise BadInventory(f"{path}:1: {error}") from None
+        raise InvalidInventory(f"{path}:1: {error}") from None
     if not isinstance(root, yaml.SequenceNode):
-        raise BadInventory(f"{path}:1: a list of stores is needed")
+        raise InvalidInventory(f"{path}:1: a list of stores is needed")
     for node, row in zip(root.value, value, strict=True):
         line = node.start_mark.line + 1
         if not isinstance(row, dict):
-            raise BadInventory(f"{path}:{line}: a store is a mapping")
+            raise InvalidInventory(f"{path}:{line}: a store is a mapping")
         yield line, row
 
 
@@ -95,19 +95,19 @@
     """
     unknown = set(map(str, row)) - {*REQUIRED_COLUMNS, *OPTIONAL_COLUMNS}
     if unknown:
-        raise BadInventory(f"{where}: unknown: {', '.join(sorted(unknown))}")
+        raise InvalidInventory(f"{where}: unknown: {', '.join(sorted(unknown))}")
     text = {key: "" if value is None else str(value).strip() for key, value in row.items()}
     for name in REQUIRED_COLUMNS:
         if not text.get(name):
-            raise BadInventory(f"{where}: {name} is missing")
+            raise InvalidInventory(f"{where}: {name} is missing")
     if not all(character.isalnum() or character in "-_." for character in text["name"]):
-        raise BadInventory(f"{where}: name {text['name']!r}: letters, digits, '-', '_' and '.' only")
+        raise InvalidInventory(f"{where}: name {text['name']!r}: letters, digits, '-', '_' and '.' only")
     for name, choices in (("zone", zones), ("kind", kinds)):
         if text[name] not in choices:
-            raise BadInventory(f"{where}: {name} {text[name]!r} is none of {', '.join(choices)}")
+            raise InvalidInventory(f"{where}: {name} {text[name]!r} is none of {', '.join(choices)}")
     state = text.get("state") or "ready"
     if state not in STATES:
-        raise BadInventory(f"{where}: state {state!r} is none of {', '.join(STATES)}")
+        raise InvalidInventory(f"{where}: state {state!r} is none of {', '.join(STATES)}")
     try:
         parse_address(text["address"])
         size = float(text.get("size") or 1)
@@ -115,7 +115,7 @@
         if not 0 < size < 1e6:
             raise ValueError(f"size {size} is out of range")
     except ValueError as error:
-        raise BadInventory(f"{where}: {error}") from None
+        raise InvalidInventory(f"{where}: {error}") from None
     return {
         "id": text["name"],
         "host_port": text["address"],
--- a/olivecourse/config/merging.py
+++ b/olivecourse/config/merging.py
@@ -13,7 +13,7 @@
 
 # Maximum number of request class names in the life of a process. Each name keeps its counters and averages
 # until the process ends, also after a reload has removed it from the configuration.
-MOST_CLASSES = 256
+MAX_CLASSES = 256
 # Settings that a reload does not apply: they define what a gateway is and where it is located, and data
 # structures are sized and arranged by them at the start.
 NEEDS_RESTART = (
@@ -54,7 +54,7 @@
 def merge(old: Settings, new: Settings) -> MergeResult:
     """Merges the reloaded settings `new` into the current ones, `old`, and changes neither.
 
-    Raises SettingsNotApplicable if there would be more than MOST_CLASSES names of request classes since the
+    Raises SettingsNotApplicable if there would be more than MAX_CLASSES names of request classes since the
     start.
     """
     indexes = {listed_class.name: index for index, listed_class in enumerate(old.classes)}
@@ -65,9 +65,9 @@
         else:
             indexes[request_class.name] = len(classes)
             classes.append(request_class)
-    if len(classes) > MOST_CLASSES:
+    if len(classes) > MAX_CLASSES:
         raise SettingsNotApplicable(
-            f"more than {MOST_CLASSES} names of classes since the start: restart the gateway"
+            f"more than {MAX_CLASSES} names of classes since the start: restart the gateway"
         )
     changed = [
         setting.name
--- a/olivecourse/config/sections.py
+++ b/olivecourse/config/sections.py
@@ -20,7 +20,7 @@
 PATH_STEP = re.compile(r"\.([^.\[]+)|\[(\d+)\]")
 
 
-class BadSection(Exception):
+class InvalidSection(Exception):
     """Raised for a section that cannot be used. The message contains the path of the file and, for an invalid
     value, its line and its path within the section.
     """
@@ -60,13 +60,13 @@
     """Returns the section `name` of the YAML file at `path`, converted to the msgspec type `kind`, or None if
     the file does not contain it.
 
-    Raises BadSection, whose message is one line.
+    Raises InvalidSection, whose message is one line.
     """
     try:
         text = Path(path).read_text("utf-8")
         root = yaml.compose(text, Loader=yaml.SafeLoader)
     except (OSError, UnicodeDecodeError, yaml.YAMLError) as error:
-        raise BadSection(f"{path}: {type(error).__name__}") from None
+        raise InvalidSection(f"{path}: {type(error).__name__}") from None
     found = None if root is None else _find(root, name)
     if found is None or found[1].tag == "tag:yaml.org,2002:null":
         return None
@@ -82,4 +82,4 @@
             if value_path or UNKNOWN_FIELD.search(reason)
             else key.start_mark.line + 1
         )
-        raise BadSection(f"{path}:{line}: {name}{value_path}: {reason}") from None
+        raise InvalidSection(f"{path}:{line}: {name}{value_path}: {reason}") from None
--- a/olivecourse/config/settings.py
+++ b/olivecourse/config/settings.py
@@ -152,10 +152,10 @@
     "limits.conn_idle_ns",
     "limits.streams_per_conn",
 }
-MAX_REPORTED_PATHS = 40  # Maximum number of paths of unused settings that `unread` returns.
+MAX_REPORTED_PATHS = 40  # Maximum number of paths of unused settings that `unused_paths` returns.
 
 
-def unread(pairs: Iterable[str]) -> tuple[str, ...]:
+def unused_paths(pairs: Iterable[str]) -> tuple[str, ...]:
     """Returns the sorted paths of the settings that this program does not use, at most MAX_REPORTED_PATHS, to
     be logged at the start. The paths of a request class appear under `profiles.*`. Such settings may stay in
     the file and have no effect.
--- a/olivecourse/config/vocabulary.py
+++ b/olivecourse/config/vocabulary.py
@@ -14,7 +14,7 @@
     """The operations that operators can call at the operators' HTTP endpoint."""
 
     READY = "ready"
-    FIGURES = "figures"
+    METRICS = "figures"
     DOWN = "down"
     UP = "up"
     DRAIN = "drain"
@@ -32,8 +32,8 @@
 CALLS: dict[str, tuple[Call, tuple[str, ...]]] = {
     "/ops/readiness": (Call.READY, ("GET",)),
     "/ready": (Call.READY, ("GET",)),
-    "/ops/stats": (Call.FIGURES, ("GET",)),
-    "/metrics": (Call.FIGURES, ("GET",)),
+    "/ops/stats": (Call.METRICS, ("GET",)),
+    "/metrics": (Call.METRICS, ("GET",)),
     "/ops/stores/down": (Call.DOWN, ("PUT",)),
     "/ops/stores/up": (Call.UP, ("PUT",)),
     "/servers/out/": (Call.DOWN, ("POST",)),
@@ -48,19 +48,19 @@
 # deployment: the metric's name, the label for the class, the label for the result, and the words for the
 # results served, refused and failed. Where the label for the result is empty, the word replaces {} in the
 # metric's name.
-ENDS: tuple[tuple[str, str, str, tuple[str, str, str]], ...] = (
+RESULT_COUNTERS: tuple[tuple[str, str, str, tuple[str, str, str]], ...] = (
     ("app_transactions", "group", "state", ("answered", "deferred", "errored")),
     ("lb_{}", "class", "", ("served", "refused", "failed")),
 )
-# The metrics of a gateway other than the one in ENDS. Each constant lists all names under which one value is
-# exported, because deployments differ in their names for it.
-ATTEMPTS = ("app_sends", "lb_attempts")  # Counts the attempts that were written to stores as a whole.
-OPEN = ("app_current", "lb_in_flight")  # Requests accepted and not closed yet.
-KNOWN = ("app_cluster_size", "lb_servers_known")  # Stores in the list from discovery or the inventory.
-AVOIDED = ("app_cluster_unhealthy", "lb_servers_out")  # Listed stores that get no requests at present.
-TAKEN_UP = ("app_conf_loaded",)  # Counts configurations applied, including the one at the start.
-RELOADS = ("lb_reloads",)  # Counts configurations applied, not including the one at the start.
-REFUSED = ("app_conf_invalid", "lb_reloads_refused")  # Counts configurations rejected as invalid.
+# The metrics of a gateway other than the one in RESULT_COUNTERS. Each constant lists all names under which
+# one value is exported, because deployments differ in their names for it.
+ATTEMPTS_SENT = ("app_sends", "lb_attempts")  # Counts the attempts that were written to stores as a whole.
+REQUESTS_OPEN = ("app_current", "lb_in_flight")  # Requests accepted and not closed yet.
+STORES_KNOWN = ("app_cluster_size", "lb_servers_known")  # Stores in the list from discovery or the inventory.
+STORES_AVOIDED = ("app_cluster_unhealthy", "lb_servers_out")  # Listed stores that get no requests at present.
+CONFIGS_APPLIED = ("app_conf_loaded",)  # Counts configurations applied, including the one at the start.
+CONFIGS_RELOADED = ("lb_reloads",)  # Counts configurations applied, not including the one at the start.
+CONFIGS_REFUSED = ("app_conf_invalid", "lb_reloads_refused")  # Counts configurations rejected as invalid.
 # The duration in seconds of the longest turn of the event loop since the start.
 LONGEST_TURN = ("app_turn_seconds_max",)
 
@@ -71,7 +71,7 @@
 
 # Fields of the load reports that stores send with their answers. Stores may use the name on the left or the
 # one on the right for a field; the settings use the one on the right.
-REPORTED: dict[str, str] = {
+REPORT_FIELDS: dict[str, str] = {
     "inflight": "active",
     "queue": "waiting",
     "util": "cpu",
--- a/olivecourse/control_plane.py
+++ b/olivecourse/control_plane.py
@@ -13,7 +13,7 @@
 from olivecourse import interface
 from olivecourse.config.discovery_events import InvalidEvent, ServerDirectory
 from olivecourse.config.gateway_config import Config
-from olivecourse.core.ledger import Ledger
+from olivecourse.core.requests import RequestTracker
 from olivecourse.discovery.pacing import PollPacer
 from olivecourse.net.discovery_client import DiscoveryClient
 from olivecourse.net.loop import Loop
@@ -36,7 +36,7 @@
         self,
         loop: Loop,
         config: Config,
-        tracker: Ledger,
+        tracker: RequestTracker,
         emit: Callable[[interface.Event], None],
         server_terminated: Callable[[int, int], None],
         log: Callable[..., None],
--- a/olivecourse/core/descriptors.py
+++ b/olivecourse/core/descriptors.py
@@ -6,15 +6,15 @@
 
 # Maximum number of connections to one store, in a process that is not short of file descriptors (see
 # SCARCE_DESCRIPTORS).
-PER_STORE = 24
+MAX_CONNECTIONS_PER_STORE = 24
 # Number of file descriptors reserved for the process itself: event loop, log, client listener, discovery
 # connection, peer socket, planner connection, and files being read.
 PROCESS_DESCRIPTORS = 24
 # Number of file descriptors reserved for each operators' HTTP endpoint: its callers' connections, its
 # listener, and one newly accepted connection.
-DOOR = 18
-# Store connections get half of the process's file descriptors minus this number, minus DOOR for each
-# operators' endpoint.
+DESCRIPTORS_PER_ENDPOINT = 18
+# Store connections get half of the process's file descriptors minus this number, minus
+# DESCRIPTORS_PER_ENDPOINT for each operators' endpoint.
 STORE_CONNECTIONS_MARGIN = 32
 # Lower bound of the limit for all store connections together, unless SCARCE_STORE_CONNECTIONS applies.
 MIN_STORE_CONNECTIONS = 16
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True)
-class Split:
+class DescriptorLimits:
     """How many file descriptors one process may use for which connections.
 
     `stores` is the limit for all store connections together, and `clients` the limit for client connections.
@@ -41,10 +41,16 @@
         """Returns the maximum number of file descriptors open at once in a process with `endpoints`
         operators' endpoints: connections within these limits and the reserved descriptors.
         """
-        return self.stores + self.per_store + self.clients + PROCESS_DESCRIPTORS + DOOR * endpoints
+        return (
+            self.stores
+            + self.per_store
+            + self.clients
+            + PROCESS_DESCRIPTORS
+            + DESCRIPTORS_PER_ENDPOINT * endpoints
+        )
 
 
-def split(sockets: int, endpoints: int) -> Split:
+def divide_descriptors(sockets: int, endpoints: int) -> DescriptorLimits:
     """Divides `sockets` file descriptors for a process with `endpoints` operators' HTTP endpoints.
 
     In normal operation, clients use at most a third of the descriptors. They get that third, or all that
@@ -54,11 +60,13 @@
     With one operators' endpoint and at least 96 descriptors, clients and stores together cannot use up the
     descriptors reserved for operators. Each further endpoint raises that minimum by 18.
     """
-    process_descriptors = PROCESS_DESCRIPTORS + DOOR * endpoints
+    process_descriptors = PROCESS_DESCRIPTORS + DESCRIPTORS_PER_ENDPOINT * endpoints
     scarce = endpoints > 0 and sockets < SCARCE_DESCRIPTORS
-    per_store = SCARCE_STORE_CONNECTIONS if scarce else PER_STORE
+    per_store = SCARCE_STORE_CONNECTIONS if scarce else MAX_CONNECTIONS_PER_STORE
     stores = max(
-        sockets // 2 - STORE_CONNECTIONS_MARGIN - DOOR * endpoints,
+        sockets // 2 - STORE_CONNECTIONS_MARGIN - DESCRIPTORS_PER_ENDPOINT * endpoints,
         SCARCE_STORE_CONNECTIONS if scarce else MIN_STORE_CONNECTIONS,
     )
-    return Split(stores, per_store, max(sockets // 3, sockets - stores - per_store - process_descriptors))
+    return DescriptorLimits(
+        stores, per_store, max(sockets // 3, sockets - stores - per_store - process_descriptors)
+    )
--- a/olivecourse/core/planner.py
+++ b/olivecourse/core/planner.py
@@ -16,15 +16,15 @@
     observes all of the Router's events and actions.
     """
 
-    def settle(self, settings: interface.Settings) -> None:
+    def apply_settings(self, settings: interface.Settings) -> None:
         """Applies new settings, in which each request class keeps its index."""
         ...
 
-    def came(self, event: interface.Event, now: int) -> None:
+    def on_event(self, event: interface.Event, now: int) -> None:
         """Observes an event before the Router handles it."""
         ...
 
-    def went(self, actions: list[interface.Action], now: int) -> list[interface.Action]:
+    def on_actions(self, actions: list[interface.Action], now: int) -> list[interface.Action]:
         """Observes the Router's actions and returns the actions to execute: these, and possibly actions that
         write a log line.
         """
@@ -47,7 +47,7 @@
         """Returns the actions that the Router wants executed at the start, before its first event."""
         return self.router.start()
 
-    def settle(self, settings: interface.Settings) -> None:
+    def apply_settings(self, settings: interface.Settings) -> None:
         """Makes the Router use new settings. Existing request classes keep their index and what the Router
         has learned about them. New classes get the next indexes and start without any learned values, as all
         classes do at startup.
@@ -64,7 +64,7 @@
             current += initial[known_classes:]
         router.last_late_fill_at += fresh_router.last_late_fill_at[known_classes:]
         if self._limiter is not None:
-            self._limiter.settle(settings)
+            self._limiter.apply_settings(settings)
 
     def decide(self, events: Iterable[interface.Event], now: int) -> list[interface.Action]:
         """Passes a batch of events to the Router and returns the resulting actions. `now` is in nanoseconds;
@@ -75,9 +75,11 @@
         for event in events:
             try:
                 if self._limiter is not None:
-                    self._limiter.came(event, self._now)
+                    self._limiter.on_event(event, self._now)
                 produced = self.router.handle(event, self._now)
-                actions += produced if self._limiter is None else self._limiter.went(produced, self._now)
+                actions += (
+                    produced if self._limiter is None else self._limiter.on_actions(produced, self._now)
+                )
             # An exception for one event must not stop the gateway; the deadline timers answer the affected
             # requests.
             except Exception as error:
--- a/olivecourse/core/ledger.py
+++ b/olivecourse/core/requests.py
@@ -71,9 +71,9 @@
         """Reports a failure to the client. `late` means that the request's deadline was reached."""
         ...
 
-    def look(self) -> None:
+    def check_client(self) -> None:
         """Reads what the client has sent since its request, before an attempt that had to wait is sent. If
-        the client has disconnected, this calls `Ledger.leave`.
+        the client has disconnected, this calls `RequestTracker.client_disconnected`.
         """
         ...
 
@@ -90,11 +90,11 @@
         ...
 
 
-class Duplicate(Exception):
+class DuplicateRequest(Exception):
     """Raised for a request id that the tracker already knows, from an open or a recently closed request."""
 
 
-class Crowded(Exception):
+class TooManyOpenRequests(Exception):
     """Raised for a new request when the limit of open requests is reached, or when the gateway is about to
     stop and has no time left to answer the request.
     """
@@ -104,19 +104,19 @@
 class RequestEntry:
     """A request and its state, kept until CLOSED_RETENTION_NS after its final answer."""
 
-    ask: interface.Request
-    cls: interface.RequestClass
+    request_event: interface.Request
+    request_class: interface.RequestClass
     body: bytes
-    holds: str | None
+    held_tag: str | None
     reply: Reply
     deadline: int
     target_time: int
     # The client's idempotency key, by which stores recognize a repeat; None if the client gave none.
-    key: str | None = None
-    count: int = 0
-    out: dict[int, Attempt] = field(default_factory=dict)
+    idempotency_key: str | None = None
+    attempt_count: int = 0
+    open_attempts: dict[int, Attempt] = field(default_factory=dict)
     # The store connections on which this request's id was sent; the transport sends it only once on each.
-    asked_on: list[Any] = field(default_factory=list)
+    used_connections: list[Any] = field(default_factory=list)
     may_have_run: bool = False
     # The time at which the planner decided on the first attempt that a store may have executed; 0 if there is
     # none.
@@ -135,9 +135,9 @@
     sent_at: int
     deadline: int
     ended: bool = False
-    went: bool = False  # Whether any byte of the attempt may have been sent; set by the transport.
+    sent: bool = False  # Whether any byte of the attempt may have been sent; set by the transport.
     timer: Cancellable | None = None
-    place: Any = None  # The transport's own reference to the connection that carries the attempt.
+    connection: Any = None  # The transport's own reference to the connection that carries the attempt.
 
     @property
     def source(self) -> int | None:
@@ -152,7 +152,7 @@
         )
 
 
-class Ledger:
+class RequestTracker:
     """The open requests of a gateway, and the recently closed ones."""
 
     def __init__(
@@ -161,33 +161,33 @@
         timers: Timers,
         emit: Callable[[interface.Event], None],
         log: Callable[..., None],
-        most: int,
+        max_open_requests: int,
     ) -> None:
-        """Creates a tracker that passes its events for the planner to `emit` and accepts at most `most` open
-        requests at a time.
+        """Creates a tracker that passes its events for the planner to `emit` and accepts at most
+        `max_open_requests` open requests at a time.
         """
         self._settings, self._timers, self._emit, self._log, self._max_open_requests = (
             settings,
             timers,
             emit,
             log,
-            most,
+            max_open_requests,
         )
         self.entries: dict[str, RequestEntry] = {}
         self.open = 0
-        self.carrier: Transport | None = None
+        self.transport: Transport | None = None
         self.closing = False  # Set shortly before the process stops; no request is accepted from then on.
         # Purged objects and groups with the time at which this gateway received the purge. An attempt that
         # was decided on before that time is not sent any more.
         self.purged = PurgeTable(MIN_RETAINED_PURGES)
         # The number of requests accepted since the start, and of those whose client disconnected before the
         # answer.
-        self.taken = self.left = 0
-        self.late = 0  # The number of requests served since the start, but after their target time.
+        self.accepted = self.disconnected = 0
+        self.late_responses = 0  # The number of requests served since the start, but after their target time.
         # For each class index, the numbers of requests served, refused and failed since the start.
         self.outcomes = [[0, 0, 0] for _ in settings.classes]
 
-    def settle(self, settings: interface.Settings) -> None:
+    def apply_settings(self, settings: interface.Settings) -> None:
         """Applies new settings, in which each request class keeps its index.
 
         Open requests keep their deadline and the class settings that they arrived with. For repeating them,
@@ -201,45 +201,52 @@
         """Returns the effect that decides whether the request may be repeated: the stricter of the one that
         its class had when the request arrived and the one that its class has now.
         """
-        effects = (entry.cls.effect, self._settings.classes[entry.ask.cls].effect)
+        effects = (entry.request_class.effect, self._settings.classes[entry.request_event.cls].effect)
         return next(candidate for candidate in EFFECTS_STRICTEST_FIRST if candidate in effects)
 
     @property
-    def tally(self) -> dict[str, int]:
+    def totals(self) -> dict[str, int]:
         """The numbers of requests since the start, over all classes: "served", "refused", "failed", and
         "left" for requests whose client disconnected before the answer.
         """
         served, refused, failed = (sum(counts[i] for counts in self.outcomes) for i in range(3))
-        return {"served": served, "refused": refused, "failed": failed, "left": self.left}
+        return {"served": served, "refused": refused, "failed": failed, "left": self.disconnected}
 
     # Called by the client listeners -----------------------------------------------------------------
 
-    def take(
-        self, ask: interface.Request, body: bytes, holds: str | None, reply: Reply, key: str | None = None
+    def accept(
+        self,
+        request_event: interface.Request,
+        body: bytes,
+        held_tag: str | None,
+        reply: Reply,
+        key: str | None = None,
     ) -> None:
         """Accepts a request, which from here on must get exactly one final answer.
 
-        `holds` is the version tag of the copy that the client holds (in HTTP its ETag), and `key` is the
+        `held_tag` is the version tag of the copy that the client holds (in HTTP its ETag), and `key` is the
         client's idempotency key; both are None if the client sent none.
-        Raises Duplicate for a request id that is already known, and Crowded if no more requests can be
-        accepted.
+        Raises DuplicateRequest for a request id that is already known, and TooManyOpenRequests if no more
+        requests can be accepted.
         """
-        if ask.request in self.entries:
-            raise Duplicate(ask.request)
+        if request_event.request in self.entries:
+            raise DuplicateRequest(request_event.request)
         if self.open >= self._max_open_requests or self.closing:
-            raise Crowded(str(self.open))
-        request_class = self._settings.classes[ask.cls]
-        time_budget_ns = request_class.deadline_ns if ask.budget_ns is None else ask.budget_ns
+            raise TooManyOpenRequests(str(self.open))
+        request_class = self._settings.classes[request_event.cls]
+        time_budget_ns = (
+            request_class.deadline_ns if request_event.budget_ns is None else request_event.budget_ns
+        )
         now, transfer_allowance_ns = self._timers.now(), 0.0
-        if request_class.aim_stretch and ask.size_kb and self._settings.client_kb_per_s:
+        if request_class.aim_stretch and request_event.size_kb and self._settings.client_kb_per_s:
             transfer_allowance_ns = (
-                request_class.aim_stretch * ask.size_kb / self._settings.client_kb_per_s * 1e9
+                request_class.aim_stretch * request_event.size_kb / self._settings.client_kb_per_s * 1e9
             )
         entry = RequestEntry(
-            ask,
+            request_event,
             request_class,
             body,
-            holds,
+            held_tag,
             reply,
             now + time_budget_ns,
             now + request_class.aim_ns + int(transfer_allowance_ns),
@@ -250,26 +257,26 @@
         entry.deadline_timer = self._timers.after(
             time_budget_ns + DEADLINE_GRACE_NS, lambda: self._on_deadline_missed(entry)
         )
-        self.entries[ask.request] = entry
+        self.entries[request_event.request] = entry
         self.open += 1
-        self.taken += 1
-        self._emit(ask)
+        self.accepted += 1
+        self._emit(request_event)
 
-    def turned_away(self, cls: int) -> None:
+    def record_rejection(self, cls: int) -> None:
         """Counts a request of the class with index `cls` that a client listener refused without calling
-        `take`. It counts as accepted and as refused.
+        `accept`. It counts as accepted and as refused.
         """
-        self.taken += 1
+        self.accepted += 1
         self.outcomes[cls][1] += 1
 
-    def leave(self, request: str) -> None:
+    def client_disconnected(self, request: str) -> None:
         """Closes a request whose client disconnected: it needs no answer, and further work for it would be
         wasted.
         """
         entry = self.entries.get(request)
         if entry is None or entry.closed:
             return
-        self.left += 1
+        self.disconnected += 1
         self._close(entry)
         self._emit(interface.ClientLeft(request))
 
@@ -286,13 +293,15 @@
             self._log("attempt_unknown", request=action.request)
             return
         now = self._timers.now()
-        new_attempt = Attempt(entry, entry.count, action, now, min(now + action.timeout_ns, entry.deadline))
-        entry.count += 1
-        entry.out[new_attempt.number] = new_attempt
+        new_attempt = Attempt(
+            entry, entry.attempt_count, action, now, min(now + action.timeout_ns, entry.deadline)
+        )
+        entry.attempt_count += 1
+        entry.open_attempts[new_attempt.number] = new_attempt
         # A request with effect "at most once" that may have run is never sent again, even if the Router asks
         # for it.
         at_most_once = self._effect(entry) is interface.Effect.AT_MOST_ONCE
-        would_repeat = at_most_once and (entry.may_have_run or len(entry.out) > 1)
+        would_repeat = at_most_once and (entry.may_have_run or len(entry.open_attempts) > 1)
         if would_repeat and not entry.closed:
             self._log("second_send_blocked", request=action.request)
         if (
@@ -300,19 +309,19 @@
             or would_repeat
             or new_attempt.number >= self._settings.max_attempts
             or new_attempt.deadline <= now
-            or self.carrier is None
+            or self.transport is None
         ):
             self.end(new_attempt, interface.Status.NOT_SENT)
             return
         new_attempt.timer = self._timers.after(
             new_attempt.deadline - now, lambda: self._on_timeout(new_attempt)
         )
-        self.carrier.send(new_attempt)
+        self.transport.send(new_attempt)
 
     def cancel(self, action: interface.Cancel) -> None:
         """Cancels one attempt of a request, if it has no outcome yet."""
         entry = self.entries.get(action.request)
-        new_attempt = entry.out.get(action.attempt) if entry else None
+        new_attempt = entry.open_attempts.get(action.attempt) if entry else None
         if new_attempt is not None:
             self._abort(new_attempt, interface.Status.CANCELLED)
 
@@ -332,7 +341,7 @@
             return
         self._answer_unserved(entry, None)
 
-    def give_up_all(self, why: str) -> None:
+    def finish_all(self, why: str) -> None:
         """Answers every open request now, because there is no planner or no time left for them. Each gets a
         refusal if a repeat of it is safe, else a failure.
         """
@@ -342,18 +351,18 @@
             self._log("gave_up_open", why=why, requests=len(open_entries))
         for entry in open_entries:
             self._answer_unserved(entry, wait_ns)
-            self._emit(interface.ClientLeft(entry.ask.request))
+            self._emit(interface.ClientLeft(entry.request_event.request))
 
     # Called by the transport ------------------------------------------------------------------------
 
-    def may_go(self, attempt: Attempt) -> bool:
+    def may_send(self, attempt: Attempt) -> bool:
         """Returns whether an attempt that waited for a connection may still be sent.
 
         It may not if its request is closed, its deadline has passed, the object or its group has been purged
         since the attempt was decided on, or stores may have forgotten the request's idempotency key.
         """
-        ask = attempt.entry.ask
-        valid_from = max(self.purged.find(ask.object, ask.group), default=-1)
+        request_event = attempt.entry.request_event
+        valid_from = max(self.purged.find(request_event.object, request_event.group), default=-1)
         return (
             not attempt.ended
             and not attempt.entry.closed
@@ -362,19 +371,19 @@
             and self._within_key_memory(attempt)
         )
 
-    def goes(self, attempt: Attempt) -> None:
+    def mark_sent(self, attempt: Attempt) -> None:
         """Records that the transport is about to write the first byte of an attempt to its socket."""
-        attempt.went = True
+        attempt.sent = True
         attempt.entry.first_sent_at = attempt.entry.first_sent_at or attempt.sent_at
 
-    def never_went(self, attempt: Attempt) -> None:
+    def mark_unsent(self, attempt: Attempt) -> None:
         """Undoes `goes`: the socket accepted no byte of the attempt, so a store cannot have executed it."""
-        attempt.went = False
+        attempt.sent = False
         self._reset_first_sent(attempt.entry)
 
     def _reset_first_sent(self, entry: RequestEntry) -> None:
         """Resets `first_sent_at` to 0 if no attempt of the request may have run at a store."""
-        if not entry.may_have_run and not any(a.went for a in entry.out.values()):
+        if not entry.may_have_run and not any(a.sent for a in entry.open_attempts.values()):
             entry.first_sent_at = 0
 
     def _within_key_memory(self, attempt: Attempt) -> bool:
@@ -389,7 +398,7 @@
             return True
         key_memories_ns = [
             c.key_memory_ns
-            for c in (entry.cls, self._settings.classes[entry.ask.cls])
+            for c in (entry.request_class, self._settings.classes[entry.request_event.cls])
             if c.effect is interface.Effect.DEDUPLICATED
         ]
         return now < entry.first_sent_at + min(key_memories_ns) - KEY_MEMORY_MARGIN_NS
@@ -424,19 +433,19 @@
         if attempt.timer is not None:
             attempt.timer.cancel()
         entry = attempt.entry
-        entry.out.pop(attempt.number, None)
+        entry.open_attempts.pop(attempt.number, None)
         entry.may_have_run |= not status.never_ran
         if status.never_ran:
             self._reset_first_sent(entry)
         if status is interface.Status.SERVED and not entry.closed:
-            self.outcomes[entry.ask.cls][0] += 1
-            self.late += self._timers.now() > entry.target_time
+            self.outcomes[entry.request_event.cls][0] += 1
+            self.late_responses += self._timers.now() > entry.target_time
             entry.reply.served(body, tag, same)
             self._close(entry)
         now = self._timers.now()
         self._emit(
             interface.AttemptEnded(
-                entry.ask.request,
+                entry.request_event.request,
                 attempt.number,
                 attempt.action.cache,
                 status,
@@ -459,8 +468,8 @@
         """
         if attempt.ended:
             return
-        if self.carrier is not None:
-            self.carrier.abort(attempt)
+        if self.transport is not None:
+            self.transport.abort(attempt)
         # An attempt that was never sent had no effect, so that even an "at most once" request may still be
         # refused.
         unsent_status = (
@@ -468,7 +477,7 @@
             if status is interface.Status.TIMEOUT
             else interface.Status.NOT_SENT
         )
-        self.end(attempt, status if attempt.went else unsent_status)
+        self.end(attempt, status if attempt.sent else unsent_status)
 
     def _on_timeout(self, attempt: Attempt) -> None:
         """Aborts an attempt that got no answer before its own timeout or the request's deadline."""
@@ -480,9 +489,9 @@
         """
         if entry.closed:
             return
-        self._log("answered_by_guard", request=entry.ask.request)
+        self._log("answered_by_guard", request=entry.request_event.request)
         self._answer_unserved(entry, 0)
-        self._emit(interface.ClientLeft(entry.ask.request))
+        self._emit(interface.ClientLeft(entry.request_event.request))
 
     def _answer_unserved(self, entry: RequestEntry, wait_ns: int | None) -> None:
         """Answers a request with a refusal if `wait_ns`, the time after which the client may retry, is given
@@ -490,19 +499,19 @@
         """
         # A request that may have run and must not run twice is never refused, because the client would send
         # it again.
-        possibly_run = entry.may_have_run or any(a.went for a in entry.out.values())
+        possibly_run = entry.may_have_run or any(a.sent for a in entry.open_attempts.values())
         effect = self._effect(entry)
         repeat_is_safe = (
             effect is interface.Effect.IDEMPOTENT
             or not possibly_run
             or effect is interface.Effect.DEDUPLICATED
-            and entry.cls.key_scope is interface.Scope.ALL
+            and entry.request_class.key_scope is interface.Scope.ALL
         )
         if wait_ns is not None and repeat_is_safe:
-            self.outcomes[entry.ask.cls][1] += 1
+            self.outcomes[entry.request_event.cls][1] += 1
             entry.reply.refused(wait_ns)
         else:
-            self.outcomes[entry.ask.cls][2] += 1
+            self.outcomes[entry.request_event.cls][2] += 1
             entry.reply.failed(self._timers.now() >= entry.deadline - DEADLINE_GRACE_NS)
         self._close(entry)
 
@@ -515,6 +524,6 @@
         self.open -= 1
         if entry.deadline_timer is not None:
             entry.deadline_timer.cancel()
-        for attempt in list(entry.out.values()):
+        for attempt in list(entry.open_attempts.values()):
             self._abort(attempt, interface.Status.CANCELLED)
-        self._timers.after(CLOSED_RETENTION_NS, lambda: self.entries.pop(entry.ask.request, None))
+        self._timers.after(CLOSED_RETENTION_NS, lambda: self.entries.pop(entry.request_event.request, None))
--- a/olivecourse/fronts/listener.py
+++ b/olivecourse/fronts/listener.py
@@ -43,23 +43,29 @@
 
 
 class RequestCore(Protocol):
-    """The part of the gateway that serves requests (the `Ledger`), as the Thrift and HTTP servers use it."""
+    """The part of the gateway that serves requests (the `RequestTracker`), as both client servers use it."""
 
-    def take(
-        self, ask: interface.Request, body: bytes, holds: str | None, reply: Any, key: str | None = None
+    def accept(
+        self,
+        request_event: interface.Request,
+        body: bytes,
+        held_tag: str | None,
+        reply: Any,
+        key: str | None = None,
     ) -> None:
         """Accepts a request, which then gets exactly one answer through `reply`.
 
-        `holds` is the version tag of the copy that the client holds, `key` the client's idempotency key; both
-        are None if the client sent none. Raises `Duplicate` or `Crowded` if it does not accept the request.
+        `held_tag` is the version tag of the copy that the client holds, `key` the client's idempotency key;
+        both are None if the client sent none. Raises `DuplicateRequest` or `TooManyOpenRequests` if it does
+        not accept the request.
         """
         ...
 
-    def leave(self, request: str) -> None:
+    def client_disconnected(self, request: str) -> None:
         """Ends the request with this id without an answer: its client has disconnected or cancelled it."""
         ...
 
-    def turned_away(self, cls: int) -> None:
+    def record_rejection(self, cls: int) -> None:
         """Counts a request of class number `cls` that the Thrift or HTTP server itself has refused."""
         ...
 
--- a/olivecourse/fronts/signed.py
+++ b/olivecourse/fronts/signed.py
@@ -1,5 +1,6 @@
 """The HTTP server, for signed links and Bearer tokens. It translates HTTP requests for the request core (the
-ledger) and its answers into HTTP responses. A write is called an order; its Bearer token permits one write.
+request tracker) and its answers into HTTP responses. A write is called an order; its Bearer token permits one
+write.
 
 GET  /CLASS/OBJECT/PART?shard=G&kb=SIZE&URISigningPackage=TOKEN    a read
 POST /CLASS/OBJECT/PART?shard=G                                    a write, with an Authorization header
@@ -17,7 +18,7 @@
 
 from olivecourse import interface
 from olivecourse.config.address import Address
-from olivecourse.core.ledger import Crowded, Duplicate
+from olivecourse.core.requests import DuplicateRequest, TooManyOpenRequests
 from olivecourse.fronts.listener import Client, Listener, RequestCore
 from olivecourse.fronts.thrift import MAX_WRITE_BYTES, BadRequest, read_request
 from olivecourse.fronts.tokens import Rejected, Tokens
@@ -86,7 +87,7 @@
         """Sends a 504 if the request's deadline was reached (`late`), else a 502."""
         self._client.answer(504 if late else 502, b"", [], self._keep_alive)
 
-    def look(self) -> None:
+    def check_client(self) -> None:
         """Reads from the client's connection; if the client has disconnected, its request is ended."""
         if self._client.open:
             self._client.read()
@@ -179,7 +180,7 @@
     def _start_request(self, http_request: HttpRequest) -> None:
         """Checks a request and passes it to the core; a write waits until its token is recorded."""
         try:
-            reply, request_event, body, holds = self.front.parse_request(self, http_request)
+            reply, request_event, body, held_tag = self.front.parse_request(self, http_request)
         except BadRequest as bad_request:
             self.answer(400, f"{bad_request}\n".encode(), [], http_request.keep_alive)
             return
@@ -210,23 +211,23 @@
             if request_event.budget_ns is not None:
                 request_event.budget_ns -= self.loop.clock.now() - received_at
             if durable and (request_event.budget_ns is None or request_event.budget_ns > 0):
-                self._hand_over(request_event, body, holds, reply)
+                self._hand_over(request_event, body, held_tag, reply)
             else:
                 reply.refused(self.front.wait_ns)
 
         if reply.mark is None or self.front.tokens.spent.when_durable(reply.mark, on_recorded):
-            self._hand_over(request_event, body, holds, reply)
+            self._hand_over(request_event, body, held_tag, reply)
         else:
             self.front.recording += 1
 
     def _hand_over(
-        self, request_event: interface.Request, body: bytes, holds: str | None, reply: SignedReply
+        self, request_event: interface.Request, body: bytes, held_tag: str | None, reply: SignedReply
     ) -> None:
         self.open_request = request_event.request
         try:
-            self.front.core.take(request_event, body, holds, reply)
-        except (Crowded, Duplicate):
-            self.front.core.turned_away(request_event.cls)
+            self.front.core.accept(request_event, body, held_tag, reply)
+        except (TooManyOpenRequests, DuplicateRequest):
+            self.front.core.record_rejection(request_event.cls)
             reply.refused(self.front.wait_ns)
 
     def answer(self, status: int, body: bytes, headers: list[str], keep_alive: bool) -> None:
@@ -260,7 +261,7 @@
         super().closed(why)
         request, self.open_request = self.open_request, None
         if request is not None:
-            self.front.core.leave(request)
+            self.front.core.client_disconnected(request)
 
 
 class SignedFront(Listener):
@@ -338,11 +339,11 @@
         etag = http_request.headers.get("if-none-match")
         if etag and not write:
             fields["mine"] = etag.removeprefix("W/").strip('"')
-        request_event, body, holds, _ = read_request(
+        request_event, body, held_tag, _ = read_request(
             fields, bytes(http_request.body), self.classes, self.loop.lag_ns
         )
         mark = self._check(http_request, self._public + target, write)
-        return SignedReply(client, http_request.keep_alive, mark), request_event, body, holds
+        return SignedReply(client, http_request.keep_alive, mark), request_event, body, held_tag
 
     def _check(self, http_request: HttpRequest, uri: str, write: bool) -> str | None:
         """Raises Rejected unless the request's token permits a read, or a write (`write`), of `uri`.
--- a/olivecourse/fronts/thrift.py
+++ b/olivecourse/fronts/thrift.py
@@ -1,6 +1,7 @@
 """The Thrift server (framed transport, strict binary protocol).
 
-It translates calls of `serve` into requests for the request core (the ledger), and its answers into frames.
+It translates calls of `serve` into requests for the request core (the request tracker), and its answers into
+frames.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 from olivecourse import interface
 from olivecourse.config.address import Address
 from olivecourse.config.vocabulary import IDEMPOTENCY_KEY
-from olivecourse.core.ledger import Crowded, Duplicate
+from olivecourse.core.requests import DuplicateRequest, TooManyOpenRequests
 from olivecourse.fronts.codec import (
     MAX_FRAME_BYTES,
     METHODS,
@@ -98,8 +99,8 @@
     data = body or b""
     if not isinstance(data, bytes) or len(data) > MAX_WRITE_BYTES:
         raise BadRequest("body too long")
-    holds = fields.get("mine")
-    if holds is not None and not TAG.fullmatch(holds):
+    held_tag = fields.get("mine")
+    if held_tag is not None and not TAG.fullmatch(held_tag):
         raise BadRequest("mine is no tag")
     key = fields.get(IDEMPOTENCY_KEY)
     if key is not None and not TAG.fullmatch(key):
@@ -109,7 +110,7 @@
     return (
         interface.Request(request, number, None, obj, budget_ns, size, group, part, flags),
         data,
-        holds,
+        held_tag,
         key,
     )
 
@@ -138,7 +139,7 @@
         """Sends the exception Lost, whether the request's deadline was reached (`late`) or not."""
         self._send(refusal_frame(self._number, False, {}))
 
-    def look(self) -> None:
+    def check_client(self) -> None:
         """Reads from the client's connection, unless it was handed over, to notice whether it is closed."""
         if self._client.open and self._client.successor is None:
             self._client.read()
@@ -242,7 +243,7 @@
     def _cancel(self, number: int) -> None:
         request = self.open_requests.pop(number, None)
         if request is not None:
-            self.front.core.leave(request)
+            self.front.core.client_disconnected(request)
         elif number in self.predecessor_numbers and self.predecessor is not None:
             self.predecessor_numbers.discard(number)
             self.predecessor.forget(number)
@@ -324,11 +325,11 @@
         if self.load() >= MOST_OPEN:
             class_name = args.fields.get("c", "") if isinstance(args.fields, dict) else ""
             if class_name in self.front.classes:
-                self.front.core.turned_away(self.front.classes[class_name][0])
+                self.front.core.record_rejection(self.front.classes[class_name][0])
             ThriftReply(self, number).refused(self.front.wait_ns)
             return
         try:
-            request_event, body, holds, key = read_request(
+            request_event, body, held_tag, key = read_request(
                 args.fields, args.body, self.front.classes, self.loop.lag_ns
             )
         except BadRequest as invalid:
@@ -340,12 +341,12 @@
         if self.load() == 1:
             self.update_group()
         try:
-            self.front.core.take(request_event, body, holds, ThriftReply(self, number), key)
-        except Duplicate:
+            self.front.core.accept(request_event, body, held_tag, ThriftReply(self, number), key)
+        except DuplicateRequest:
             del self.open_requests[number]
             self._send_fault("serve", number, TApplicationException.INVALID_TRANSFORM, "request id in use")
-        except Crowded:
-            self.front.core.turned_away(request_event.cls)
+        except TooManyOpenRequests:
+            self.front.core.record_rejection(request_event.cls)
             ThriftReply(self, number).refused(self.front.wait_ns)
 
     def _send_fault(self, name: str, number: int, kind: int, why: str) -> None:
@@ -360,7 +361,7 @@
             self.predecessor.gone()
         open_requests, self.open_requests = self.open_requests, {}
         for request in open_requests.values():
-            self.front.core.leave(request)
+            self.front.core.client_disconnected(request)
 
 
 class ThriftFront(Listener):
--- a/olivecourse/gateway.py
+++ b/olivecourse/gateway.py
@@ -14,12 +14,13 @@
 from typing import TYPE_CHECKING, Any, TypeVar
 
 from olivecourse import interface
+from olivecourse.components import Component, enabled_components
 from olivecourse.config.gateway_config import Config
 from olivecourse.config.merging import MergeResult, merge
 from olivecourse.control_plane import ControlPlane
-from olivecourse.core.descriptors import split
-from olivecourse.core.ledger import Ledger
+from olivecourse.core.descriptors import divide_descriptors
 from olivecourse.core.planner import Planner
+from olivecourse.core.requests import RequestTracker
 from olivecourse.fronts.listener import Listener
 from olivecourse.fronts.thrift import ThriftFront
 from olivecourse.net.discovery_client import DiscoveryClient
@@ -27,13 +28,12 @@
 from olivecourse.net.seam import RemotePlanner
 from olivecourse.net.stores import Limits, Pool
 from olivecourse.net.wheel import Timer
-from olivecourse.parts import Part, parts_of
 
 if TYPE_CHECKING:
     from olivecourse.fronts.tokens import Tokens
     from olivecourse.memory.tokenstore import DurableSpent
 
-ComponentT = TypeVar("ComponentT", bound=Part)
+ComponentT = TypeVar("ComponentT", bound=Component)
 MS = 1_000_000
 # A gateway that discovery has not answered yet reports that it is not ready, but no longer than this after
 # its start.
@@ -89,47 +89,49 @@
         settings = config.settings
         self.started = loop.clock.now()
         self.conf_loaded, self.conf_invalid = 1, 0
-        self.ledger = Ledger(settings, LoopTimers(loop), self.batch.append, log, most=4096)
+        self.tracker = RequestTracker(
+            settings, LoopTimers(loop), self.batch.append, log, max_open_requests=4096
+        )
         self.control = ControlPlane(
-            loop, config, self.ledger, self.batch.append, self._on_server_terminated, log
+            loop, config, self.tracker, self.batch.append, self._on_server_terminated, log
         )
         self.directory = self.control.directory
         # The number of file descriptors that this process may use: the configured number, or the operating
         # system's limit if that is lower.
         self.sockets = min(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-        descriptors = split(self.sockets, len(config.doors))
+        descriptors = divide_descriptors(self.sockets, len(config.doors))
         limits = Limits(
             per_store=descriptors.per_store, total=descriptors.stores, **self._connection_limits()
         )
         self.pool = Pool(
             loop,
             self.directory,
-            self.ledger,
+            self.tracker,
             limits,
             [c.name for c in settings.classes],
             settings.report_fields,
             log,
         )
-        self.ledger.carrier = self.pool
-        self.parts: list[Part] = []
+        self.tracker.transport = self.pool
+        self.components: list[Component] = []
         # The optional components are added to the list one by one, because the constructor of each may look
         # up those created before it.
-        for component_class in parts_of(config):
-            self.parts.append(component_class(self))
+        for component_class in enabled_components(config):
+            self.components.append(component_class(self))
         self.remote: RemotePlanner | None = None
         self.local: Planner | None = None
         if config.planner is None:
             self.local = Planner(settings, loop.clock.now(), log)
-            for part in self.parts:
-                part.teach(self.local)
-            self.carry_out(self.local.start())
+            for component in self.components:
+                component.configure_planner(self.local)
+            self.execute(self.local.start())
         self.on_events(config.notices, first=True)
         if config.planner is not None:
             # Every planner process that connects is sent the servers and purges known by then, those known at
             # startup included, so the events need not be sent as well.
             self.batch.clear()
             self.remote = RemotePlanner(
-                loop, config.planner, self.carry_out, self._sync_planner, self._on_planner_lost, log
+                loop, config.planner, self.execute, self._sync_planner, self._on_planner_lost, log
             )
         self.decide()
         self.control.start()
@@ -139,15 +141,15 @@
         self.fronts.append(self.front)
         loop.short = self.front.make_room
         # Whether this process drains is reported to the previous process of this gateway during an upgrade.
-        self.front.draining = not self.takes_work()
-        for part in self.parts:
-            part.start(self.front)
+        self.front.draining = not self.accepts_requests()
+        for component in self.components:
+            component.start(self.front)
 
-    def part(self, kind: type[ComponentT]) -> ComponentT | None:
+    def component(self, kind: type[ComponentT]) -> ComponentT | None:
         """Returns the optional component of the class `kind`, or None if the configuration does not enable it
         or it has not been created yet.
         """
-        return next((part for part in self.parts if isinstance(part, kind)), None)
+        return next((component for component in self.components if isinstance(component, kind)), None)
 
     def _on_stall(self, wall_ns: int, cpu_ns: int) -> None:
         """Logs a turn of the event loop that took longer than STALL_NS (0.6 s). Both arguments are the turn's
@@ -171,7 +173,7 @@
         """
         config = self.config
         max_unread_bytes = config.memory_mb * 2**20 // 8 * sockets // max(self.sockets, 1)
-        return split(sockets, len(config.doors)).clients, max_unread_bytes
+        return divide_descriptors(sockets, len(config.doors)).clients, max_unread_bytes
 
     def share_descriptors(self, shared: bool) -> None:
         """Halves this process's limits for file descriptors if `shared` is true, and restores them otherwise.
@@ -179,7 +181,7 @@
         together stay within the limit of one.
         """
         sockets = self.sockets // 2 if shared else self.sockets
-        descriptors = split(sockets, len(self.config.doors))
+        descriptors = divide_descriptors(sockets, len(self.config.doors))
         self.pool.limits = replace(
             self.pool.limits, per_store=descriptors.per_store, total=descriptors.stores
         )
@@ -197,15 +199,18 @@
             return ThriftFront(
                 self.loop,
                 config.listen,
-                self.ledger,
+                self.tracker,
                 classes,
-                self.takes_work,
+                self.accepts_requests,
                 refusal_wait_ns,
                 max_clients,
                 max_unread_bytes,
                 self.log,
                 bool(config.doors),
-                next((sock for part in self.parts if (sock := part.listener()) is not None), None),
+                next(
+                    (sock for component in self.components if (sock := component.listener()) is not None),
+                    None,
+                ),
             )
         # Imported here because a gateway without the signed listener needs neither module.
         from olivecourse.fronts.signed import SignedFront
@@ -222,7 +227,7 @@
         return SignedFront(
             self.loop,
             config.listen,
-            self.ledger,
+            self.tracker,
             classes,
             [c.deadline_ns // MS for c in settings.classes],
             self.tokens,
@@ -318,8 +323,8 @@
         self.pool.limits = replace(self.pool.limits, **self._connection_limits())
         if settings_reloadable:
             self._apply_settings(merged)
-        for part in self.parts:
-            part.reloaded(old)
+        for component in self.components:
+            component.on_reload(old)
         self.conf_loaded += 1
         self.log("reloaded", moved=changed + merged.applied, needs_restart=list(dict.fromkeys(needs_restart)))
 
@@ -341,14 +346,14 @@
         requests run. Request classes keep their indexes.
         """
         settings = merged.settings
-        self.ledger.settle(settings)
+        self.tracker.apply_settings(settings)
         if self.local is not None:
-            self.local.settle(settings)
+            self.local.apply_settings(settings)
         class_names = [c.name for c in settings.classes]
         self.pool.classes[:] = class_names
         self.pool.reports = settings.report_fields
-        for part in self.parts:
-            part.settle(class_names)
+        for component in self.components:
+            component.apply_settings(class_names)
         self.front.wait_ns = settings.max_retry_after_ns if settings.retry_after else 0
         live_classes = {
             name: (index, settings.classes[index].write) for name, index in merged.current_indexes.items()
@@ -378,7 +383,7 @@
         had planned. Answers every open request with a refusal or a failure.
         """
         self.batch.clear()
-        self.ledger.give_up_all("planner lost")
+        self.tracker.finish_all("planner lost")
         self.batch.clear()
 
     def drain(self, draining: bool) -> None:
@@ -388,11 +393,11 @@
         for front in self.fronts:
             front.drain(draining)
 
-    def takes_work(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Returns whether clients should send requests to this gateway. They should not while it stops or an
         operator drains it.
         """
-        return not self.stopping and all(part.takes_work() for part in self.parts)
+        return not self.stopping and all(component.accepts_requests() for component in self.components)
 
     def why_not_ready(self) -> str:
         """Returns the reason why this gateway is not ready to serve requests, or an empty string if it is
@@ -402,7 +407,7 @@
         of service, and has received an answer from discovery or waited MAX_DISCOVERY_WAIT_NS for one. With a
         planner in a separate process it must also be connected to it.
         """
-        if not self.takes_work():
+        if not self.accepts_requests():
             return "stopping" if self.stopping else "draining"
         if not any(map(self.directory.ready, self.directory.states)):
             return "no store is usable"
@@ -411,8 +416,8 @@
             return "the notice board has not answered yet"
         if self.remote is not None and self.remote.stream is None:
             return "no planner"
-        for part in self.parts:
-            part.serves()
+        for component in self.components:
+            component.before_ready()
         return ""
 
     def avoided(self) -> set[int]:
@@ -459,32 +464,32 @@
             if self.local is not None:
                 for action in self.local.decide(events, self.loop.clock.now()):
                     try:
-                        self.carry_out([action])
+                        self.execute([action])
                     except Exception as error:  # The planner's remaining actions are still executed.
                         self._on_fault("action", error)
             elif self.remote is None or not self.remote.send(events, self.loop.clock.now()):
                 self._on_planner_lost()
 
-    def carry_out(self, actions: list[interface.Action]) -> None:
+    def execute(self, actions: list[interface.Action]) -> None:
         """Executes the planner's actions, by passing each to the request tracker, the timers or another
         component.
         """
         for action in actions:
             if isinstance(action, interface.ReadThrough | interface.Look):
-                self.ledger.attempt(action)
+                self.tracker.attempt(action)
             elif isinstance(action, interface.SetTimer):
                 self._set_timer(action)
             elif isinstance(action, interface.Refuse):
-                self.ledger.refuse(action)
+                self.tracker.refuse(action)
             elif isinstance(action, interface.Fail):
-                self.ledger.fail(action)
+                self.tracker.fail(action)
             elif isinstance(action, interface.Cancel):
-                self.ledger.cancel(action)
+                self.tracker.cancel(action)
             elif isinstance(action, interface.Log):
                 self.log("module", text=action.text)
             elif isinstance(action, interface.TellPeer):
-                for part in self.parts:
-                    part.execute_action(action)
+                for component in self.components:
+                    component.execute_action(action)
             elif isinstance(action, interface.CloseIdle):
                 self.pool.close_idle(action.cache)
 
@@ -501,10 +506,10 @@
         self.stopping = True
         longest_deadline_ns = max(c.deadline_ns for c in self.config.settings.classes)
         last_answers_ns = min(longest_deadline_ns, MAX_DEADLINE_NS) + 700 * MS - STOP_MARGIN_NS
-        self.log("stopping", open=self.ledger.open, **self.ledger.tally)
-        handed_over = any([part.retire() for part in self.parts])
-        for part in self.parts if handed_over else ():
-            part.on_clients_handed_over()
+        self.log("stopping", open=self.tracker.open, **self.tracker.totals)
+        handed_over = any([component.hand_over_clients() for component in self.components])
+        for component in self.components if handed_over else ():
+            component.on_clients_handed_over()
         self.loop.after(0 if handed_over else LINGER_NS, self._close_when_flushed)
         self.loop.after(last_answers_ns, self._last_answers)
         self.loop.after(last_answers_ns + STOP_MARGIN_NS // 2, self._end)
@@ -513,8 +518,8 @@
         """Answers all open requests and accepts no more, because a new request could no longer be answered in
         time. A refusal is harmless, as the client can retry elsewhere.
         """
-        self.ledger.closing = True
-        self.ledger.give_up_all("stopping")
+        self.tracker.closing = True
+        self.tracker.finish_all("stopping")
 
     def _close_when_flushed(self) -> None:
         """Stops listening and closes the client connections if no request is open and all answers are
@@ -530,8 +535,8 @@
         """Returns whether no request is open and all answers, also those that optional components still had
         to send, have been sent.
         """
-        flushed = self.front.flushed() and all(part.flushed() for part in self.parts)
-        return flushed and not self.ledger.open
+        flushed = self.front.flushed() and all(component.flushed() for component in self.components)
+        return flushed and not self.tracker.open
 
     def _end_when_closed(self, close_at: int) -> None:
         """Ends the event loop once every answer has been sent and all clients, which have been told that the
@@ -554,8 +559,8 @@
             listen=f"{self.config.listen[0]}:{self.front.port}",
             stores=sum(1 for cache in self.directory.states if self.directory.ready(cache)),
         )
-        if self.config.unread:
-            self.log("settings_unread", names=list(self.config.unread))
+        if self.config.unused_paths:
+            self.log("settings_unread", names=list(self.config.unused_paths))
         gc.collect()
         # Requests create many short-lived objects but few reference cycles. A garbage collection after every
         # 700 allocations, as is Python's default, took an eighth of the CPU time.
@@ -564,13 +569,13 @@
         # collections.
         gc.freeze()
         self.loop.run(self.decide)
-        self.log("stopped", open=self.ledger.open, **self.ledger.tally)
+        self.log("stopped", open=self.tracker.open, **self.tracker.totals)
         self.front.close()
         if self.spent is not None:
             self.spent.stop()
         self.control.stop()
-        for part in self.parts:
-            part.stop()
+        for component in self.components:
+            component.stop()
         if self.remote is not None:
             self.remote.close()
         self.loop.close()
--- a/olivecourse/memory/commands.py
+++ b/olivecourse/memory/commands.py
@@ -18,7 +18,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from olivecourse.config.gateway_config import BadConfig, load_operator
+from olivecourse.config.gateway_config import InvalidConfig, load_operator
 from olivecourse.memory import codec, container
 from olivecourse.memory.ageing import Elapsed, Kind, Policy, elapsed
 from olivecourse.memory.container import UnusableFile, derive_key
@@ -50,7 +50,7 @@
     if operator is not None:
         try:
             config = load_operator(operator, {})
-        except BadConfig as error:
+        except InvalidConfig as error:
             stop(str(error), WRONG)
         memory: MemoryConfig | None = config.sections.get("memory")
         if memory is None:
--- a/olivecourse/memory/section.py
+++ b/olivecourse/memory/section.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from olivecourse.config.sections import BadSection, read_section
+from olivecourse.config.sections import InvalidSection, read_section
 from olivecourse.memory.ageing import DEFAULTS, Decay, Kind, Policy, S
 from olivecourse.memory.container import derive_key
 
@@ -87,19 +87,19 @@
     section: MemorySection
 
     def key(self) -> bytes | None:
-        """The MAC key from the key file, or None if none is set; raises BadSection if it cannot be used."""
+        """The MAC key from the key file, None if none is set; raises InvalidSection if it cannot be used."""
         if self.key_file is None:
             return None
         try:
             return derive_key(self.key_file.read_bytes())
         except (OSError, ValueError) as error:
-            raise BadSection(f"{self.key_file}: {getattr(error, 'strerror', None) or error}") from None
+            raise InvalidSection(f"{self.key_file}: {getattr(error, 'strerror', None) or error}") from None
 
 
 def read_memory(path: str) -> MemoryConfig | None:
     """Reads the `memory:` section of the file at `path`, and its key file; None if there is no such section.
 
-    Raises BadSection.
+    Raises InvalidSection.
     """
     section = read_section(path, "memory", MemorySection)
     if section is None:
--- a/olivecourse/modelcheck/places.py
+++ b/olivecourse/modelcheck/places.py
@@ -185,7 +185,7 @@
             )
         return copied
 
-    def _carry_out(self, number: int) -> None:
+    def _execute(self, number: int) -> None:
         """Carries out the effects of member `number`: first the disk writes, then the messages, then the
         answers."""
         step = self.nodes[number].taken()
@@ -222,7 +222,7 @@
         self.count += 1
         self.handles[(number, self.count)] = purpose
         self.nodes[number].propose(key, self.count, op, 0)
-        self._carry_out(number)
+        self._execute(number)
 
     # Transitions --------------------------------------------------------------------------------------
 
@@ -335,7 +335,7 @@
         else:
             successor.net = successor.net[:i] + successor.net[i + 1 :]
         successor.nodes[target].heard(source, message, 0)
-        successor._carry_out(target)
+        successor._execute(target)
         return successor
 
     def _after_crash(self, number: int) -> Model:
@@ -367,7 +367,7 @@
         for key, ballot_round in list(node.rounds.items()):
             node._abandon(key, ballot_round, 0)
             node._start(key, 0)
-        successor._carry_out(number)
+        successor._execute(number)
         return successor
 
     # Invariants ---------------------------------------------------------------------------------------
--- a/olivecourse/net/stores.py
+++ b/olivecourse/net/stores.py
@@ -15,8 +15,8 @@
 from olivecourse import interface
 from olivecourse.config.address import Address
 from olivecourse.config.discovery_events import ServerDirectory
-from olivecourse.config.vocabulary import REPORTED, STORE_IDEMPOTENCY_KEY
-from olivecourse.core.ledger import Attempt, Ledger
+from olivecourse.config.vocabulary import REPORT_FIELDS, STORE_IDEMPOTENCY_KEY
+from olivecourse.core.requests import Attempt, RequestTracker
 from olivecourse.net.loop import Loop
 from olivecourse.net.stream import Stream
 
@@ -98,11 +98,11 @@
     if status_word not in ("data", "unchanged"):
         return not size
     entry = attempt.entry
-    if status_word == "unchanged" and (size or not entry.holds or entry.cls.write):
+    if status_word == "unchanged" and (size or not entry.held_tag or entry.request_class.write):
         return False
     # The origin's response to a write is not a cached copy, so it needs neither a version tag nor `stamp`,
     # the time in Unix milliseconds from which a copy's age counts.
-    return entry.cls.write or (
+    return entry.request_class.write or (
         TAG.fullmatch(response_fields.get("version", "")) is not None
         and response_fields.get("stamp", "").isdecimal()
     )
@@ -120,7 +120,7 @@
     """
     try:
         reported = {
-            REPORTED.get(name, name): float(value)
+            REPORT_FIELDS.get(name, name): float(value)
             for name, value in (pair.split(":") for pair in text.split(";"))
         }
     except ValueError:
@@ -195,7 +195,7 @@
         self._pumping = True
         try:
             while self.waiting and self.open and not len(self.outbox):
-                if self.waiting[0].entry.cls.effect is interface.Effect.AT_MOST_ONCE:
+                if self.waiting[0].entry.request_class.effect is interface.Effect.AT_MOST_ONCE:
                     # If the store has closed the connection, this read notices it before anything is sent,
                     # so the attempt has certainly not run. After a send, that would not be certain.
                     self.read()
@@ -203,12 +203,12 @@
                         continue
                 attempt = self.waiting.popleft()
                 if not attempt.ended:
-                    attempt.entry.reply.look()  # ends the attempt if its client has disconnected meanwhile
+                    attempt.entry.reply.check_client()  # ends the attempt if its client has disconnected
                 if attempt.ended:
                     continue
-                if not self.pool.may_go(attempt):
-                    attempt.place = None
-                    self.pool.ledger.end(attempt, interface.Status.NOT_SENT)
+                if not self.pool.may_send(attempt):
+                    attempt.connection = None
+                    self.pool.tracker.end(attempt, interface.Status.NOT_SENT)
                     continue
                 if not self._send_attempt(attempt):
                     break
@@ -221,18 +221,18 @@
         Returns False if the socket accepts no byte now: the attempt is then back at the head of the queue,
         and is checked again before the next try.
         """
-        request = attempt.entry.ask.request
+        request = attempt.entry.request_event.request
         self.in_flight[request] = attempt
-        attempt.entry.asked_on.append(self)
-        self.pool.ledger.goes(attempt)
+        attempt.entry.used_connections.append(self)
+        self.pool.tracker.mark_sent(attempt)
         self.writing = attempt
         self._partly = True
         any_sent = self.try_send(self.pool.encode_request(attempt))
         self.writing = None
         if not any_sent and self.open:
             del self.in_flight[request]
-            attempt.entry.asked_on.remove(self)
-            self.pool.ledger.never_went(attempt)
+            attempt.entry.used_connections.remove(self)
+            self.pool.tracker.mark_unsent(attempt)
             self._partly = False
             self.waiting.appendleft(attempt)
         return any_sent or not self.open
@@ -316,7 +316,7 @@
             wait_ms, note = None, interface.Note.NONE
         report_text = fields.get("l")
         report = read_report(report_text, self.pool.reports) if report_text and self.pool.reports else None
-        self.pool.ledger.end(
+        self.pool.tracker.end(
             attempt,
             STATUSES[status_word],
             note,
@@ -339,7 +339,7 @@
 
         Marks the connection as `spent` if the attempt has timed out or its response counts as lost.
         """
-        request = attempt.entry.ask.request
+        request = attempt.entry.request_event.request
         if self.in_flight.get(request) is attempt:
             del self.in_flight[request]
             now = self.loop.clock.now()
@@ -368,7 +368,7 @@
         self,
         loop: Loop,
         directory: ServerDirectory,
-        ledger: Ledger,
+        tracker: RequestTracker,
         limits: Limits,
         classes: list[str],
         reports: tuple[str, ...],
@@ -378,7 +378,7 @@
         are taken from the load reports of stores; if it is empty, the reports are ignored.
         """
         self.reports = reports
-        self.loop, self.directory, self.ledger, self.limits = loop, directory, ledger, limits
+        self.loop, self.directory, self.tracker, self.limits = loop, directory, tracker, limits
         self.log = log
         self.classes = classes
         self._stores: dict[int, list[StoreStream]] = {}
@@ -386,25 +386,25 @@
         self.sends = 0  # attempts sent to their last byte since the start, on all connections
         self._sweep()
 
-    def may_go(self, attempt: Attempt) -> bool:
+    def may_send(self, attempt: Attempt) -> bool:
         """Returns whether an attempt may still be sent, checked immediately before its first byte.
 
         The store, and the parent or origin from which it is to fill, must be ready according to discovery,
-        and the ledger must still permit the attempt (request open, deadline not reached, object not purged
-        since).
+        and the request tracker must still permit the attempt (request open, deadline not reached, object not
+        purged since).
         """
         source = attempt.source
         return (
             self.directory.ready(attempt.action.cache)
             and (source is None or self.directory.ready(source))
-            and self.ledger.may_go(attempt)
+            and self.tracker.may_send(attempt)
         )
 
     def encode_request(self, attempt: Attempt) -> bytes:
         """Encodes the `fetch` line and the body by which an attempt asks its store."""
         fetch_action, entry, names = attempt.action, attempt.entry, self.directory.names
         remaining_ms = max(attempt.deadline - self.loop.clock.now(), MS) // MS
-        request_event = entry.ask
+        request_event = entry.request_event
         fields = [
             f"sort={self.classes[request_event.cls]}",
             f"asset={request_event.object}",
@@ -413,7 +413,7 @@
         ]
         if isinstance(fetch_action, interface.ReadThrough):
             if attempt.source is not None:
-                # `may_go` has just found the source ready, so it has a name.
+                # `may_send` has just found the source ready, so it has a name.
                 fields.append(f"fetch={names[attempt.source]}")
             if fetch_action.rank:
                 fields.append(f"retain={fetch_action.rank}")
@@ -425,10 +425,10 @@
                 fields.append(
                     "handle=" + "+".join(name for bit, name in FILL_OPTION_WORDS if fetch_action.how & bit)
                 )
-        if entry.key:
-            fields.append(f"{STORE_IDEMPOTENCY_KEY}={entry.key}")
-        if entry.holds and not entry.cls.write:
-            fields.append(f"holds={entry.holds}")
+        if entry.idempotency_key:
+            fields.append(f"{STORE_IDEMPOTENCY_KEY}={entry.idempotency_key}")
+        if entry.held_tag and not entry.request_class.write:
+            fields.append(f"holds={entry.held_tag}")
         return (
             f"fetch {request_event.request} {','.join(fields)} {len(entry.body)}\r\n".encode()
             + entry.body
@@ -439,23 +439,23 @@
         """Queues an attempt on a connection to its store; without one, ends the attempt as CONNECT_FAILED."""
         stream = self._pick(attempt)
         if stream is None:
-            self.ledger.end(attempt, interface.Status.CONNECT_FAILED)
+            self.tracker.end(attempt, interface.Status.CONNECT_FAILED)
             return
-        attempt.place = stream
+        attempt.connection = stream
         stream.waiting.append(attempt)
         stream.send_waiting()
 
     def abort(self, attempt: Attempt) -> None:
         """Cancels an attempt on the store connection that carries it, if there is one."""
-        if isinstance(attempt.place, StoreStream):
-            attempt.place.abort(attempt)
+        if isinstance(attempt.connection, StoreStream):
+            attempt.connection.abort(attempt)
 
     def _pick(self, attempt: Attempt) -> StoreStream | None:
         """Returns the connection for an attempt: the least loaded one that may carry it, or a new one.
 
         Returns None if the store has no address, or no connection can be used or opened.
         """
-        cache, asked_on = attempt.action.cache, attempt.entry.asked_on
+        cache, used_connections = attempt.action.cache, attempt.entry.used_connections
         address = self.directory.addresses.get(cache)
         if address is None:
             return None
@@ -465,7 +465,10 @@
         candidates = [
             s
             for s in streams
-            if not s.spent and s.address == address and s not in asked_on and s.load < self.limits.streams
+            if not s.spent
+            and s.address == address
+            and s not in used_connections
+            and s.load < self.limits.streams
         ]
         best = min(candidates, key=lambda s: (s.load, s.connecting), default=None)
         # A store with no established connection may have vanished. Attempts that wait together on one
@@ -499,12 +502,16 @@
             if not connecting_stream.connecting or connecting_stream.address != idle_stream.address:
                 continue
             moved = next(
-                (a for a in connecting_stream.waiting if not a.ended and idle_stream not in a.entry.asked_on),
+                (
+                    a
+                    for a in connecting_stream.waiting
+                    if not a.ended and idle_stream not in a.entry.used_connections
+                ),
                 None,
             )
             if moved is not None:
                 connecting_stream.waiting.remove(moved)
-                moved.place = idle_stream
+                moved.connection = idle_stream
                 idle_stream.waiting.append(moved)
                 idle_stream.send_waiting()
                 return
@@ -531,12 +538,12 @@
         waiting, stream.waiting = list(stream.waiting), deque()
         in_flight, stream.in_flight = list(stream.in_flight.values()), {}
         for attempt in waiting:
-            attempt.place = None
-            self.ledger.end(attempt, interface.Status.CONNECT_FAILED)
+            attempt.connection = None
+            self.tracker.end(attempt, interface.Status.CONNECT_FAILED)
         for attempt in in_flight:
             # If the connection closed while the socket had accepted no byte of this attempt, it has not run.
             not_sent = stream.unsent and attempt is stream.writing
-            self.ledger.end(attempt, interface.Status.CONNECT_FAILED if not_sent else interface.Status.RESET)
+            self.tracker.end(attempt, interface.Status.CONNECT_FAILED if not_sent else interface.Status.RESET)
 
     def _sweep(self) -> None:
         """Every 250 ms, closes idle connections that are old, lost a response, or whose store has moved.
--- a/olivecourse/ops/calls.py
+++ b/olivecourse/ops/calls.py
@@ -126,7 +126,7 @@
 
 HANDLERS: dict[Call, Callable[[OperatorHandlers, str, bytes], Reply]] = {
     Call.READY: _readiness,
-    Call.FIGURES: _metrics,
+    Call.METRICS: _metrics,
     Call.DOWN: _down,
     Call.UP: _up,
     Call.DRAIN: _drain,
--- a/olivecourse/ops/desk.py
+++ b/olivecourse/ops/desk.py
@@ -8,7 +8,7 @@
 
 from olivecourse import interface
 from olivecourse.config.discovery_events import ServerDirectory
-from olivecourse.core.ledger import Ledger
+from olivecourse.core.requests import RequestTracker
 from olivecourse.net.stores import Pool
 from olivecourse.ops.bans import GATEWAY_ID, DrainRecord, ManualDrains
 from olivecourse.ops.calls import Reply
@@ -49,13 +49,13 @@
         self,
         gateway: Gateway,
         classes: list[str],
-        ledger: Ledger,
+        tracker: RequestTracker,
         pool: Pool,
         directory: ServerDirectory,
         log: Callable[..., None],
     ) -> None:
         self.classes = classes
-        self._gateway, self._ledger, self._pool, self._directory = gateway, ledger, pool, directory
+        self._gateway, self._tracker, self._pool, self._directory = gateway, tracker, pool, directory
         self._log = log
         self.manual_drains = ManualDrains(time.time_ns)
         self.spoken: Callable[[], None] = lambda: None  # called after a call that changed a drain
@@ -111,7 +111,7 @@
         for store in sorted(stores):
             out = store in self.manual_drains.drained
             if store == GATEWAY_ID:
-                self._log("drain_begins" if out else "drain_ends", open=self._ledger.open)
+                self._log("drain_begins" if out else "drain_ends", open=self._tracker.open)
                 self._gateway.drain(out)
                 continue
             self._log("store_out_by_hand" if out else "store_back_by_hand", store=store)
@@ -123,7 +123,7 @@
 
     def outcomes(self) -> list[list[int]]:
         """Returns, for each class, the counts of requests served, refused and failed."""
-        return self._ledger.outcomes
+        return self._tracker.outcomes
 
     def attempts_sent(self) -> int:
         """Returns the number of attempts written completely."""
@@ -131,7 +131,7 @@
 
     def open_requests(self) -> int:
         """Returns the number of open requests."""
-        return self._ledger.open
+        return self._tracker.open
 
     def store_counts(self) -> tuple[int, int]:
         """Returns the number of listed stores, and how many of them get no requests now."""
--- a/olivecourse/ops/figures.py
+++ b/olivecourse/ops/figures.py
@@ -69,18 +69,22 @@
     def collect(self) -> Iterator[Metric]:
         """Yields every metric family with its current value; called by the registry."""
         source = self._source
-        for name, class_label, state_label, states in vocabulary.ENDS:
+        for name, class_label, state_label, states in vocabulary.RESULT_COUNTERS:
             yield from self._outcome_counters(name, class_label, state_label, states)
-        yield from counters(vocabulary.ATTEMPTS, "Attempts written whole to stores.", source.attempts_sent())
-        yield from gauges(vocabulary.OPEN, "Requests taken and not ended.", source.open_requests())
+        yield from counters(
+            vocabulary.ATTEMPTS_SENT, "Attempts written whole to stores.", source.attempts_sent()
+        )
+        yield from gauges(vocabulary.REQUESTS_OPEN, "Requests taken and not ended.", source.open_requests())
         listed, avoided = source.store_counts()
-        yield from gauges(vocabulary.KNOWN, "Stores in the list.", listed)
-        yield from gauges(vocabulary.AVOIDED, "Listed stores that get nothing now.", avoided)
+        yield from gauges(vocabulary.STORES_KNOWN, "Stores in the list.", listed)
+        yield from gauges(vocabulary.STORES_AVOIDED, "Listed stores that get nothing now.", avoided)
         yield from gauges(vocabulary.LONGEST_TURN, "The longest turn of the loop.", source.longest_turn_s())
         loaded, invalid = source.reload_counts()
-        yield from counters(vocabulary.TAKEN_UP, "Configurations taken up.", loaded)
-        yield from counters(vocabulary.RELOADS, "Configurations taken up after the first.", loaded - 1)
-        yield from counters(vocabulary.REFUSED, "Configurations refused.", invalid)
+        yield from counters(vocabulary.CONFIGS_APPLIED, "Configurations taken up.", loaded)
+        yield from counters(
+            vocabulary.CONFIGS_RELOADED, "Configurations taken up after the first.", loaded - 1
+        )
+        yield from counters(vocabulary.CONFIGS_REFUSED, "Configurations refused.", invalid)
 
     def _outcome_counters(
         self, name: str, class_label: str, state_label: str, states: tuple[str, ...]
--- a/olivecourse/ops/succession.py
+++ b/olivecourse/ops/succession.py
@@ -104,7 +104,7 @@
             return
         self._lineage.add_predecessor(Link(self._loop, sock, self, self._log))
 
-    def teach(self, router: Router) -> None:
+    def configure_planner(self, router: Router) -> None:
         """Restores the predecessor's learned state into `router`, which has had no event yet."""
         self._router = router
         if not self._warm_state:
--- a/olivecourse/relay/section.py
+++ b/olivecourse/relay/section.py
@@ -10,7 +10,7 @@
 import yaml
 
 from olivecourse.config.address import Address, parse_address
-from olivecourse.config.sections import BadSection, read_section
+from olivecourse.config.sections import InvalidSection, read_section
 from olivecourse.relay.history import HistoryLimits
 
 MS = 1_000_000  # nanoseconds per millisecond
@@ -101,9 +101,9 @@
 
 
 def read_relay(path: str) -> RelayConfig:
-    """Reads a relay's configuration from the operator's file; raises BadSection with a one-line message."""
+    """Reads a relay's configuration from the operator's file; raises InvalidSection with a one-line text."""
     section = read_section(path, "relay", RelaySection)
     if section is None:
-        raise BadSection(f"{path}: relay: missing")
+        raise InvalidSection(f"{path}: relay: missing")
     root = yaml.safe_load(Path(path).read_text("utf-8"))
     return RelayConfig(str(root.get("name", "relay")), section)
--- a/olivecourse/rollout/commands.py
+++ b/olivecourse/rollout/commands.py
@@ -150,18 +150,18 @@
 def init(operator: str, name: str) -> None:
     """Initialize the folder of a voting member of a new fleet. Run this once for each member, and never for a
     member that replaces another one: a replacement recovers the state of the others by itself."""
-    from olivecourse.config.sections import BadSection
+    from olivecourse.config.sections import InvalidSection
     from olivecourse.rollout.section import read_rollout
     from olivecourse.rollout.store import Disk, FolderUnusable
 
     try:
         config = read_rollout(operator)
         if config is None or config.folder is None:
-            raise BadSection(f"{operator}: no rollout section with a folder")
+            raise InvalidSection(f"{operator}: no rollout section with a folder")
         disk = Disk(str(config.folder), name, config.read_keys()[1])
         disk.init(int(time.time()))
         disk.close()
-    except (BadSection, FolderUnusable) as error:
+    except (InvalidSection, FolderUnusable) as error:
         click.echo(f"olivecourse: {error}", err=True)
         sys.exit(2)
     click.echo(f"{config.folder}: {name} is a member from the start")
@@ -174,14 +174,14 @@
     """Read a release plan from a YAML FILE and propose it; this does not start the release."""
     import msgspec
 
-    from olivecourse.config.sections import BadSection, read_section
+    from olivecourse.config.sections import InvalidSection, read_section
     from olivecourse.rollout.section import PlanText
 
     try:
         plan_text = read_section(file, "release", PlanText)
         if plan_text is None:
-            raise BadSection(f"{file}: no release section")
-    except BadSection as error:
+            raise InvalidSection(f"{file}: no release section")
+    except InvalidSection as error:
         click.echo(f"olivecourse: {error}", err=True)
         sys.exit(2)
     send_command(address, "plan", plan=msgspec.to_builtins(plan_text))
--- a/olivecourse/rollout/part.py
+++ b/olivecourse/rollout/part.py
@@ -20,13 +20,13 @@
 import msgspec
 
 from olivecourse import interface
-from olivecourse.config.sections import BadSection
+from olivecourse.components import Component, GatewayContext, OperatorEndpointComponent
+from olivecourse.config.sections import InvalidSection
 from olivecourse.core.planner import Planner
 from olivecourse.fronts.listener import Listener
 from olivecourse.net.loop import READ
 from olivecourse.net.worker import Worker
 from olivecourse.ops.calls import JSON, Reply
-from olivecourse.parts import DoorPart, Host, Part
 from olivecourse.rollout import places, releases
 from olivecourse.rollout.agent import Agent, Stage
 from olivecourse.rollout.budgets import Group
@@ -82,27 +82,27 @@
     at: int
 
 
-class RolloutPart(Part):
+class RolloutComponent(Component):
     """The rollout part of a gateway, used if its configuration has a `rollout:` section. The constructor
     raises ValueError if the gateway is not listed under `gateways`, and OSError if the datagram socket cannot
     be bound."""
 
-    def __init__(self, host: Host) -> None:
-        super().__init__(host)
-        self.config: RolloutConfig = host.config.sections["rollout"]
+    def __init__(self, gateway: GatewayContext) -> None:
+        super().__init__(gateway)
+        self.config: RolloutConfig = gateway.config.sections["rollout"]
         section = self.config.section
         names = [g.name for g in section.gateways]
-        if host.config.name not in names:
-            raise ValueError(f"rollout: {host.config.name} is not listed under gateways")
+        if gateway.config.name not in names:
+            raise ValueError(f"rollout: {gateway.config.name} is not listed under gateways")
         self.names, self.addresses = names, self.config.addresses()
-        self.me = names.index(host.config.name)
+        self.me = names.index(gateway.config.name)
         self.key = f"gateways:{section.gateways[self.me].office}"
         keys, self._secret = self.config.read_keys()
         self.incarnation = time.time_ns() // MS
         self.wire = Wire(self.me, self.incarnation, keys)
         self._random = Random()  # seeded by the system: equal seeds would make members retry ballots together
         self._disk, slots, votes = self._open_folder()
-        self._worker = Worker(host.loop, "rollout", most=MAX_QUEUED_STEPS)
+        self._worker = Worker(gateway.loop, "rollout", most=MAX_QUEUED_STEPS)
         version = section.version or os.environ.get(VERSION_VARIABLE, "")
         setup = Setup(
             self.me,
@@ -113,7 +113,7 @@
             section.budgets.gateways.budget(),
             lambda plan: CanaryGate(plan) if plan.gates else DisabledGate(),
         )
-        now = host.loop.clock.now()
+        now = gateway.loop.clock.now()
         self.member = Member(setup, self.incarnation, version, slots, self._random, now, votes)
         self.agent = Agent(
             self.me, self.key, setup.fleet, self.member, self._random, self._take_out, self._bring_back, now
@@ -132,15 +132,15 @@
         self._ready_since: int | None = None
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
-            if host.config.doors:  # in an upgrade, an earlier process of this gateway may still be bound
+            if gateway.config.doors:  # in an upgrade, an earlier process of this gateway may still be bound
                 self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
             self._sock.bind(self.addresses[self.me])
         except OSError:
             self._sock.close()
             raise
         self._sock.setblocking(False)
-        host.loop.watch(self._sock, READ, self._on_readable)
-        if (door := host.part(DoorPart)) is not None:
+        gateway.loop.watch(self._sock, READ, self._on_readable)
+        if (door := gateway.component(OperatorEndpointComponent)) is not None:
             door.desk.others.append(self.call)
 
     def _open_folder(self) -> tuple[Disk | None, dict[str, Any], bool]:
@@ -149,27 +149,27 @@
         if self.config.folder is None:
             return None, {}, False
         try:
-            disk = Disk(str(self.config.folder), self.host.config.name, self._secret)
+            disk = Disk(str(self.config.folder), self.gateway.config.name, self._secret)
         except FolderLocked:
             return None, {}, False  # `_record_alive` retries every second until the earlier process ends
         except FolderUnusable as error:
-            self.host.log("rollout_folder_unusable", why=str(error))
+            self.gateway.log("rollout_folder_unusable", why=str(error))
             return None, {}, False
         try:
             slots = disk.load()
         except CorruptRecord as error:
-            self.host.log("rollout_folder_torn", why=str(error))
+            self.gateway.log("rollout_folder_torn", why=str(error))
             slots = None
         if slots is None:
-            self.host.log("rollout_folder_empty", folder=str(self.config.folder))
+            self.gateway.log("rollout_folder_empty", folder=str(self.config.folder))
         stale = slots is not None and disk.is_stale(time.time_ns() // S)
         if stale:
-            self.host.log("rollout_folder_old", folder=str(self.config.folder))
+            self.gateway.log("rollout_folder_old", folder=str(self.config.folder))
         return disk, slots or {}, slots is not None and not stale
 
     # Interface of parts -------------------------------------------------------------------------------
 
-    def teach(self, planner: Planner) -> None:
+    def configure_planner(self, planner: Planner) -> None:
         """Receives the gateway's planner, before the planner's first event."""
         self._planner = planner
 
@@ -177,21 +177,21 @@
         """Starts the periodic timer; called once the gateway accepts clients."""
         self._tick()
 
-    def reloaded(self, old: Any) -> None:
+    def on_reload(self, old: Any) -> None:
         """Called after the operator's file was read again: re-reads the datagram keys. Changes of the fleet
         and of the voting members need a restart."""
         try:
             self.wire.keys = self.config.read_keys()[0]
-        except BadSection as error:
-            self.host.log("file_unusable", why=str(error))
+        except InvalidSection as error:
+            self.gateway.log("file_unusable", why=str(error))
 
-    def takes_work(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Whether this gateway accepts new client requests; False while it is out of service with a lease."""
         return not self._draining
 
     def stop(self) -> None:
         """Closes the datagram socket, stops the disk worker and closes the folder."""
-        self.host.loop.forget(self._sock)
+        self.gateway.loop.forget(self._sock)
         self._sock.close()
         self._worker.stop(STOP_TIMEOUT_S)
         if self._disk is not None:
@@ -201,7 +201,7 @@
 
     def _tick(self) -> None:
         """Runs the periodic work of the member and the agent, and schedules itself again in TICK_NS."""
-        now = self.host.loop.clock.now()
+        now = self.gateway.loop.clock.now()
         if now >= self._next_refresh_at:
             self._next_refresh_at = now + REFRESH_NS
             self._refresh(now)
@@ -210,7 +210,7 @@
         self.member.tick(now)
         self.agent.tick(now)
         self._flush()
-        self.host.loop.after(TICK_NS, self._tick)
+        self.gateway.loop.after(TICK_NS, self._tick)
 
     def _record_alive(self, now: int) -> None:
         """Updates the time stamp of the folder, by writing an empty step, if this member votes. If the folder
@@ -228,34 +228,34 @@
 
     def _refresh(self, now: int) -> None:
         """Updates what the member knows of this gateway and its stores: the store list, the operators'
-        drains, the stores that the decision module avoids, and the request counts of the ledger. Then applies
+        drains, the stores that the router avoids, and the counts of the request tracker. Then applies
         the leases."""
         self._see_stores(now)
-        ready = not self.host.why_not_ready() or self._draining
+        ready = not self.gateway.why_not_ready() or self._draining
         if not ready:
             self._ready_since = None
         elif self._ready_since is None:
             self._ready_since = now
         warm = self._ready_since is not None and now - self._ready_since >= self.config.section.warm_s * S
         self.member.service = Service.DRAINS if self._draining else Service.SERVES if warm else Service.COLD
-        counts = self.host.ledger.outcomes
+        counts = self.gateway.tracker.outcomes
         self.member.ended = sum(map(sum, counts))
-        self.member.bad = sum(c[1] + c[2] for c in counts) + self.host.ledger.late
+        self.member.bad = sum(c[1] + c[2] for c in counts) + self.gateway.tracker.late_responses
         self._apply_leases()
 
     def _see_stores(self, now: int) -> None:
         """Updates the member's groups of stores and hub caches, and which of their items are out of service
         or cold, by group key."""
-        host, settings = self.host, self.host.config.settings
+        gateway, settings = self.gateway, self.gateway.config.settings
         limits = self.config.section.budgets
         capacity: dict[str, dict[int, float]] = {}
         out: dict[str, set[int]] = {}
-        avoided = host.avoided()
-        for store in host.directory.members.values():
+        avoided = gateway.avoided()
+        for store in gateway.directory.members.values():
             if store.kind == settings.origin_kind or store.zone is None:
                 continue
             at_hub = store.kind == settings.parent_kind
-            key = f"{'hubs' if at_hub else 'stores'}:{host.config.zones[store.zone]}"
+            key = f"{'hubs' if at_hub else 'stores'}:{gateway.config.zones[store.zone]}"
             capacity.setdefault(key, {})[store.cache] = store.weight or 1.0
             ramp = settings.parent_cold_ns if at_hub else settings.cold_ns
             cold = store.ready_at_ns and now - store.ready_at_ns < ramp
@@ -265,7 +265,7 @@
             if (
                 store.state is not interface.State.READY
                 or cold
-                or host.directory.names.get(store.cache) in host.directory.manually_drained
+                or gateway.directory.names.get(store.cache) in gateway.directory.manually_drained
                 or store.cache in avoided
                 and not leased_out_here
             ):
@@ -291,13 +291,13 @@
             if p.phase is Phase.OUT
         }
         for item in out ^ self._left:
-            name = self.host.directory.names.get(item)
+            name = self.gateway.directory.names.get(item)
             if name is not None:
-                leased_out = self.host.directory.leased_out
+                leased_out = self.gateway.directory.leased_out
                 (leased_out.add if item in out else leased_out.discard)(name)
-                event = self.host.directory.effective_change(name)
+                event = self.gateway.directory.effective_change(name)
                 if event is not None:
-                    self.host.emit(event)
+                    self.gateway.emit(event)
         self._left = out
         own_lease = self.member.table(self.key).lease_of(self.me)
         drained = own_lease is not None and own_lease.phase is Phase.OUT and own_lease.why is Why.DRAIN
@@ -316,7 +316,7 @@
         lease that has changed its phase or ended."""
         before = self._logged_state
         if not before or before[:2] != (release.term, release.state):
-            self.host.log(
+            self.gateway.log(
                 "rollout_release",
                 state=release.state.name.lower(),
                 term=release.term,
@@ -329,7 +329,7 @@
         for key, item in sorted(old.keys() | new.keys()):
             if old.get((key, item)) != new.get((key, item)):
                 phase = new.get((key, item))
-                self.host.log(
+                self.gateway.log(
                     "rollout_place",
                     group=key,
                     item=self.name(key, item),
@@ -341,8 +341,10 @@
         if nothing changes."""
         if draining != self._draining:
             self._draining = draining
-            self.host.drain(draining)
-            self.host.log("rollout_drains" if draining else "rollout_serves", open=self.host.ledger.open)
+            self.gateway.drain(draining)
+            self.gateway.log(
+                "rollout_drains" if draining else "rollout_serves", open=self.gateway.tracker.open
+            )
 
     def _take_out(self, item: int) -> None:
         """Called by the agent when an item may go out of service: drains this gateway. Stores are taken out
@@ -361,7 +363,7 @@
         listed."""
         if key.startswith("gateways:"):
             return self.names[item] if item < len(self.names) else str(item)
-        return self.host.directory.names.get(item, str(item))
+        return self.gateway.directory.names.get(item, str(item))
 
     # Steps --------------------------------------------------------------------------------------------
 
@@ -372,7 +374,7 @@
         if not (step.durable or step.sends or step.done):
             return
         if self._disk is None or not (step.durable or self._steps or self._writing):
-            self._carry_out(step)
+            self._execute(step)
         elif len(self._steps) < MAX_QUEUED_STEPS:
             self._steps.append(step)
             self._write()
@@ -398,7 +400,7 @@
         drops them and stops voting."""
         self._writing = False
         if error is not None:
-            self.host.log(
+            self.gateway.log(
                 "rollout_disk_failed",
                 why=str(error) if isinstance(error, OSError | lmdb.Error) else repr(error),
             )
@@ -408,38 +410,38 @@
             return
         self._caught_up = self._caught_up or recovering
         for step in steps:
-            self._carry_out(step)
+            self._execute(step)
         self._write()
 
-    def _carry_out(self, step: Step) -> None:
+    def _execute(self, step: Step) -> None:
         """Sends the messages of a step and passes on its answers to the agent or to a waiting command; the
         disk writes of the step are already done."""
         for target, message in step.sends:
             try:
                 self._sock.sendto(self.wire.encode(target, message), self.addresses[target])
             except ValueError as error:
-                self.host.log("rollout_not_sent", why=str(error))
+                self.gateway.log("rollout_not_sent", why=str(error))
             except OSError as error:  # a peer that is down answers with an ICMP error
-                self.host.log("rollout_peer_error", why=str(error))
+                self.gateway.log("rollout_peer_error", why=str(error))
         for handle, answer in step.done:
-            if not self.agent.told(handle, answer, self.host.loop.clock.now()) and handle in self._tickets:
-                self._answers[handle] = CommandAnswer(answer, self.host.loop.clock.now())
+            if not self.agent.told(handle, answer, self.gateway.loop.clock.now()) and handle in self._tickets:
+                self._answers[handle] = CommandAnswer(answer, self.gateway.loop.clock.now())
 
     def _on_readable(self, mask: int) -> None:
         """Reads and handles the datagrams that have arrived at the socket, at most MAX_DATAGRAMS_PER_TURN."""
-        now = self.host.loop.clock.now()
+        now = self.gateway.loop.clock.now()
         for _ in range(MAX_DATAGRAMS_PER_TURN):
             try:
                 data, _ = self._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except (BlockingIOError, InterruptedError):
                 break
             except OSError as error:
-                self.host.log("rollout_peer_error", why=str(error))
+                self.gateway.log("rollout_peer_error", why=str(error))
                 break
             try:
                 sender, message = self.wire.decode(data)
             except BadDatagram as bad:
-                self.host.log("rollout_datagram_dropped", why=str(bad), size=len(data))
+                self.gateway.log("rollout_datagram_dropped", why=str(bad), size=len(data))
                 continue
             if 0 <= sender < len(self.names) and sender != self.me:
                 self.member.heard(sender, message, now)
@@ -465,7 +467,7 @@
     def _handle_ask(self, do: str, arguments: dict[str, Any]) -> Reply:
         """Starts what `do` names: a drain, an undrain, or a command on the release. For a command the reply
         has the number of a ticket, under which the outcome can be fetched."""
-        now = self.host.loop.clock.now()
+        now = self.gateway.loop.clock.now()
         if do in ("drain", "undrain"):
             found = self._find_item(str(arguments["item"]))
             if found is None:
@@ -501,7 +503,7 @@
                 places.LeaseAction.FREE, item, lease.holder, lease.token, lease.why, forced=True
             )
             self.member.submit(key, op, now)
-            self.host.log("rollout_forced", group=key, item=self.name(key, item))
+            self.gateway.log("rollout_forced", group=key, item=self.name(key, item))
 
     def _ticket_reply(self, text: str) -> Reply:
         """The outcome of the release command with this ticket number, or that it is pending. It stays pending
@@ -512,7 +514,7 @@
         if ticket not in self._answers:
             return _reply(200, {"pending": True})
         answered = self._answers[ticket]
-        answer, waited = answered.answer, self.host.loop.clock.now() - answered.at
+        answer, waited = answered.answer, self.gateway.loop.clock.now() - answered.at
         why, term = failure_reason(answer), 0 if answer is None else answer.term
         if not why and term > self.member.release.term and waited < LEARN_TIMEOUT_NS:
             return _reply(200, {"pending": True})  # the next command here must know the new term
@@ -525,16 +527,16 @@
             return self.member.setup.offices[item], item
         for key, group in self.member.world.groups.items():
             for item in group.capacity:
-                if self.host.directory.names.get(item) == name:
+                if self.gateway.directory.names.get(item) == name:
                     return key, item
         return None
 
     def status(self) -> dict[str, Any]:
         """The state of releases and leases as known to this gateway, for the operators' interface."""
-        now, release = self.host.loop.clock.now(), self.member.release
+        now, release = self.gateway.loop.clock.now(), self.member.release
         hearing = self.member.hearing
         return {
-            "gateway": self.host.config.name,
+            "gateway": self.gateway.config.name,
             "version": self.member.version,
             "votes": self.member.register.votes,
             "replace_with": self._replaceable(),
@@ -569,7 +571,7 @@
     def _replaceable(self) -> str:
         """The program version that may replace this process now, or an empty string if none may, or while
         client requests are open."""
-        return "" if self.host.ledger.open else self.agent.replaceable
+        return "" if self.gateway.tracker.open else self.agent.replaceable
 
     def _group_status(self, key: str) -> dict[str, Any]:
         """The status of one group as shown to operators: its budget, the items that are out of service, its
--- a/olivecourse/rollout/section.py
+++ b/olivecourse/rollout/section.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from olivecourse.config.address import Address, parse_address
-from olivecourse.config.sections import BadSection, read_section
+from olivecourse.config.sections import InvalidSection, read_section
 from olivecourse.rollout.budgets import Budget
 from olivecourse.rollout.releases import Plan, plan_error
 from olivecourse.rollout.wire import Keys
@@ -96,14 +96,14 @@
     def read_keys(self) -> tuple[Keys, bytes]:
         """Returns the datagram keys, and the key for the MACs of the records in the voter's folder. The
         latter is the key with the lowest number, so that the folder stays readable while keys with higher
-        numbers are added and removed. Raises BadSection."""
+        numbers are added and removed. Raises InvalidSection."""
         try:
             contents = msgspec.convert(json.loads(self.key_file.read_text("utf-8")), KeyFile)
             keys = {int(number): bytes.fromhex(text) for number, text in contents.keys.items()}
             return Keys(keys, contents.current), keys[min(keys)]
         except (OSError, ValueError) as error:
             cause = getattr(error, "strerror", None) or error
-            raise BadSection(f"{self.key_file}: {cause}") from None
+            raise InvalidSection(f"{self.key_file}: {cause}") from None
 
     def addresses(self) -> list[Address]:
         """The datagram addresses of all gateways, in the order of the `rollout:` section; the position of a
@@ -113,7 +113,7 @@
 
 def read_rollout(path: str) -> RolloutConfig | None:
     """Reads the `rollout:` section of the operator's file at `path`, and checks that the key file is
-    readable; returns None if there is no section. Raises BadSection."""
+    readable; returns None if there is no section. Raises InvalidSection."""
     section = read_section(path, "rollout", RolloutSection)
     if section is None:
         return None
--- a/olivecourse/storm/guard.py
+++ b/olivecourse/storm/guard.py
@@ -121,7 +121,7 @@
         # Rejections since the start: of requests by admission verdict, and of retry attempts ("budget").
         self.rejected = {"late": 0, "crowded": 0, "budget": 0}
 
-    def settle(self, settings: interface.Settings) -> None:
+    def apply_settings(self, settings: interface.Settings) -> None:
         """Takes over the request classes of changed `settings`; the limits and rates stay."""
         self._classes = settings.classes
 
@@ -174,7 +174,7 @@
 
     # Observation of the Router's events and actions -----------------------------------------------------
 
-    def came(self, event: interface.Event, now: int) -> None:
+    def on_event(self, event: interface.Event, now: int) -> None:
         """Observes an event; must be called before the Router handles it, as `admit` uses the findings."""
         self._now = now
         if isinstance(event, interface.Request):
@@ -216,7 +216,7 @@
         self.admission.ended(waited, opened.in_flight, False, now)
         self.budgets.succeeded(self._bucket_names(opened.cls, event.cache, opened.source), now)
 
-    def went(self, actions: list[interface.Action], now: int) -> list[interface.Action]:
+    def on_actions(self, actions: list[interface.Action], now: int) -> list[interface.Action]:
         """Observes the Router's actions; returns them, followed by a log line if a storm began or ended."""
         for action in actions:
             if isinstance(action, interface.Refuse | interface.Fail):
--- a/olivecourse/storm/section.py
+++ b/olivecourse/storm/section.py
@@ -43,5 +43,5 @@
 
 
 def read_storms(path: str) -> StormSection | None:
-    """Reads the `storms:` section of the file at `path`; None if there is none. Raises BadSection."""
+    """Reads the `storms:` section of the file at `path`; None if there is none. Raises InvalidSection."""
     return read_section(path, "storms", StormSection)
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -11,10 +11,10 @@
 from test_ops import call, figures, total
 
 from benchmarks.deployments import run as run_deployments
-from olivecourse.config.gateway_config import BadConfig, read_config
-from olivecourse.config.merging import MOST_CLASSES
+from olivecourse.components import OperatorEndpointComponent
+from olivecourse.config.gateway_config import InvalidConfig, read_config
+from olivecourse.config.merging import MAX_CLASSES
 from olivecourse.fronts import codec
-from olivecourse.parts import DoorPart
 
 FIELDS = {"c": "fichiers", "i": REQUEST, "o": OBJECT, "d": "5000", "n": "0", "shard": "17"}
 HIT = f"{REQUEST} data version=aa,stamp=1,n=HIT 5\r\nhello\r\n".encode()
@@ -58,7 +58,7 @@
 def test_both_admin_addresses_accept_the_calls_of_both_deployments():
     stage = Stage(admin="127.0.0.1:0", env={"EDGE_MGMT": "localhost:0"})
     try:
-        doors = stage.gateway.part(DoorPart).doors
+        doors = stage.gateway.component(OperatorEndpointComponent).doors
         assert len(doors) == 2
         for _ in range(2):
             doors.reverse()  # `call` uses the first address
@@ -218,7 +218,7 @@
 def test_reloads_limit_class_names_and_report_settings_that_need_a_restart(stage):
     old_config = stage.gateway.config
     with pytest.raises(ValueError, match="names of classes"):
-        reload(stage, settings=settings(*(class_profile(f"c{i}") for i in range(MOST_CLASSES))))
+        reload(stage, settings=settings(*(class_profile(f"c{i}") for i in range(MAX_CLASSES))))
     assert stage.gateway.config is old_config
     reload(stage, settings=SETTINGS | {"az": 0, "zones": ["hub-nord", "edge-1", "edge-2"]})
     assert [v for e, v in stage.logged if e == "reloaded"][0]["needs_restart"] == ["zones", "zone"]
@@ -248,7 +248,7 @@
             class_profile("fichiers") | {field: value}, class_profile("commande", "at_most_once")
         ),
     }
-    with pytest.raises(BadConfig):
+    with pytest.raises(InvalidConfig):
         read_config(raw, {})
 
 
@@ -334,10 +334,10 @@
     config = read_config({"listen": "127.0.0.1:0", "settings": settings_with_unused_keys}, {})
     default_config = read_config({"listen": "127.0.0.1:0", "settings": SETTINGS}, {})
     assert (
-        set(config.unread) - set(default_config.unread) >= {"profiles.*.flavour"}
+        set(config.unused_paths) - set(default_config.unused_paths) >= {"profiles.*.flavour"}
         and config.settings == default_config.settings
     )
-    assert any(name.startswith("extras.x_new") for name in config.unread)
+    assert any(name.startswith("extras.x_new") for name in config.unused_paths)
 
 
 def test_random_deployments_are_served_by_the_rules():
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -116,8 +116,8 @@
     stage.gateway.on_events(purges(2, 20_000, now_ms - 3_600_000))
     stage.gateway.on_events(purges(20_002, 500, now_ms))
     stage.gateway.decide()
-    router, ledger = stage.gateway.local.router, stage.gateway.ledger
-    for table in (router.purges, ledger.purged):
+    router, tracker = stage.gateway.local.router, stage.gateway.tracker
+    for table in (router.purges, tracker.purged):
         assert len(table) <= 16_384 and not table.merged and table.settled_dropped
         assert all(f"{n:016x}" in table for n in range(20_002, 20_502))
 
@@ -469,4 +469,4 @@
                 stage.cache.say(f"{words[1]} data version=aa,stamp=9,n=HIT 2\r\nhi\r\n".encode())
     assert drains == 6 and fetches_after_drain > 50 and not observer.broken, observer.told
     assert answers < 75, "one poll per purge would be about 600"
-    assert len(stage.gateway.ledger.purged) > 500
+    assert len(stage.gateway.tracker.purged) > 500
--- a/tests/test_inventory.py
+++ b/tests/test_inventory.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from olivecourse.config.inventory import BadInventory, read_inventory
+from olivecourse.config.inventory import InvalidInventory, read_inventory
 
 HEADER = "name,address,zone,kind,size,cell,state\n"
 VALID_ROW = "box-1,10.0.0.1:80,edge,petit,4,2,ready\n"
@@ -60,11 +60,11 @@
     ],
 )
 def test_errors_contain_the_file_and_the_line(tmp_path, name, text, expected):
-    with pytest.raises(BadInventory) as error:
+    with pytest.raises(InvalidInventory) as error:
         read(tmp_path, name, text)
     assert expected in str(error.value)
 
 
 def test_missing_file_is_reported(tmp_path):
-    with pytest.raises(BadInventory, match="No such file"):
+    with pytest.raises(InvalidInventory, match="No such file"):
         read_inventory(str(tmp_path / "none.csv"), [], [])
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -24,7 +24,7 @@
 
 from olivecourse import interface
 from olivecourse.choice import Router
-from olivecourse.config.gateway_config import BadConfig, load_operator
+from olivecourse.config.gateway_config import InvalidConfig, load_operator
 from olivecourse.memory import codec, container
 from olivecourse.memory.ageing import DEFAULTS, Decay, Elapsed, Policy, elapsed
 from olivecourse.memory.collect import GROUPS, MAX_PURGES, Watcher, collect
@@ -524,7 +524,7 @@
 def test_an_invalid_memory_section_is_reported_with_file_and_line(world, memory, line, message):  # noqa: F811
     folder, _, _ = world
     path = operator(folder, memory)
-    with pytest.raises(BadConfig, match=message) as raised:
+    with pytest.raises(InvalidConfig, match=message) as raised:
         load_operator(path, {})
     if line:
         assert str(raised.value).startswith(f"{path}:{line}: memory")
@@ -538,7 +538,7 @@
 def test_other_sections_are_validated_in_the_same_way(world):  # noqa: F811
     folder, _, _ = world
     path = operator(folder, "  folder: m\nstorms:\n  limiter: codel\n")
-    with pytest.raises(BadConfig, match=r"operator.yaml:9: storms.limiter: Invalid enum value"):
+    with pytest.raises(InvalidConfig, match=r"operator.yaml:9: storms.limiter: Invalid enum value"):
         load_operator(path, {})
     path = operator(folder, "  folder: m\nstorms: {}\n")
     assert load_operator(path, {}).sections["storms"].policy().limiter == "aimd"
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -13,13 +13,13 @@
 from stage import OBJECT, REQUEST, Stage, drain, member
 
 from olivecourse import interface
-from olivecourse.core.descriptors import DOOR, split
-from olivecourse.core.ledger import Crowded, Duplicate, Ledger
+from olivecourse.components import OperatorEndpointComponent
+from olivecourse.core.descriptors import DESCRIPTORS_PER_ENDPOINT, divide_descriptors
+from olivecourse.core.requests import DuplicateRequest, RequestTracker, TooManyOpenRequests
 from olivecourse.fronts import codec
 from olivecourse.gateway import Gateway
 from olivecourse.ops.bans import DrainRecord, ManualDrains
 from olivecourse.ops.door import MAX_CONNECTIONS
-from olivecourse.parts import DoorPart
 
 GAUGES = {
     "app_current",
@@ -43,7 +43,9 @@
 
     def __init__(self, stage, head, body=b"", cut=0):
         self.stage = stage
-        self.sock = socket.create_connection(("127.0.0.1", stage.gateway.part(DoorPart).doors[0].port))
+        self.sock = socket.create_connection(
+            ("127.0.0.1", stage.gateway.component(OperatorEndpointComponent).doors[0].port)
+        )
         self.sock.setblocking(False)
         self.data = b""
         whole = f"{head} HTTP/1.1\r\nHost: ops\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
@@ -115,11 +117,15 @@
 
 
 def test_calls_are_answered_while_silent_clients_hold_connections(stage):
-    door = stage.gateway.part(DoorPart).doors[0]
+    door = stage.gateway.component(OperatorEndpointComponent).doors[0]
     silent = [socket.create_connection(("127.0.0.1", door.port)) for _ in range(50)]
     for sock in silent[::2]:
         sock.sendall(b"GET /ops/readiness HTTP/1.1\r\nHo")
-    stage.until(lambda: len(stage.gateway.part(DoorPart).doors[0].connections) == MAX_CONNECTIONS)
+    stage.until(
+        lambda: (
+            len(stage.gateway.component(OperatorEndpointComponent).doors[0].connections) == MAX_CONNECTIONS
+        )
+    )
     began = time.monotonic()
     assert call(stage, "GET /ops/readiness")[0] == 200
     assert time.monotonic() - began < 0.5
@@ -144,15 +150,15 @@
     client.call(2, i="00" * 8)
     stage.until(stage.cache.line)
     client.sock.close()  # an abandoned request counts neither as open nor as ended
-    stage.until(lambda: not stage.gateway.ledger.open)
+    stage.until(lambda: not stage.gateway.tracker.open)
     orders = stage.client()
     orders.call(1, c="commande", i="11" * 8, d="150")
     stage.until(lambda: orders.answers())
     now = figures(stage)
     assert now[total("answered")] == 1 and now["app_current"] == 0
     assert now[total("errored", "commande")] + now[total("deferred", "commande")] == 1
-    ledger = stage.gateway.ledger
-    assert ledger.taken == sum(map(sum, ledger.outcomes)) + ledger.left + ledger.open
+    tracker = stage.gateway.tracker
+    assert tracker.accepted == sum(map(sum, tracker.outcomes)) + tracker.disconnected + tracker.open
 
 
 def test_an_attempt_counts_only_once_its_last_byte_has_been_written(stage):
@@ -277,9 +283,11 @@
 def test_without_an_admin_server_no_store_can_be_drained():
     stage = Stage()
     try:
-        assert stage.gateway.part(DoorPart) is None and stage.gateway.directory.effective_member(
-            interface.Member(1, 1.0)
-        ) == interface.Member(1, 1.0)
+        assert stage.gateway.component(
+            OperatorEndpointComponent
+        ) is None and stage.gateway.directory.effective_member(interface.Member(1, 1.0)) == interface.Member(
+            1, 1.0
+        )
     finally:
         stage.close()
 
@@ -380,10 +388,10 @@
 
 def test_the_descriptor_budget_covers_all_sockets_and_reserves_those_of_the_admin_server():
     for sockets in range(96, 4097):
-        assert split(sockets, 1).total(1) <= sockets
-    assert DOOR >= MAX_CONNECTIONS + 2
+        assert divide_descriptors(sockets, 1).total(1) <= sockets
+    assert DESCRIPTORS_PER_ENDPOINT >= MAX_CONNECTIONS + 2
     for sockets, before in ((256, (96, 24, 112)), (384, (160, 24, 176)), (1024, (480, 24, 496))):
-        room = split(sockets, 0)
+        room = divide_descriptors(sockets, 0)
         assert (room.stores, room.per_store, room.clients) == before, (
             "without an admin server the budget is unchanged"
         )
@@ -432,32 +440,34 @@
     )
     answers, attempts = Answers(), []
     quiet = SimpleNamespace(emit=lambda event: None, log=lambda event, **v: None)
-    ledger = Ledger(make_settings(classes=classes), StoppedTimers(), quiet.emit, quiet.log, most=4)
-    ledger.carrier = SimpleNamespace(send=attempts.append, abort=lambda attempt: None)
+    tracker = RequestTracker(
+        make_settings(classes=classes), StoppedTimers(), quiet.emit, quiet.log, max_open_requests=4
+    )
+    tracker.transport = SimpleNamespace(send=attempts.append, abort=lambda attempt: None)
     for operation, n, status in steps:
         request = f"{n:016x}"
         try:
             if operation == "take":
-                ledger.take(interface.Request(request, n % 2, object="a"), b"", None, answers)
+                tracker.accept(interface.Request(request, n % 2, object="a"), b"", None, answers)
             elif operation == "send":
-                ledger.attempt(interface.Look(request, 1, 50))
+                tracker.attempt(interface.Look(request, 1, 50))
             elif operation == "end" and attempts:
-                ledger.end(attempts.pop(), status)
+                tracker.end(attempts.pop(), status)
             elif operation == "refuse":
-                ledger.refuse(interface.Refuse(request, 1))
+                tracker.refuse(interface.Refuse(request, 1))
             elif operation == "fail":
-                ledger.fail(interface.Fail(request))
+                tracker.fail(interface.Fail(request))
             elif operation == "leave":
-                ledger.leave(request)
+                tracker.client_disconnected(request)
             elif operation == "all":
-                ledger.give_up_all("a test")
+                tracker.finish_all("a test")
             elif operation == "away":
-                raise Crowded
-        except (Crowded, Duplicate):
-            ledger.turned_away(n % 2)
+                raise TooManyOpenRequests
+        except (TooManyOpenRequests, DuplicateRequest):
+            tracker.record_rejection(n % 2)
             answers.refused(0)
-        ended = [sum(counts[i] for counts in ledger.outcomes) for i in range(3)]
+        ended = [sum(counts[i] for counts in tracker.outcomes) for i in range(3)]
         assert ended == [answers.count(i) for i in range(3)], (
             "each answer must count once, under its own kind"
         )
-        assert ledger.taken == sum(ended) + ledger.left + ledger.open
+        assert tracker.accepted == sum(ended) + tracker.disconnected + tracker.open
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -15,7 +15,7 @@
 import stage as gateways
 
 from olivecourse.config.address import parse_address
-from olivecourse.config.gateway_config import BadConfig, load_operator
+from olivecourse.config.gateway_config import InvalidConfig, load_operator
 from olivecourse.emulator.board import Board
 from olivecourse.emulator.stores import World
 from olivecourse.net.discovery_client import DiscoveryClient
@@ -862,5 +862,5 @@
         "board: 127.0.0.1:1\nboards: 7\n",
     ):
         path.write_text(lines + wrong)
-        with pytest.raises(BadConfig):
+        with pytest.raises(InvalidConfig):
             load_operator(str(path), {})
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -17,7 +17,7 @@
 
 from benchmarks._fleet import Fleet as Processes
 from benchmarks.rollout import play as play_processes
-from olivecourse.config.sections import BadSection
+from olivecourse.config.sections import InvalidSection
 from olivecourse.modelcheck.explorer import explore
 from olivecourse.modelcheck.places import FAULTS, NARROW_BOUNDS, Model, find_planted_fault
 from olivecourse.rollout import releases
@@ -25,7 +25,7 @@
 from olivecourse.rollout.budgets import Budget, Group
 from olivecourse.rollout.gates import Counts, SequentialTest
 from olivecourse.rollout.member import RUMOR_FANOUT, HaltNotice, Member, OperationReply, Setup
-from olivecourse.rollout.part import LEARN_TIMEOUT_NS, CommandAnswer, RolloutPart
+from olivecourse.rollout.part import LEARN_TIMEOUT_NS, CommandAnswer, RolloutComponent
 from olivecourse.rollout.places import Answer, Outcome, Why
 from olivecourse.rollout.register import Ballot, Learn, QuorumRegisters, Recall, Slot
 from olivecourse.rollout.releases import Command, CommandReply, Plan, State, plan_error
@@ -471,7 +471,7 @@
         "keys: keys.json\n  gateways: []\n  members: [a]",
     ):
         path.write_text(f"rollout:\n  {text}\n")
-        with pytest.raises(BadSection, match=r"operator.yaml:\d+|none.json"):
+        with pytest.raises(InvalidSection, match=r"operator.yaml:\d+|none.json"):
             read_rollout(str(path))
     path.write_text(f"rollout:\n  keys: keys.json\n  {fleet}\n  members: [a]\n")
     assert read_rollout(str(path)).section.budgets.stores.number == 1
@@ -486,7 +486,7 @@
     assert finished.stdout.strip() == "[]", finished.stdout + finished.stderr
     stage = Stage()
     try:
-        assert not stage.gateway.directory.leased_out and GATEWAYS not in str(stage.gateway.parts)
+        assert not stage.gateway.directory.leased_out and GATEWAYS not in str(stage.gateway.components)
     finally:
         stage.close()
 
@@ -590,14 +590,14 @@
     part = SimpleNamespace(
         _tickets=[4],
         _answers={4: CommandAnswer(CommandReply(True, 2, State.HALTED), 4 * S)},
-        host=SimpleNamespace(loop=SimpleNamespace(clock=clock)),
+        gateway=SimpleNamespace(loop=SimpleNamespace(clock=clock)),
         member=SimpleNamespace(release=SimpleNamespace(term=1)),
     )
-    assert json.loads(RolloutPart._ticket_reply(part, "4").body) == {"pending": True}
+    assert json.loads(RolloutComponent._ticket_reply(part, "4").body) == {"pending": True}
     part.member.release.term = 2
-    assert json.loads(RolloutPart._ticket_reply(part, "4").body)["ok"]
+    assert json.loads(RolloutComponent._ticket_reply(part, "4").body)["ok"]
     part.member.release.term, clock.now = 1, lambda: 4 * S + LEARN_TIMEOUT_NS
-    assert json.loads(RolloutPart._ticket_reply(part, "4").body)["ok"]
+    assert json.loads(RolloutComponent._ticket_reply(part, "4").body)["ok"]
 
 
 def lone_member(nodes=40):
--- a/tests/test_signed.py
+++ b/tests/test_signed.py
@@ -7,9 +7,9 @@
 import pytest
 from stage import OBJECT, SETTINGS, Client, Stage
 
-from olivecourse.config.gateway_config import BadConfig, load_operator
+from olivecourse.components import WatchedFilesComponent
+from olivecourse.config.gateway_config import InvalidConfig, load_operator
 from olivecourse.fronts import tokens
-from olivecourse.parts import FilesPart
 
 PUBLIC = "https://calendriers.example"
 PATH = f"/fichiers/{OBJECT}/0?shard=17&kb=41.5"
@@ -136,7 +136,7 @@
     }
     for case, (target, status) in rejected.items():
         assert stage.status(stage.ask(target)) == status, case
-    assert stage.cache.line() is None and stage.gateway.ledger.open == 0
+    assert stage.cache.line() is None and stage.gateway.tracker.open == 0
     assert not any(part in str(stage.logged) for part in (claims, signature))
 
 
@@ -175,11 +175,11 @@
     link = stage.link()
     keys = stage.folder / "keys.json"
     keys.write_text(json.dumps({"union": {"keys": [jwk("k2"), jwk("k3")]}}))
-    stage.gateway.part(FilesPart).keys_seen = 0
+    stage.gateway.component(WatchedFilesComponent).keys_seen = 0
     stage.until(lambda: "keys_read" in stage.names())
     assert stage.status(stage.ask(link)) == 403
     keys.write_text("{")
-    stage.gateway.part(FilesPart).keys_seen = 0
+    stage.gateway.component(WatchedFilesComponent).keys_seen = 0
     stage.until(lambda: "file_unusable" in stage.names())
     assert set(stage.tokens.keys) == {"k2", "k3"}
 
@@ -283,7 +283,7 @@
 def test_a_store_removed_from_the_inventory_gets_no_requests(stage):
     path = stage.folder / "stores.csv"
     path.write_text("".join(x for x in path.read_text().splitlines(True) if "s-00000001" not in x))
-    stage.gateway.part(FilesPart).inventory_seen = 0
+    stage.gateway.component(WatchedFilesComponent).inventory_seen = 0
     stage.until(lambda: "inventory_read" in stage.names())
     assert stage.status(stage.ask(stage.link())) == 503
     assert stage.cache.line() is None
@@ -304,7 +304,7 @@
 def test_an_invalid_operators_file_is_reported_in_one_line(tmp_path, text, expected):
     (tmp_path / "settings.json").write_text(json.dumps(SETTINGS))
     (tmp_path / "operator.yaml").write_text(text)
-    with pytest.raises(BadConfig) as error:
+    with pytest.raises(InvalidConfig) as error:
         load_operator(str(tmp_path / "operator.yaml"), {})
     assert expected in str(error.value) and "\n" not in str(error.value)
 
--- a/tests/test_spent.py
+++ b/tests/test_spent.py
@@ -15,12 +15,12 @@
 from test_memory import KeeperHarness, fixed
 from test_signed import ORDER, SignedStage
 
+from olivecourse.components import MemoryComponent
 from olivecourse.config.gateway_config import load_operator
 from olivecourse.fronts.tokens import Rejected
 from olivecourse.memory.grouping import Group, GroupCommit, State, Verdict
 from olivecourse.memory.section import MemoryConfig, MemorySection, TokensSection
 from olivecourse.memory.tokenstore import DurableSpent, TokenStore, token_digest
-from olivecourse.parts import MemoryPart
 
 MS = 1_000_000
 digests = st.sampled_from([b"a", b"b", b"c", b"d"])
@@ -287,7 +287,7 @@
         return load_operator(str(path), {})
 
     def close(self):
-        for component in (self.gateway.part(MemoryPart).keeper, self.gateway.spent):
+        for component in (self.gateway.component(MemoryComponent).keeper, self.gateway.spent):
             component.stop()
         super().close()
 
@@ -326,7 +326,7 @@
     stage.until(lambda: stage.gateway.front.recording)
     client.sock.close()
     stage.until(lambda: not stage.gateway.front.clients)
-    assert stage.cache.poll() == b"" and not stage.gateway.ledger.open
+    assert stage.cache.poll() == b"" and not stage.gateway.tracker.open
     blocking[0] = False
     stage.until(lambda: not stage.gateway.front.recording)
     assert stage.cache.poll() == b""
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -127,28 +127,28 @@
     client.sock.sendall(frames(range(1, requests + 1)))
     client.sock.close()
     run_turns(stage)
-    assert not stage.gateway.front.clients and not stage.gateway.ledger.open
-    assert fetches(stage.cache) == [] and not stage.gateway.ledger.taken
+    assert not stage.gateway.front.clients and not stage.gateway.tracker.open
+    assert fetches(stage.cache) == [] and not stage.gateway.tracker.accepted
 
 
 def test_no_attempt_is_sent_for_a_client_that_leaves_in_the_turn_of_the_send(stage):
     """The connection that the attempt waits for is established, and the selector reports it first."""
     client = stage.client()
     client.call()
-    stage.until(lambda: stage.gateway.ledger.open)
+    stage.until(lambda: stage.gateway.tracker.open)
     (streams,) = stage.gateway.pool._stores.values()
     assert streams[0].connecting and streams[0].waiting
     SelectorHook(stage.gateway.loop, first=[streams[0].sock])
     client.sock.close()
     run_turns(stage)
-    assert fetches(stage.cache) == [] and not stage.gateway.ledger.open
+    assert fetches(stage.cache) == [] and not stage.gateway.tracker.open
 
 
 @pytest.mark.parametrize("how", ["closes", "cancels"])
 def test_no_attempt_is_sent_for_a_client_that_leaves_while_the_process_is_delayed(stage, how):
     client = stage.client()
     client.call()
-    stage.until(lambda: stage.gateway.ledger.open)
+    stage.until(lambda: stage.gateway.tracker.open)
     (streams,) = stage.gateway.pool._stores.values()
     leave = (
         client.sock.close
@@ -157,7 +157,7 @@
     )
     SelectorHook(stage.gateway.loop, leave, lambda sock: sock is streams[0].sock)
     run_turns(stage)
-    assert fetches(stage.cache) == [] and not stage.gateway.ledger.open
+    assert fetches(stage.cache) == [] and not stage.gateway.tracker.open
 
 
 def test_no_retry_is_sent_for_a_client_that_left_before_the_failure_was_read(stage):
@@ -181,12 +181,12 @@
         ),
     )
     client.call()
-    stage.until(lambda: stage.gateway.ledger.open)
+    stage.until(lambda: stage.gateway.tracker.open)
     run_turns(stage, 5)
-    (attempt,) = stage.gateway.ledger.entries[REQUEST].out.values()
-    assert not attempt.went  # a write could still be refused
+    (attempt,) = stage.gateway.tracker.entries[REQUEST].open_attempts.values()
+    assert not attempt.sent  # a write could still be refused
     client.sock.close()
-    stage.until(lambda: not stage.gateway.ledger.open)
+    stage.until(lambda: not stage.gateway.tracker.open)
     blocked.clear()
     run_turns(stage)
     assert fetches(stage.cache) == []
@@ -322,8 +322,8 @@
     stage.cache.conns[0].close()
     stage.cache.conns.clear()
     run_turns(stage, 3)
-    entry = stage.gateway.ledger.entries[REQUEST]
-    assert entry.count == 2 and entry.out  # the retry is decided at once, within the window
+    entry = stage.gateway.tracker.entries[REQUEST]
+    assert entry.attempt_count == 2 and entry.open_attempts  # the retry is decided at once, within the window
     free_backlog()
     stage.until(lambda: moved_peer.poll() or client.answers())
     assert fetches(moved_peer) == [] and client.answers()[0][1] in ("refused", "failed")
@@ -341,7 +341,7 @@
         sock.connect_ex(stage.cache.sock.getsockname())
     connection_count = len(stage.cache.conns)
     second.call(i="9b1f03aa5c7e2d42", o="7f3a9c21e0b4d656")
-    stage.until(lambda: stage.gateway.ledger.open == 2)
+    stage.until(lambda: stage.gateway.tracker.open == 2)
     stage.cache.conns[0].sendall((ANSWER % "9b1f03aa5c7e2d41").encode())
 
     def sent_on_first_connection():
@@ -468,13 +468,13 @@
         raise RuntimeError("planted")
 
     with monkeypatch.context() as patch:
-        patch.setattr(stage.gateway.pool, "may_go", fault)
+        patch.setattr(stage.gateway.pool, "may_send", fault)
         patch.setattr(stage.gateway.pool, "_stores", None)
         patch.setattr(stage.gateway.front, "clients", None)
         stage.until(lambda: sum(v.get("where") == "timer" for _, v in stage.logged) > 1)
     client = stage.client()
     with monkeypatch.context() as patch:
-        patch.setattr(stage.gateway.pool, "may_go", fault)
+        patch.setattr(stage.gateway.pool, "may_send", fault)
         client.call()
         stage.until(lambda: any(v["where"] == "call" for event, v in stage.logged if event == "loop_fault"))
     (stream,) = stage.gateway.pool._stores[1]
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -94,9 +94,9 @@
     client = stage.client()
     client.call(c="commande", body=b"once")
     stage.until(lambda: stage.cache.line() == "once")
-    stage.gateway.carry_out([interface.ReadThrough(REQUEST, 1, 10**9, 9, 0, 0, interface.How(0))])
+    stage.gateway.execute([interface.ReadThrough(REQUEST, 1, 10**9, 9, 0, 0, interface.How(0))])
     assert "second_send_blocked" in stage.names()
-    stage.gateway.carry_out([interface.Refuse(REQUEST, 0)])
+    stage.gateway.execute([interface.Refuse(REQUEST, 0)])
     assert stage.until(client.answers)[0][1] == "failed"
 
 
@@ -124,7 +124,7 @@
     stage.until(stage.cache.line)
     client.sock.close()
     assert stage.until(stage.cache.line) == f"abort {REQUEST}"
-    assert stage.gateway.ledger.open == 0
+    assert stage.gateway.tracker.open == 0
 
 
 def test_the_final_answer_is_sent_before_the_client_deadline(stage):
@@ -132,7 +132,7 @@
     client.call(d="120")
     stage.until(stage.cache.line)
     assert stage.until(client.answers)[0][1] == "refused"
-    assert not stage.gateway.ledger.tally["served"] and "answered_by_guard" not in stage.names()
+    assert not stage.gateway.tracker.totals["served"] and "answered_by_guard" not in stage.names()
 
 
 def test_a_request_lost_by_the_decision_module_is_still_answered(stage):
@@ -356,7 +356,7 @@
     client = stage.client()
     for number in range(1, 5):
         client.call(number, i=f"{number:016x}")
-    stage.until(lambda: stage.gateway.ledger.open == 4)
+    stage.until(lambda: stage.gateway.tracker.open == 4)
     stage.until(lambda: b"0000000000000004" in stage.cache.poll())
     assert len(stage.cache.conns) == 1
 
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -263,7 +263,7 @@
                     )
                     heapq.heappush(self.due, (now + int(self.random.expovariate(1 / (5 * S))), client, 0))
             if self.guard is not None:
-                self.logged += self.guard.went([], now)
+                self.logged += self.guard.on_actions([], now)
         return self.good
 
     def send_request(self, client, tries, now):
@@ -276,10 +276,10 @@
             flags=interface.Flag(2 if tries and self.marked else 0),
         )
         if self.guard is not None:
-            self.guard.came(request, now)
+            self.guard.on_event(request, now)
             if not self.guard.admit(request, 10 * MS, S, len(self.open)):
                 wait = self.guard.retry_after_ns(request, S)
-                self.guard.went([interface.Refuse(request.request, wait)], now)
+                self.guard.on_actions([interface.Refuse(request.request, wait)], now)
                 heapq.heappush(
                     self.due, (now + (10 * MS if self.ignores_retry_after else wait), client, tries + 1)
                 )
@@ -291,7 +291,7 @@
     def end(self, name, now, event):
         del self.open[name]
         if self.guard is not None:
-            self.guard.came(event, now)
+            self.guard.on_event(event, now)
 
 
 def recovered(good, before):
@@ -345,16 +345,16 @@
     guard = Office(True, False).guard
     for n in range(3000):
         request = interface.Request(f"r{n}", 0, object="o")
-        guard.came(request, n * 10 * MS)
+        guard.on_event(request, n * 10 * MS)
         assert (
             guard.admit(request, 10 * MS, S, 5)
             and guard.may_retry(request, 1, 2)
             and guard.retry_after_ns(request, S) == S
         )
-        guard.came(
+        guard.on_event(
             interface.AttemptEnded(request.request, 0, 1, interface.Status.SERVED, MS, True), n * 10 * MS + MS
         )
-        assert guard.went([], n * 10 * MS + MS) == [] and not guard._open
+        assert guard.on_actions([], n * 10 * MS + MS) == [] and not guard._open
 
 
 def test_the_router_asks_its_limits_and_a_write_is_refused_only_before_it_ran(drive):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -15,14 +15,14 @@
 from stage import OBJECT, REQUEST, Stage
 from test_ops import call, down, figures
 
-from olivecourse.core.descriptors import split
+from olivecourse.components import OperatorEndpointComponent, PeersComponent, UpgradeComponent
+from olivecourse.core.descriptors import divide_descriptors
 from olivecourse.gateway import Gateway
 from olivecourse.net.loop import Loop
 from olivecourse.ops.handover import Link
 from olivecourse.ops.handwire import BadMessage, Decoder, Kind, Message
 from olivecourse.ops.presence import FolderUnusable, ProcessRecord
 from olivecourse.ops.standing import ProcessLineage, TransferredConnections
-from olivecourse.parts import DoorPart, PeersPart, UpgradePart
 
 
 class Upgrade:
@@ -69,19 +69,19 @@
     def kill(self, gateway):
         """Simulates SIGKILL: closes everything that the system would close for a killed process."""
         self.killed.add(gateway)
-        restart = gateway.part(UpgradePart).succession
+        restart = gateway.component(UpgradeComponent).succession
         for link in restart._links():
             link.sock.shutdown(socket.SHUT_RDWR)
             link.sock.close()
         os.close(restart._process_record._lock)
         gateway.front.no_more()
-        gateway.part(DoorPart).doors[0].close()
+        gateway.component(OperatorEndpointComponent).doors[0].close()
 
     def close(self):
         for gateway in self.all:
             if gateway not in self.killed:
-                gateway.part(UpgradePart).succession.close()
-                gateway.part(DoorPart).doors[0].close()
+                gateway.component(UpgradeComponent).succession.close()
+                gateway.component(OperatorEndpointComponent).doors[0].close()
                 gateway.front.close()
         for thing in (*self.peers, *(c.sock for c in self.clients)):
             thing.close()
@@ -133,7 +133,7 @@
         (3, four.encode()),
     ]
     upgrade.until(lambda: not old.loop.running)
-    assert not client.closed and not other.closed and old.ledger.tally["served"] >= 2
+    assert not client.closed and not other.closed and old.tracker.totals["served"] >= 2
     other.call(2, i="55" * 8)
     upgrade.until(lambda: b"55" * 8 in upgrade.cache.poll())
 
@@ -154,7 +154,7 @@
     leaver.sock.close()
     upgrade.until(lambda: upgrade.cache.poll().count(b"abort") == 2)
     upgrade.until(lambda: not old.loop.running)
-    assert old.ledger.left == 2 and not client.answers() and not client.closed
+    assert old.tracker.disconnected == 2 and not client.answers() and not client.closed
 
 
 def test_a_second_restart_right_after_relays_the_answers_that_the_first_process_owes(upgrade):
@@ -188,7 +188,7 @@
     )
     client.call(2, i="66" * 8)
     upgrade.until(lambda: b"66" * 8 in upgrade.cache.poll())
-    assert new.pool.limits.total == split(new.config.sockets, True).stores, (
+    assert new.pool.limits.total == divide_descriptors(new.config.sockets, True).stores, (
         "the successor must get all of the limits back"
     )
 
@@ -230,7 +230,7 @@
     assert "record_unusable" in again.names() and "handover_unanswered" not in again.names()
     left = sorted(p.suffix for p in (tmp_path / "olivecourse-n0").iterdir())
     assert left == [".json", ".lock", ".sock"], "the files of dead processes must be removed"
-    again.gateway.part(UpgradePart).succession.close()
+    again.gateway.component(UpgradeComponent).succession.close()
     again.close()
 
 
@@ -240,7 +240,9 @@
     with pytest.raises(FolderUnusable):
         ProcessRecord(str(tmp_path), "n0", lambda event, **v: None)
     stage = Stage(mgmt="127.0.0.1:0", env={"TMPDIR": str(tmp_path)})
-    assert stage.gateway.part(UpgradePart).succession is None and "presence_unusable" in stage.names()
+    assert (
+        stage.gateway.component(UpgradeComponent).succession is None and "presence_unusable" in stage.names()
+    )
     stage.close()
 
 
@@ -375,7 +377,7 @@
         up.until(lambda: up.cache.poll().count(b"fetch ") == 1)
         new, came = up.follow(), []
         old.stop()
-        new.part(PeersPart).peers._emit = came.append
+        new.component(PeersComponent).peers._emit = came.append
         for n in range(20):
             peer.sendto(b"%d" % n, ("127.0.0.1", int(here.rpartition(":")[2])))
         up.until(lambda: len(came) == 20)
@@ -398,7 +400,7 @@
     loop.close()
     new, (left, right) = upgrade.follow(), socket.socketpair()
     head = {"conn": 1, "last": 1, "taken": 1, "open": [1], "in": 200_000}
-    there = new.part(UpgradePart).succession
+    there = new.component(UpgradeComponent).succession
     there.message_received(
         there._links()[0], Message(Kind.CLIENT, head, b"\0" * 200_000, with_socket=True), left
     )
@@ -478,10 +480,10 @@
 def test_a_gateway_drain_holds_in_both_processes_until_it_is_ended_in_either(upgrade):
     """Both processes count as one gateway; otherwise the successor would report that it takes work."""
     old = upgrade.all[0]
-    old.part(DoorPart).desk.set_draining(True)
+    old.component(OperatorEndpointComponent).desk.set_draining(True)
     new = upgrade.follow(status=503)
     assert new.why_not_ready() == "draining" and new.front.draining
-    new.part(DoorPart).desk.set_draining(False)
-    upgrade.until(lambda: old.takes_work() and new.takes_work())
-    new.part(DoorPart).desk.set_draining(True)
-    upgrade.until(lambda: not old.takes_work())
+    new.component(OperatorEndpointComponent).desk.set_draining(False)
+    upgrade.until(lambda: old.accepts_requests() and new.accepts_requests())
+    new.component(OperatorEndpointComponent).desk.set_draining(True)
+    upgrade.until(lambda: not old.accepts_requests())
