--- a/benchmarks/_capacity_target.py
+++ b/benchmarks/_capacity_target.py
@@ -5,7 +5,7 @@
 from olivecourse.core import descriptors
 from olivecourse.core.descriptors import MAX_CONNECTIONS_PER_STORE
 from olivecourse.net.stores import MOST_BODY
-from olivecourse.rollout.hearing import DEAD_BEATS, Hearing
+from olivecourse.rollout.liveness import MISSED_HEARTBEATS_LIMIT, LivenessTracker
 from olivecourse.sending_times import MAX_OBJECTS as MOST_SIZES
 
 GATEWAYS, SITES, STORES, REGIONS, ZONES = 7500, 470, 1100, 23, 46
@@ -48,7 +48,7 @@
         "polls_s_unpaced": PURGES_PER_S * GATEWAYS,
         "requests_counting_interval": REQUESTS_PER_S / GATEWAYS * RETUNE_S,
         "beat_period_s": beat_period_s(),
-        "death_noticed_s": DEAD_BEATS * beat_period_s(),
+        "death_noticed_s": MISSED_HEARTBEATS_LIMIT * beat_period_s(),
         "store_connections_zone_one_each": round(GATEWAYS / ZONES),
         "store_connections_zone_most": round(GATEWAYS / ZONES) * MAX_CONNECTIONS_PER_STORE,
         "store_connections_all_one_each": GATEWAYS,
@@ -63,7 +63,7 @@
 
 def beat_period_s() -> float:
     """Returns the seconds between two heartbeats of a gateway in the target's fleet."""
-    return Hearing(0, range(GATEWAYS), 0).period_ns / 1e9
+    return LivenessTracker(0, range(GATEWAYS), 0).period_ns / 1e9
 
 
 def least_sockets(connections: int) -> int:
--- a/benchmarks/_fleet.py
+++ b/benchmarks/_fleet.py
@@ -169,8 +169,8 @@
                 yaml.safe_dump({**gateway_config, "settings": "bad.json"})
             )
             if self.agree and name in self.members:
+                from olivecourse.rollout.disk import Disk
                 from olivecourse.rollout.section import read_rollout
-                from olivecourse.rollout.store import Disk
 
                 rollout_config = read_rollout(str(self.folder / f"{name}.yaml"))
                 disk = Disk(str(rollout_config.folder), name, rollout_config.read_keys()[1])
--- a/benchmarks/_virtual_agreement.py
+++ b/benchmarks/_virtual_agreement.py
@@ -1,7 +1,7 @@
 """The load of each role in the rollout agreement, for a fleet of any size, in virtual time and without I/O.
 
-Every node runs the program's own `Member`, `Agent` and `Wire`; messages are encoded and signed as on the
-network. Left out entirely: sockets, the disk, and `RolloutComponent`, which connects them to the gateway
+Every node runs the program's own `Member`, `Agent` and `DatagramCodec`; messages are encoded and signed as on
+the network. Left out entirely: sockets, the disk, and `RolloutComponent`, which connects them to the gateway
 (`store_scan_cpu_ms` measures its scan of the list of stores separately).
 
 All voting members and a sample of the other nodes run a tick every 20 ms, as in the program. The remaining
@@ -23,20 +23,26 @@
 from typing import Any
 
 from olivecourse import interface
-from olivecourse.rollout import places, releases
+from olivecourse.rollout import disruption_leases, releases
 from olivecourse.rollout.agent import Agent, Stage
 from olivecourse.rollout.budgets import Budget, Group
-from olivecourse.rollout.hearing import Beat, Service
+from olivecourse.rollout.disruption_leases import LeasePurpose, LeaseTable
+from olivecourse.rollout.liveness import Heartbeat, Service
 from olivecourse.rollout.member import Member, Setup
-from olivecourse.rollout.places import Table, Why
-from olivecourse.rollout.register import AGAIN_NS, Ballot, Learn, Recall, Slot
-from olivecourse.rollout.wire import Keys, Wire
+from olivecourse.rollout.quorum_register import (
+    RESEND_INTERVAL_NS,
+    AcceptorState,
+    Ballot,
+    Learn,
+    RecoveryRequest,
+)
+from olivecourse.rollout.wire import DatagramCodec, Keys
 
 MS, S = 1_000_000, 1_000_000_000
 TICK_NS = 20 * MS  # as in rollout/part.py
 EPOCH_NS = 1_700_000_000 * S
 MAX_DELIVERY_NS = 15 * MS  # longest delivery time of a datagram
-POLL_NS = 4 * AGAIN_NS  # interval of the polls of a node that does not vote, see `Register._rejoin`
+POLL_NS = 4 * RESEND_INTERVAL_NS  # interval of the polls of a node that does not vote, see `Register._rejoin`
 SAMPLE = 12  # ordinary nodes that run every tick and are measured
 SITE_GATEWAYS = 16  # 7,500 gateways at 470 sites
 STORES, FIRST_STORE, ZONE_STORES = "stores:zone", 100_000, 24  # 1,100 stores in 46 zones
@@ -64,7 +70,7 @@
     number: int
     member: Member
     agent: Agent
-    wire: Wire
+    wire: DatagramCodec
     meter: Meter = field(default_factory=Meter)
     inbox: list[bytes] = field(default_factory=list)
 
@@ -121,7 +127,9 @@
             node_number: f"gateways:{node_number // SITE_GATEWAYS}" for node_number in self.numbers
         }
         self._capacities = dict.fromkeys(self.numbers, 1.0)
-        self._learned = {f"gateways:{site}": places.encode(Table(2, 1)) for site in range(registers)}
+        self._learned = {
+            f"gateways:{site}": disruption_leases.encode(LeaseTable(2, 1)) for site in range(registers)
+        }
         self.period_ns = 0
         self._heartbeats_due: list[tuple[int, int]] = []
         self._polls: list[tuple[int, int]] = []
@@ -132,22 +140,26 @@
         setup = Setup(number, self.numbers, self.voters, self._offices, self._capacities, Budget(2, 0.5))
         ballot = Ballot(1, 0)
         votes = number in self.voters
-        slots = {key: Slot(ballot, ballot, value) for key, value in self._learned.items()} if votes else {}
+        acceptor_states = (
+            {key: AcceptorState(ballot, ballot, value) for key, value in self._learned.items()}
+            if votes
+            else {}
+        )
         random = Random(self.random.getrandbits(32))
-        period_ns = Member(setup, LIFE, VERSION, {}, random, self.now).hearing.period_ns if not number else 0
+        period_ns = Member(setup, LIFE, VERSION, {}, random, self.now).liveness.period_ns if not number else 0
         self.period_ns = self.period_ns or period_ns
         # Nodes start at random times. Voting members start now, because the first of them is the coordinator.
         started_at = self.now if votes else self.now + int(self.random.random() * self.period_ns)
-        member = Member(setup, LIFE, VERSION, slots, random, started_at)
+        member = Member(setup, LIFE, VERSION, acceptor_states, random, started_at)
         for key, value in self._learned.items():
             member.register.learn(Learn(key, ballot, value))
         member.service = Service.SERVES
         stores = dict.fromkeys(range(FIRST_STORE, FIRST_STORE + ZONE_STORES), 1.0)
-        member.world.groups[STORES] = Group(STORES, stores, Budget(2, 0.5))
+        member.observed_stores.groups[STORES] = Group(STORES, stores, Budget(2, 0.5))
         agent = Agent(number, self._offices[number], self.numbers, member, random, _ignore, _ignore, self.now)
         if number not in self.ticked_nodes:
             self._heartbeats_due.append((started_at, number))
-        return Node(number, member, agent, Wire(number, LIFE, self._keys))
+        return Node(number, member, agent, DatagramCodec(number, LIFE, self._keys))
 
     # Time -------------------------------------------------------------------------------------------
 
@@ -192,8 +204,8 @@
         started_at = time.process_time_ns()
         for data in inbox:
             sender, message = node.wire.decode(data)
-            meter.recalls += isinstance(message, Recall)
-            node.member.heard(sender, message, self.now)
+            meter.recalls += isinstance(message, RecoveryRequest)
+            node.member.receive(sender, message, self.now)
         node.member.tick(self.now)
         self._flush(node, outgoing)
         node.agent.tick(self.now)
@@ -207,10 +219,10 @@
             heapq.heappush(self._in_flight, (deliver_at, self._datagram_count, target, data))
 
     def _flush(self, node: Node, outgoing: list[tuple[int, bytes]]) -> None:
-        step = node.member.taken()
+        step = node.member.take_step()
         outgoing += [(target, node.wire.encode(target, message)) for target, message in step.sends]
         for handle, answer in step.done:
-            node.agent.told(handle, answer, self.now)
+            node.agent.handle_answer(handle, answer, self.now)
 
     # Measurements -----------------------------------------------------------------------------------
 
@@ -250,7 +262,7 @@
             node.meter = Meter()
         requester = self.nodes[self.sample[0]]
         started_at = self.now
-        work = requester.agent.want(STORES, FIRST_STORE, Why.DRAIN, self.now)
+        work = requester.agent.request_lease(STORES, FIRST_STORE, LeasePurpose.DRAIN, self.now)
         while work.stage is not Stage.OUT and self.now - started_at < 5 * S:
             self.turn()
         if work.stage is not Stage.OUT:
@@ -304,10 +316,10 @@
         node = self.nodes[number]
         for other in self.nodes:
             if other is not node:
-                beat = Beat(LIFE, Service.SERVES, VERSION, 10**9, 10**6, 0)
+                beat = Heartbeat(LIFE, Service.SERVES, VERSION, 10**9, 10**6, 0)
                 sender, message = node.wire.decode(other.wire.encode(number, beat))
-                node.member.heard(sender, message, self.now)
-        node.member.taken()
+                node.member.receive(sender, message, self.now)
+        node.member.take_step()
 
 
 def _ignore(item: int) -> None:
@@ -352,16 +364,16 @@
 
 
 def release_tick_cpu_ms(nodes: int) -> float:
-    """Measures `releases.may_go`, which a gateway that waits for its wave of a release calls every 20 ms."""
+    """Measures `releases.should_request_lease`, called every 20 ms by a gateway that waits for its wave."""
     release, fleet = _release(), tuple(range(nodes))
-    return _cpu_ms(lambda: releases.may_go(release, fleet, nodes // 2, VERSION))
+    return _cpu_ms(lambda: releases.should_request_lease(release, fleet, nodes // 2, VERSION))
 
 
 def release_steer_cpu_ms(nodes: int) -> float:
     """Measures `releases.through`, which the coordinator calls every 250 ms, with a complete wave."""
     release, fleet = _release(), tuple(range(nodes))
-    seen = dict.fromkeys(fleet, releases.Seen("v2", True))
-    return _cpu_ms(lambda: releases.through(release, fleet, seen))
+    seen = dict.fromkeys(fleet, releases.GatewayStatus("v2", True))
+    return _cpu_ms(lambda: releases.wave_complete(release, fleet, seen))
 
 
 def checksum_cpu_ms(registers: int) -> float:
@@ -369,12 +381,14 @@
     setup = Setup(0, (0, 1), (0,), {0: "gateways:0", 1: "gateways:0"}, {0: 1.0, 1: 1.0}, Budget())
     member = Member(setup, LIFE, VERSION, {}, Random(1), EPOCH_NS)
     for number in range(registers):
-        member.register.learn(Learn(f"gateways:{number}", Ballot(1, 0), places.encode(Table(2, 1))))
+        member.register.learn(
+            Learn(f"gateways:{number}", Ballot(1, 0), disruption_leases.encode(LeaseTable(2, 1)))
+        )
     return _cpu_ms(member._checksum)
 
 
 def store_scan_cpu_ms(stores: int) -> float:
-    """Measures `RolloutComponent._see_stores` for stores in 46 zones; every gateway calls it every 100 ms."""
+    """Measures `RolloutComponent._refresh_stores` for stores in 46 zones, which runs every 100 ms."""
     from olivecourse.rollout.part import RolloutComponent
 
     ready, names = (
@@ -394,10 +408,10 @@
     )
     part: Any = types.SimpleNamespace(
         gateway=gateway,
-        member=types.SimpleNamespace(world=types.SimpleNamespace()),
-        _left=set(),
+        member=types.SimpleNamespace(observed_stores=types.SimpleNamespace()),
+        _leased_out_stores=set(),
         config=types.SimpleNamespace(
             section=types.SimpleNamespace(budgets=types.SimpleNamespace(hubs=budget, stores=budget))
         ),
     )
-    return _cpu_ms(lambda: RolloutComponent._see_stores(part, EPOCH_NS))
+    return _cpu_ms(lambda: RolloutComponent._refresh_stores(part, EPOCH_NS))
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -19,7 +19,7 @@
 from benchmarks import _charts
 from benchmarks._fleet import Fleet
 from olivecourse.emulator.faults import draw
-from olivecourse.modelcheck import places as model
+from olivecourse.modelcheck import lease_model as model
 
 SCRIPT_S = 2.5  # length of a fault script
 SETTLE_S = 12.0  # a run has failed to end if a store is still leased out after this time
@@ -227,9 +227,9 @@
         for member in nodes:
             arrived_messages, inbox[member.setup.me] = inbox[member.setup.me], []
             for sender, message in arrived_messages:
-                member.heard(sender, message, now)
+                member.receive(sender, message, now)
             member.tick(now)
-            for target, message in member.taken().sends:
+            for target, message in member.take_step().sends:
                 sent += 1
                 inbox[target].append((member.setup.me, message))
     return sent / 5.0 / members
--- a/olivecourse/modelcheck/places.py
+++ b/olivecourse/modelcheck/lease_model.py
@@ -21,11 +21,25 @@
 import msgspec
 
 from olivecourse.modelcheck.explorer import SearchResult, explore, random_walks
-from olivecourse.rollout import places, releases
+from olivecourse.rollout import disruption_leases, releases
 from olivecourse.rollout.budgets import Budget, Group
+from olivecourse.rollout.disruption_leases import (
+    Answer,
+    LeaseAction,
+    LeaseOperation,
+    LeasePurpose,
+    Outcome,
+    View,
+)
 from olivecourse.rollout.member import is_fenced
-from olivecourse.rollout.places import Answer, LeaseAction, LeaseOperation, Outcome, View, Why
-from olivecourse.rollout.register import Ballot, BallotRound, Learn, QuorumRegisters, Slot, Step
+from olivecourse.rollout.quorum_register import (
+    AcceptorState,
+    Ballot,
+    BallotRound,
+    Learn,
+    QuorumRegisters,
+    Step,
+)
 from olivecourse.rollout.releases import Command, CommandReply, CommandRequest, Plan, Release, State
 
 KEY = "gateways"
@@ -56,7 +70,7 @@
 
     def __init__(
         self,
-        why: Why = Why.DRAIN,
+        why: LeasePurpose = LeasePurpose.DRAIN,
         halts: bool = False,
         fault: str = "",
         crashes: int = 1,
@@ -74,12 +88,14 @@
         already has a lease in phase GRANTED."""
         self.why, self.halts, self.fault = why, halts, fault
         self.remaining = {"crash": crashes, "twice": twice, "end": ends, "reclaim": reclaims, "ask": asks}
-        release = {releases.KEY: Slot(value=releases.encode(RUNNING))}
+        release = {releases.KEY: AcceptorState(value=releases.encode(RUNNING))}
         self.crashable = crashable
         if granted:
-            table = places.Table(1, 2, (places.Lease(0, 0, 1, places.Phase.GRANTED, why, 0),))
-            release[KEY] = Slot(Ballot(1, 0), Ballot(1, 0), places.encode(table))
-        self.disks: list[dict[str, Slot]] = [dict(release) for _ in range(3)]
+            table = disruption_leases.LeaseTable(
+                1, 2, (disruption_leases.Lease(0, 0, 1, disruption_leases.Phase.GRANTED, why, 0),)
+            )
+            release[KEY] = AcceptorState(Ballot(1, 0), Ballot(1, 0), disruption_leases.encode(table))
+        self.disks: list[dict[str, AcceptorState]] = [dict(release) for _ in range(3)]
         self.nodes = [self._boot(n) for n in range(3)]
         self.net: tuple[tuple[int, int, Any], ...] = ()
         # Stages of an item: in (service), requesting, granted, activating, confirmed, out, back.
@@ -108,16 +124,16 @@
             NoDelays(),
             lambda key, value: False,
         )
-        for key, slot in register.slots.items():
-            if slot.value:
-                register.learn(Learn(key, slot.accepted, slot.value))
+        for key, acceptor_state in register.acceptor_states.items():
+            if acceptor_state.value:
+                register.learn(Learn(key, acceptor_state.accepted, acceptor_state.value))
         return register
 
     def _bind(self, node: QuorumRegisters) -> None:
         """Binds the callbacks of a copied member to the copy, so that it decides by the copy's register
         states."""
         node._apply_operations = lambda key, value, ops, out: self._apply_at(node, key, value, ops)
-        node._fence = lambda key, value: is_fenced(node.slots, key, value)
+        node._fence = lambda key, value: is_fenced(node.acceptor_states, key, value)
 
     def _apply_operations(
         self, key: str, value: bytes, ops: Sequence[Any], out: frozenset[int]
@@ -136,8 +152,8 @@
         release = releases.decode(known[1]) if known else RUNNING
         view = View(GROUP, frozenset(), release.term, release.halted, lambda holder: True)
         if self.fault == "rollback over budget":
-            ops = [msgspec.structs.replace(op, forced=op.why is Why.ROLLBACK) for op in ops]
-        after, answers = places.apply_batch(value, ops, view)
+            ops = [msgspec.structs.replace(op, forced=op.why is LeasePurpose.ROLLBACK) for op in ops]
+        after, answers = disruption_leases.apply_batch(value, ops, view)
         if self.fault == "no fencing":
             answers = [
                 Answer(Outcome.DONE, a.token) if op.action is LeaseAction.ACTIVATE else a
@@ -165,8 +181,8 @@
         """Copies the agreement state of one member, without sharing any mutable part."""
         copied = copy(node)
         copied.step = Step()
-        copied.slots, copied.learned, copied._highest_counts = (
-            dict(node.slots),
+        copied.acceptor_states, copied.learned, copied._highest_counts = (
+            dict(node.acceptor_states),
             dict(node.learned),
             dict(node._highest_counts),
         )
@@ -188,7 +204,7 @@
     def _execute(self, number: int) -> None:
         """Carries out the effects of member `number`: first the disk writes, then the messages, then the
         answers."""
-        step = self.nodes[number].taken()
+        step = self.nodes[number].take_step()
         self.disks[number].update(step.durable)
         sends = [
             (number, target, message)
@@ -293,7 +309,7 @@
         successor = self._copy()
         successor.stage[item] = "out"
         successor.started_after_halt = successor.started_after_halt or (
-            item in self.asked_after_halt and self.why is Why.RELEASE
+            item in self.asked_after_halt and self.why is LeasePurpose.RELEASE
         )
         return successor
 
@@ -334,7 +350,7 @@
             successor.remaining["twice"] -= 1
         else:
             successor.net = successor.net[:i] + successor.net[i + 1 :]
-        successor.nodes[target].heard(source, message, 0)
+        successor.nodes[target].receive(source, message, 0)
         successor._execute(target)
         return successor
 
@@ -345,10 +361,10 @@
         successor.remaining["crash"] -= 1
         if self.fault == FAULTS[1]:
             successor.disks[number] = {
-                k: Slot(s.accepted, s.accepted, s.value) for k, s in successor.disks[number].items()
+                k: AcceptorState(s.accepted, s.accepted, s.value) for k, s in successor.disks[number].items()
             }
         if self.fault == FAULTS[3]:
-            successor.disks[number][releases.KEY] = Slot(value=releases.encode(RUNNING))
+            successor.disks[number][releases.KEY] = AcceptorState(value=releases.encode(RUNNING))
         successor.nodes[number] = successor._boot(number)
         successor._bind(successor.nodes[number])
         successor.handles = {k: v for k, v in successor.handles.items() if k[0] != number}
@@ -392,7 +408,7 @@
         """Returns a hash of everything in this state that influences its further transitions."""
         nodes = tuple(
             (
-                tuple(sorted(n.slots.items())),
+                tuple(sorted(n.acceptor_states.items())),
                 tuple(sorted(n._highest_counts.items())),
                 tuple(sorted((k, b, v) for k, (b, v) in n.learned.items())),
                 tuple(
@@ -432,8 +448,8 @@
     FAULTS[0]: {"granted": True, "crashes": 0, "ends": 0, "asks": 0},
     FAULTS[1]: {"crashable": (2,), "ends": 0, "reclaims": 0, "asks": 0},
     FAULTS[2]: {"granted": True, "crashes": 0, "ends": 0, "asks": 0},
-    FAULTS[3]: {"halts": True, "why": Why.RELEASE, "ends": 0, "reclaims": 0, "asks": 0},
-    FAULTS[4]: {"why": Why.ROLLBACK, "crashes": 0, "ends": 0, "reclaims": 0, "asks": 0},
+    FAULTS[3]: {"halts": True, "why": LeasePurpose.RELEASE, "ends": 0, "reclaims": 0, "asks": 0},
+    FAULTS[4]: {"why": LeasePurpose.ROLLBACK, "crashes": 0, "ends": 0, "reclaims": 0, "asks": 0},
 }
 WIDE_BOUNDS: dict[str, Any] = {"crashes": 2, "twice": 2, "ends": 3, "reclaims": 2, "asks": 3}
 
@@ -450,7 +466,11 @@
     states of the correct code as `model_states`, and the numbers of planted and found faults as `planted` and
     `planted_found`. Raises AssertionError with the trace if the correct code violates an invariant."""
     max_states, seconds = (600, 0.5) if short else (60_000, 25.0)
-    scenarios: tuple[dict[str, Any], ...] = ({}, {"why": Why.RELEASE, "halts": True}, {"why": Why.ROLLBACK})
+    scenarios: tuple[dict[str, Any], ...] = (
+        {},
+        {"why": LeasePurpose.RELEASE, "halts": True},
+        {"why": LeasePurpose.ROLLBACK},
+    )
     states = 0
     for bounds in NARROW_BOUNDS.values():
         states += _require_no_violation(explore(Model(**bounds), max_states, seconds))
--- a/olivecourse/rollout/agent.py
+++ b/olivecourse/rollout/agent.py
@@ -17,7 +17,16 @@
 from typing import Protocol
 
 from olivecourse.rollout import releases
-from olivecourse.rollout.places import Answer, Lease, LeaseAction, LeaseOperation, Outcome, Phase, Table, Why
+from olivecourse.rollout.disruption_leases import (
+    Answer,
+    Lease,
+    LeaseAction,
+    LeaseOperation,
+    LeasePurpose,
+    LeaseTable,
+    Outcome,
+    Phase,
+)
 from olivecourse.rollout.releases import CommandReply, CommandRequest, Release, State
 
 MS, S = 1_000_000, 1_000_000_000
@@ -37,9 +46,9 @@
     @property
     def halted(self) -> bool: ...
 
-    def table(self, key: str) -> Table: ...
+    def table(self, key: str) -> LeaseTable: ...
 
-    def tables(self) -> dict[str, Table]: ...
+    def tables(self) -> dict[str, LeaseTable]: ...
 
     def submit(self, key: str, operation: LeaseOperation | CommandRequest, now: int) -> int: ...
 
@@ -63,7 +72,7 @@
 
     key: str
     item: int
-    why: Why
+    why: LeasePurpose
     forced: bool = False
     stage: Stage = Stage.WANTED
     token: int = 0
@@ -102,7 +111,7 @@
 
     # Requests -----------------------------------------------------------------------------------------
 
-    def want(self, key: str, item: int, why: Why, now: int, forced: bool = False) -> Work:
+    def request_lease(self, key: str, item: int, why: LeasePurpose, now: int, forced: bool = False) -> Work:
         """Starts to request a lease for an item of group `key`, and returns its `Work`. A repeated call for
         the same item returns the same `Work`, until the item is on its way back."""
         work = self.works.get(item)
@@ -169,7 +178,7 @@
         work, release = self.works.get(self.me), self._member.release
         if work is None:
             leftover = self._member.table(self.key).lease_of(self.me)
-            if leftover is not None and leftover.holder == self.me and leftover.why is not Why.DRAIN:
+            if leftover is not None and leftover.holder == self.me and leftover.why is not LeasePurpose.DRAIN:
                 work = self.works[self.me] = self._adopt(self.key, leftover)
                 if work.stage is Stage.GRANTED:  # the earlier process ended before the gateway went out
                     self._forget(work, now)
@@ -177,14 +186,20 @@
                     work.stage = Stage.BACK
                 return
         allowed = (
-            releases.may_go(release, self._fleet, self.me, self._member.version) and not self._member.halted
+            releases.should_request_lease(release, self._fleet, self.me, self._member.version)
+            and not self._member.halted
         )
         if work is None and allowed:
             if now >= self._next_own_request_at:
-                why = Why.ROLLBACK if release.state is State.ROLLING_BACK else Why.RELEASE
-                work = self.want(self.key, self.me, why, now)
+                why = LeasePurpose.ROLLBACK if release.state is State.ROLLING_BACK else LeasePurpose.RELEASE
+                work = self.request_lease(self.key, self.me, why, now)
                 work.next_attempt_at = now + int(RELEASE_JITTER_NS * self._random.random())
-        elif work is not None and work.why is not Why.DRAIN and work.stage is not Stage.BACK and not allowed:
+        elif (
+            work is not None
+            and work.why is not LeasePurpose.DRAIN
+            and work.stage is not Stage.BACK
+            and not allowed
+        ):
             # The release was halted or no longer concerns this gateway, and its process has not been replaced
             # yet: the gateway stays in service, or returns to service with its current version.
             self._next_own_request_at = now + RETRY_NS
@@ -218,7 +233,7 @@
         )
         work.handle = self._member.submit(work.key, operation, now)
 
-    def told(self, handle: int, answer: Answer | CommandReply | None, now: int) -> bool:
+    def handle_answer(self, handle: int, answer: Answer | CommandReply | None, now: int) -> bool:
         """Handles the answer to a submitted operation (None: outcome unknown); returns whether `handle`
         belongs to the open request of one of this agent's items."""
         work = next((w for w in self.works.values() if w.handle == handle), None)
@@ -265,7 +280,7 @@
             work is None
             or work.stage is not Stage.OUT
             or not work.activation_confirmed
-            or work.why is Why.DRAIN
+            or work.why is LeasePurpose.DRAIN
         ):
             return ""
         return "" if self._member.halted else self._member.release.version
--- a/olivecourse/rollout/commands.py
+++ b/olivecourse/rollout/commands.py
@@ -151,8 +151,8 @@
     """Initialize the folder of a voting member of a new fleet. Run this once for each member, and never for a
     member that replaces another one: a replacement recovers the state of the others by itself."""
     from olivecourse.config.sections import InvalidSection
+    from olivecourse.rollout.disk import Disk, FolderUnusable
     from olivecourse.rollout.section import read_rollout
-    from olivecourse.rollout.store import Disk, FolderUnusable
 
     try:
         config = read_rollout(operator)
--- a/olivecourse/rollout/store.py
+++ b/olivecourse/rollout/disk.py
@@ -19,7 +19,7 @@
 import msgspec
 from blake3 import blake3
 
-from olivecourse.rollout.register import Slot
+from olivecourse.rollout.quorum_register import AcceptorState
 
 MAP_BYTES = 16 * 2**20  # upper bound of the size of the LMDB environment
 MARKER_KEY, LAST_ALIVE_KEY = b"member", b"seen"  # names of the records of the marker and the time stamp
@@ -95,10 +95,10 @@
             txn.put(LAST_ALIVE_KEY, self._seal(LAST_ALIVE_KEY, msgspec.msgpack.encode(unix_s)))
         self._env.sync(True)
 
-    def load(self) -> dict[str, Slot] | None:
+    def load(self) -> dict[str, AcceptorState] | None:
         """Returns the acceptor state of this member by register key, or None if the folder has no marker.
         Raises CorruptRecord."""
-        slots: dict[str, Slot] = {}
+        acceptor_states: dict[str, AcceptorState] = {}
         try:
             with self._env.begin() as txn:
                 marker = txn.get(MARKER_KEY)
@@ -110,10 +110,12 @@
                     raise CorruptRecord("the folder is another member's, or of another form")
                 for name, data in txn.cursor():
                     if name not in (MARKER_KEY, LAST_ALIVE_KEY):
-                        slots[name[1:].decode()] = msgspec.msgpack.decode(self._open(name, data), type=Slot)
+                        acceptor_states[name[1:].decode()] = msgspec.msgpack.decode(
+                            self._open(name, data), type=AcceptorState
+                        )
         except (msgspec.MsgspecError, UnicodeDecodeError, lmdb.Error) as error:
             raise CorruptRecord(str(error)) from None
-        return slots
+        return acceptor_states
 
     def is_stale(self, unix_s: int) -> bool:
         """Returns whether the time stamp that a running member keeps in the folder is unreadable or missing,
@@ -129,19 +131,19 @@
             return True
         return not unix_s - STALE_AFTER_S <= seen <= unix_s + STALE_AFTER_S
 
-    def write(self, slots: dict[str, Slot], unix_s: int) -> None:
+    def write(self, acceptor_states: dict[str, AcceptorState], unix_s: int) -> None:
         """Writes the acceptor state of these registers and the time stamp; both are durable on return. Raises
         OSError or lmdb.Error, after which no message that depends on them may be sent."""
         with self._env.begin(write=True) as txn:
             txn.put(LAST_ALIVE_KEY, self._seal(LAST_ALIVE_KEY, msgspec.msgpack.encode(unix_s)))
-            for key, slot in slots.items():
+            for key, acceptor_state in acceptor_states.items():
                 name = b"k" + key.encode()
-                txn.put(name, self._seal(name, msgspec.msgpack.encode(slot)))
+                txn.put(name, self._seal(name, msgspec.msgpack.encode(acceptor_state)))
 
-    def write_recovered(self, slots: dict[str, Slot], unix_s: int) -> None:
+    def write_recovered(self, acceptor_states: dict[str, AcceptorState], unix_s: int) -> None:
         """Initializes the folder of a member that has recovered, and writes the complete recovered state."""
         self.init(unix_s)
-        self.write(slots, unix_s)
+        self.write(acceptor_states, unix_s)
 
     def close(self) -> None:
         """Closes the LMDB environment and releases the lock."""
--- a/olivecourse/rollout/places.py
+++ b/olivecourse/rollout/disruption_leases.py
@@ -31,7 +31,7 @@
     BACK = 2
 
 
-class Why(IntEnum):
+class LeasePurpose(IntEnum):
     """The purpose of a lease: an operator's drain, a release, or the rollback of a release."""
 
     DRAIN = 0
@@ -48,7 +48,7 @@
     holder: int
     token: int
     phase: Phase
-    why: Why
+    why: LeasePurpose
     since: int
 
 
@@ -58,11 +58,11 @@
 
     item: int
     holder: int
-    why: Why
+    why: LeasePurpose
     since: int
 
 
-class Table(msgspec.Struct, frozen=True, array_like=True):
+class LeaseTable(msgspec.Struct, frozen=True, array_like=True):
     """The leases of one group, and the requests that wait for one in order of arrival. `token` is the last
     fencing token issued. `release_term` is the newest term of the release known to any member that has
     changed the table; `member.is_fenced` compares it with the term that a voter knows."""
@@ -97,7 +97,7 @@
     item: int
     holder: int = 0
     token: int = 0
-    why: Why = Why.DRAIN
+    why: LeasePurpose = LeasePurpose.DRAIN
     forced: bool = False
     release_term: int = 0
     since: int = 0
@@ -129,7 +129,7 @@
 class View:
     """What the member that runs the ballot knows at that moment: the group, the items out of service as the
     voters see them, the term of the release and whether it is halted, and, by `silent(holder)`, whether the
-    heartbeats of a holder have stopped for longer than the detection time (`Hearing.silent`)."""
+    heartbeats of a holder have stopped for longer than the detection time (`LivenessTracker.silent`)."""
 
     group: Group
     out: Collection[int]
@@ -138,22 +138,22 @@
     silent: Callable[[int], bool] = lambda holder: False
 
 
-def encode(table: Table) -> bytes:
+def encode(table: LeaseTable) -> bytes:
     """Encodes a lease table as a register value."""
     return msgspec.msgpack.encode(table)
 
 
-def decode(value: bytes) -> Table:
+def decode(value: bytes) -> LeaseTable:
     """Decodes a register value into a lease table; an empty value is an empty table. Raises ValueError."""
     if not value:
-        return Table()
+        return LeaseTable()
     try:
-        return msgspec.msgpack.decode(value, type=Table)
+        return msgspec.msgpack.decode(value, type=LeaseTable)
     except msgspec.MsgspecError as error:
         raise ValueError(str(error)) from None
 
 
-def apply_operation(table: Table, op: LeaseOperation, view: View) -> tuple[Table, Answer]:
+def apply_operation(table: LeaseTable, op: LeaseOperation, view: View) -> tuple[LeaseTable, Answer]:
     """Returns the table after one operation, and the answer to it. A change that makes the encoded table
     larger than MAX_VALUE_BYTES is refused. Operations are idempotent."""
     after, answer = HANDLERS[op.action](table, op, view)
@@ -175,26 +175,26 @@
     return encode(table), answers
 
 
-def starts_release_work(new: Table, old: Table) -> bool:
+def starts_release_work(new: LeaseTable, old: LeaseTable) -> bool:
     """Returns whether `new` has a lease for a release that was granted, or moved from GRANTED to OUT, since
     the table `old`."""
     for lease in new.leases:
         current = old.lease_of(lease.item)
         new_lease = current is None or current.token != lease.token
-        if lease.why is Why.RELEASE and (
+        if lease.why is LeasePurpose.RELEASE and (
             new_lease or current is not None and (lease.phase is Phase.OUT and current.phase is Phase.GRANTED)
         ):
             return True
     return False
 
 
-def items_out(table: Table, view: View) -> set[int]:
+def items_out(table: LeaseTable, view: View) -> set[int]:
     """All items of the group that are out of service, or hold a lease and may go out of service at any
     moment. The budget counts these."""
     return {p.item for p in table.leases} | set(view.out)
 
 
-def _refusal(table: Table, reason: str) -> Answer:
+def _refusal(table: LeaseTable, reason: str) -> Answer:
     """A refusal for this reason. It names the holder of the oldest lease of the group, if there is one, for
     the operator to see who is in the way."""
     oldest = min(table.leases, key=lambda p: p.since, default=None)
@@ -203,7 +203,7 @@
     return Answer(Outcome.REFUSED, reason=reason, holder=oldest.holder, since=oldest.since)
 
 
-def _acquire(table: Table, op: LeaseOperation, view: View) -> tuple[Table, Answer]:
+def _acquire(table: LeaseTable, op: LeaseOperation, view: View) -> tuple[LeaseTable, Answer]:
     """Grants a lease to the holder if the group's budget and the requests queued before allow it; otherwise
     queues or refuses the request."""
     current = table.lease_of(op.item)
@@ -213,7 +213,7 @@
         return table, Answer(
             Outcome.REFUSED, reason="has a place already", holder=current.holder, since=current.since
         )
-    if op.why is Why.RELEASE and (view.halted or op.release_term < view.release_term):
+    if op.why is LeasePurpose.RELEASE and (view.halted or op.release_term < view.release_term):
         return table, Answer(Outcome.REFUSED, reason="the release is halted")
     if op.item not in view.group.capacity:
         return table, Answer(Outcome.REFUSED, reason="not listed")
@@ -229,7 +229,7 @@
             token = table.token + 1
             lease = Lease(op.item, op.holder, token, Phase.GRANTED, op.why, op.since)
             remaining_queue = tuple(w for w in table.queue if w.item != op.item)
-            return Table(token, table.release_term, (*table.leases, lease), remaining_queue), Answer(
+            return LeaseTable(token, table.release_term, (*table.leases, lease), remaining_queue), Answer(
                 Outcome.DONE, token
             )
     if op.forced or "last one" in reason:
@@ -244,7 +244,7 @@
     )
 
 
-def _activate(table: Table, op: LeaseOperation, view: View) -> tuple[Table, Answer]:
+def _activate(table: LeaseTable, op: LeaseOperation, view: View) -> tuple[LeaseTable, Answer]:
     """Moves a granted lease to phase OUT, after checking again that the token is current, that the release is
     not halted, and that the budget still allows it. The holder takes the item out of service only after
     this."""
@@ -253,7 +253,7 @@
         return table, Answer(Outcome.FENCED, reason="the place was given to another or taken back")
     if current.phase is not Phase.GRANTED:
         return table, Answer(Outcome.DONE, current.token)
-    if current.why is Why.RELEASE and (view.halted or op.release_term < view.release_term):
+    if current.why is LeasePurpose.RELEASE and (view.halted or op.release_term < view.release_term):
         return _without(table, current), Answer(Outcome.REFUSED, reason="the release is halted")
     others = {p.item for p in table.leases if p is not current} | set(view.out)
     # Other items may have failed since the grant and used up the budget. An item that still serves then loses
@@ -265,12 +265,12 @@
     return msgspec.structs.replace(table, leases=leases), Answer(Outcome.DONE, current.token)
 
 
-def _without(table: Table, lease: Lease) -> Table:
+def _without(table: LeaseTable, lease: Lease) -> LeaseTable:
     """The table without one of its leases."""
     return msgspec.structs.replace(table, leases=tuple(p for p in table.leases if p is not lease))
 
 
-def _free(table: Table, op: LeaseOperation, view: View) -> tuple[Table, Answer]:
+def _free(table: LeaseTable, op: LeaseOperation, view: View) -> tuple[LeaseTable, Answer]:
     """Ends a lease. Refused while its item is still out of service or cold, unless the item has not gone out
     under this lease (phase GRANTED) or an operator forces it."""
     current = table.lease_of(op.item)
@@ -283,7 +283,7 @@
     return _without(table, current), Answer(Outcome.DONE)
 
 
-def _restore(table: Table, op: LeaseOperation, view: View) -> tuple[Table, Answer]:
+def _restore(table: LeaseTable, op: LeaseOperation, view: View) -> tuple[LeaseTable, Answer]:
     """Moves a lease to phase BACK, since the work on its item is done and the item receives requests
     again."""
     current = table.lease_of(op.item)
@@ -296,7 +296,7 @@
     return msgspec.structs.replace(table, leases=leases), Answer(Outcome.DONE, current.token)
 
 
-def _cancel(table: Table, op: LeaseOperation, view: View) -> tuple[Table, Answer]:
+def _cancel(table: LeaseTable, op: LeaseOperation, view: View) -> tuple[LeaseTable, Answer]:
     """Withdraws the holder's queued request for the item, and its lease if that is in phase GRANTED. A lease
     in phase OUT or BACK stays."""
     current = table.lease_of(op.item)
@@ -308,7 +308,7 @@
     return table, Answer(Outcome.DONE)
 
 
-def _reclaim(table: Table, op: LeaseOperation, view: View) -> tuple[Table, Answer]:
+def _reclaim(table: LeaseTable, op: LeaseOperation, view: View) -> tuple[LeaseTable, Answer]:
     """Cleans up after a holder whose heartbeats have stopped (`view.silent`): removes all its queued
     requests, and its lease of the item if that is in phase GRANTED, in which the item still serves. A lease
     in phase OUT or BACK stays, since work on the item may be in progress."""
@@ -336,7 +336,7 @@
 
 
 def cleanup_operations(
-    table: Table, silent: Callable[[int], bool], out: Collection[int]
+    table: LeaseTable, silent: Callable[[int], bool], out: Collection[int]
 ) -> list[LeaseOperation]:
     """Operations that any gateway may submit on behalf of failed holders. They reclaim queued requests and
     leases in phase GRANTED of holders whose heartbeats have stopped (`silent`). They free leases in phase
--- a/olivecourse/rollout/hearing.py
+++ b/olivecourse/rollout/liveness.py
@@ -20,7 +20,7 @@
 BASE_FLEET_SIZE = 16
 # A gateway counts as silent after this many heartbeat periods without a heartbeat. With 10 % datagram loss,
 # all of 8 heartbeats of a running gateway are lost with a probability of 1 in 10^8.
-DEAD_BEATS = 8
+MISSED_HEARTBEATS_LIMIT = 8
 
 
 class Service(IntEnum):
@@ -32,7 +32,7 @@
     DRAINS = 2
 
 
-class Beat(msgspec.Struct, frozen=True, array_like=True):
+class Heartbeat(msgspec.Struct, frozen=True, array_like=True):
     """A heartbeat. `incarnation` is the Unix time at which the sender's process started, in milliseconds.
     `ended` and `bad` count all client requests that have ended in this process, and those that ended badly.
     `learned_checksum` covers the register values that the sender has learned; `halted_term` is the term of
@@ -52,13 +52,13 @@
     """The last heartbeat of one gateway, the local time of its arrival in nanoseconds, and the values of its
     request counters that later values are measured from."""
 
-    heartbeat: Beat
+    heartbeat: Heartbeat
     received_at: int
     ended: int  # the heartbeat counter's value from which requests are counted; `bad` likewise
     bad: int
 
 
-class Hearing:
+class LivenessTracker:
     """The heartbeats received from all gateways of the fleet, as kept by gateway `me`. `fleet` has the
     numbers of all gateways, and `now` is the time of the local clock in nanoseconds."""
 
@@ -68,7 +68,7 @@
         self._since = now
         self._records: dict[int, PeerRecord] = {}
 
-    def heard(self, sender: int, heartbeat: Beat, now: int) -> None:
+    def receive(self, sender: int, heartbeat: Heartbeat, now: int) -> None:
         """Records a received heartbeat; one of an earlier process of the sender is ignored."""
         record = self._records.get(sender)
         if record is not None and heartbeat.incarnation < record.heartbeat.incarnation:
@@ -99,18 +99,18 @@
             else (record.heartbeat.ended - record.ended, record.heartbeat.bad - record.bad)
         )
 
-    def heartbeat(self, node: int) -> Beat | None:
+    def heartbeat(self, node: int) -> Heartbeat | None:
         """The last heartbeat of `node`, or None if none has been received."""
         record = self._records.get(node)
         return None if record is None else record.heartbeat
 
     def silent(self, node: int, now: int) -> bool:
-        """Returns whether the last heartbeat of `node` arrived more than DEAD_BEATS heartbeat periods ago.
-        For a gateway that was never heard, the time counts from the start of this process. The local gateway
-        is never silent."""
+        """Returns whether the last heartbeat of `node` arrived more than MISSED_HEARTBEATS_LIMIT heartbeat
+        periods ago. For a gateway that was never heard, the time counts from the start of this
+        process. The local gateway is never silent."""
         record = self._records.get(node)
         since = self._since if record is None else record.received_at
-        return node != self.me and now - since > DEAD_BEATS * self.period_ns
+        return node != self.me and now - since > MISSED_HEARTBEATS_LIMIT * self.period_ns
 
     def unavailable(self, node: int, now: int) -> bool:
         """Returns whether `node` is silent (see `silent`), draining or cold, or has never sent a heartbeat;
--- a/olivecourse/rollout/member.py
+++ b/olivecourse/rollout/member.py
@@ -15,11 +15,11 @@
 
 import msgspec
 
-from olivecourse.rollout import places, releases
+from olivecourse.rollout import disruption_leases, releases
 from olivecourse.rollout.budgets import Budget, Group
-from olivecourse.rollout.hearing import Beat, Hearing, Service
-from olivecourse.rollout.places import Answer, LeaseOperation, Outcome, View
-from olivecourse.rollout.register import Learn, QuorumRegisters, Slot, Step
+from olivecourse.rollout.disruption_leases import Answer, LeaseOperation, Outcome, View
+from olivecourse.rollout.liveness import Heartbeat, LivenessTracker, Service
+from olivecourse.rollout.quorum_register import AcceptorState, Learn, QuorumRegisters, Step
 from olivecourse.rollout.releases import Command, CommandReply, CommandRequest, Release, State
 
 MS, S = 1_000_000, 1_000_000_000
@@ -129,26 +129,26 @@
         setup: Setup,
         incarnation: int,
         version: str,
-        slots: dict[str, Slot],
+        acceptor_states: dict[str, AcceptorState],
         random: Random,
         now: int,
         votes: bool = True,
     ) -> None:
         """`incarnation` is the Unix time of the process start in milliseconds. `version` is the program
-        version that this process runs. `votes` says whether the slots may be trusted for voting; see
-        `QuorumRegisters`."""
+        version that this process runs. `votes` says whether the acceptor states may be trusted for voting;
+        see `QuorumRegisters`."""
         self.setup, self.incarnation, self.version, self._random = setup, incarnation, version, random
-        self.hearing = Hearing(setup.me, setup.fleet, now)
+        self.liveness = LivenessTracker(setup.me, setup.fleet, now)
         self._peers = [node for node in setup.fleet if node != setup.me]
         self._office_nodes: dict[str, list[int]] = {}
         for node, office in setup.offices.items():
             self._office_nodes.setdefault(office, []).append(node)
-        self.world = ObservedStores()
+        self.observed_stores = ObservedStores()
         self.service, self.ended, self.bad = Service.COLD, 0, 0
         self.register = QuorumRegisters(
             setup.me,
             setup.members,
-            slots,
+            acceptor_states,
             self._apply_operations,
             random,
             self._fenced,
@@ -175,9 +175,9 @@
     def _learn_accepted_values(self) -> None:
         """At the start, treats values that this member has accepted as learned. A majority may not have
         accepted them, but taking them into account can only make this gateway more cautious."""
-        for key, slot in self.register.slots.items():
-            if slot.value:
-                self.register.learn(Learn(key, slot.accepted, slot.value))
+        for key, acceptor_state in self.register.acceptor_states.items():
+            if acceptor_state.value:
+                self.register.learn(Learn(key, acceptor_state.accepted, acceptor_state.value))
 
     def _learned_value(self, key: str) -> bytes:
         """The newest value of register `key` known to this gateway; empty if there is none."""
@@ -196,18 +196,18 @@
         release = self.release
         return release.halted or 0 < release.term <= self.halted_term
 
-    def table(self, key: str) -> places.Table:
+    def table(self, key: str) -> disruption_leases.LeaseTable:
         """The newest lease table known to this gateway for the group with this key."""
-        return places.decode(self._learned_value(key))
+        return disruption_leases.decode(self._learned_value(key))
 
-    def tables(self) -> dict[str, places.Table]:
+    def tables(self) -> dict[str, disruption_leases.LeaseTable]:
         """The newest lease tables known to this gateway, by group key."""
         return {key: self.table(key) for key in self.register.learned if key != releases.KEY}
 
     def group(self, key: str) -> Group:
         """The group with this key, with capacities and budget: stores as this gateway observes them, or the
         gateways of an office."""
-        store_group = self.world.groups.get(key)
+        store_group = self.observed_stores.groups.get(key)
         if store_group is not None:
             return store_group
         office_nodes = {n: self.setup.capacities.get(n, 1.0) for n in self._office_nodes.get(key, ())}
@@ -217,8 +217,8 @@
         """The items of a group that this gateway considers out of service for any reason other than a lease,
         including items that may still be cold after a lease."""
         office_nodes = self._office_nodes.get(key, ())
-        out = set(self.world.out.get(key, ())) | {
-            n for n in office_nodes if self.hearing.unavailable(n, self._now)
+        out = set(self.observed_stores.out.get(key, ())) | {
+            n for n in office_nodes if self.liveness.unavailable(n, self._now)
         }
         return out | self._possibly_cold(key)
 
@@ -227,8 +227,10 @@
         may still be cold. The store list may show the restart of an item later than its holder does, and a
         voter that has just started does not know when the item came back. Each voter therefore counts the
         cold period from the time at which it learned of the return."""
-        cold = self.world.cold_ns.get(key, 0)
-        restored = {(key, p.item, p.token) for p in self.table(key).leases if p.phase is places.Phase.BACK}
+        cold = self.observed_stores.cold_ns.get(key, 0)
+        restored = {
+            (key, p.item, p.token) for p in self.table(key).leases if p.phase is disruption_leases.Phase.BACK
+        }
         for entry in [known for known in self._restored_since if known[0] == key and known not in restored]:
             del self._restored_since[entry]
         return {
@@ -262,15 +264,15 @@
             voted | self.out(key),
             release.term,
             self.halted,
-            lambda holder: self.hearing.silent(holder, self._now),
+            lambda holder: self.liveness.silent(holder, self._now),
         )
-        after, replies = places.apply_batch(value, operations, view)
+        after, replies = disruption_leases.apply_batch(value, operations, view)
         return after, list(replies)
 
     def _fenced(self, key: str, value: bytes) -> bool:
         """Whether this member must refuse to accept `value` because of an outdated release term (see
         `is_fenced`); always False if fencing is switched off."""
-        return self.setup.fences and is_fenced(self.register.slots, key, value)
+        return self.setup.fences and is_fenced(self.register.acceptor_states, key, value)
 
     # Requests -----------------------------------------------------------------------------------------
 
@@ -297,7 +299,7 @@
     def _coordinators(self) -> list[int]:
         """All voting members in the order in which requests are sent to them: by number, and those whose
         heartbeats have stopped come last."""
-        return sorted(self.setup.members, key=lambda m: (self.hearing.silent(m, self._now), m))
+        return sorted(self.setup.members, key=lambda m: (self.liveness.silent(m, self._now), m))
 
     @property
     def coordinates(self) -> bool:
@@ -339,11 +341,11 @@
     def _send(self, target: int, message: Any) -> None:
         self.register.step.sends.append((target, message))
 
-    def heard(self, sender: int, message: Any, now: int) -> None:
+    def receive(self, sender: int, message: Any, now: int) -> None:
         """Handles a message of another gateway; the caller has authenticated the sender."""
         self._now = now
-        if isinstance(message, Beat):
-            self.hearing.heard(sender, message, now)
+        if isinstance(message, Heartbeat):
+            self.liveness.receive(sender, message, now)
             if message.halted_term > self.halted_term and message.halted_term >= self.release.term:
                 self._on_halt(HaltNotice(message.halted_term, sender, 0), now)
             if (
@@ -366,7 +368,7 @@
                     self._gossip(message)
                 self._refresh_halt()
         else:
-            self.register.heard(sender, message, now)
+            self.register.receive(sender, message, now)
 
     def _gossip(self, message: Learn) -> None:
         """Forwards a newly learned register value, by rumor mongering (Demers et al., 1987, section 1.4): a
@@ -425,7 +427,7 @@
                 pending.attempts = (now - pending.started_at) // FAILOVER_NS
                 self._dispatch(pending, now)
         if now >= self._next_heartbeat_at:
-            self._next_heartbeat_at = now + self.hearing.period_ns
+            self._next_heartbeat_at = now + self.liveness.period_ns
             self._send_heartbeat(now)
         if now >= self._next_supervision_at:
             self._next_supervision_at = now + SUPERVISION_NS
@@ -435,7 +437,7 @@
     def _send_heartbeat(self, now: int) -> None:
         """Sends a heartbeat to the other voting members and to two gateways, chosen at random, that do not
         vote."""
-        heartbeat = Beat(
+        heartbeat = Heartbeat(
             self.incarnation,
             self.service,
             self.version,
@@ -444,7 +446,7 @@
             self._checksum(),
             self.halted_term if self.halted else 0,
         )
-        self.hearing.heard(self.setup.me, heartbeat, now)
+        self.liveness.receive(self.setup.me, heartbeat, now)
         others = [n for n in self.setup.fleet if n != self.setup.me and n not in self.setup.members]
         sampled = self._random.sample(others, min(2, len(others)))
         for target in (*(m for m in self.setup.members if m != self.setup.me), *sampled):
@@ -455,8 +457,8 @@
         have failed, evaluates the canary gate, and starts the next wave once a wave is complete and its soak
         time has passed. After the last wave, or a rollback, it ends the release."""
         for key, table in self.tables().items():
-            for op in places.cleanup_operations(
-                table, lambda holder: self.hearing.silent(holder, now), self.out(key)
+            for op in disruption_leases.cleanup_operations(
+                table, lambda holder: self.liveness.silent(holder, now), self.out(key)
             ):
                 if not any(
                     o.request.key == key and o.request.operation == op for o in self._pending.values()
@@ -466,7 +468,7 @@
         if release.state not in (State.RUNNING, State.ROLLING_BACK):
             self._gate = self._complete_since = None
             return
-        wave_done = releases.through(release, self.setup.fleet, self._gateway_statuses(now))
+        wave_done = releases.wave_complete(release, self.setup.fleet, self._gateway_statuses(now))
         if self._halted_by_gate(release, now):
             return
         wave_key = (release.term, release.wave)
@@ -491,9 +493,9 @@
         if self._gate is None:
             return False
         requests = sum(
-            self.hearing.counts(n)[0]
+            self.liveness.counts(n)[0]
             for n in self.setup.fleet
-            if (heartbeat := self.hearing.heartbeat(n)) is not None and heartbeat.version == release.version
+            if (heartbeat := self.liveness.heartbeat(n)) is not None and heartbeat.version == release.version
         )
         return requests < MIN_GATE_REQUESTS
 
@@ -505,13 +507,13 @@
             self._gate = None
             return False
         if self._gate is None or self._gate[0] != release.term - release.wave:
-            self.hearing.reset_counts()
+            self.liveness.reset_counts()
             self._gate = (release.term - release.wave, self.setup.make_gate(release.plan))
         sides = [[0, 0], [0, 0]]
         for node in self.setup.fleet:
-            heartbeat = self.hearing.heartbeat(node)
+            heartbeat = self.liveness.heartbeat(node)
             if heartbeat is not None:
-                ended, bad = self.hearing.counts(node)
+                ended, bad = self.liveness.counts(node)
                 side = sides[heartbeat.version != release.version]
                 side[0] += ended
                 side[1] += bad
@@ -522,21 +524,21 @@
             )
         return bool(why)
 
-    def _gateway_statuses(self, now: int) -> dict[int, releases.Seen]:
+    def _gateway_statuses(self, now: int) -> dict[int, releases.GatewayStatus]:
         """Version of each gateway that has sent a heartbeat, and whether it is in service and warm, by
         gateway number."""
         return {
-            n: releases.Seen(heartbeat.version, not self.hearing.unavailable(n, now))
+            n: releases.GatewayStatus(heartbeat.version, not self.liveness.unavailable(n, now))
             for n in self.setup.fleet
-            if (heartbeat := self.hearing.heartbeat(n)) is not None
+            if (heartbeat := self.liveness.heartbeat(n)) is not None
         }
 
     # Effects ------------------------------------------------------------------------------------------
 
-    def taken(self) -> Step:
+    def take_step(self) -> Step:
         """Returns the effects collected since the last call: disk writes, messages, and answers to this
         gateway's own operations. Answers to operations of other gateways are among the messages."""
-        step = self.register.taken()
+        step = self.register.take_step()
         done: list[tuple[int, Any]] = []
         for handle, answer in step.done:
             coordinated = self._coordinated.pop(handle, None)
@@ -554,18 +556,18 @@
         return step
 
 
-def is_fenced(slots: Mapping[str, Slot], key: str, value: bytes) -> bool:
+def is_fenced(acceptor_states: Mapping[str, AcceptorState], key: str, value: bytes) -> bool:
     """Returns whether a voter must refuse to accept `value` for register `key`: it grants or activates a
     lease for a release, and its proposer knew an older release term than this voter does. After a majority
     has accepted a halt, no majority therefore accepts such a change by a proposer that does not know the
     halt. `slots` is the acceptor state of the voter."""
     if key == releases.KEY:
         return False
-    release_value, lease_value = (slots.get(k, Slot()).value for k in (releases.KEY, key))
-    new_table = places.decode(value)
-    return new_table.release_term < releases.decode(release_value).term and places.starts_release_work(
-        new_table, places.decode(lease_value)
-    )
+    release_value, lease_value = (acceptor_states.get(k, AcceptorState()).value for k in (releases.KEY, key))
+    new_table = disruption_leases.decode(value)
+    return new_table.release_term < releases.decode(
+        release_value
+    ).term and disruption_leases.starts_release_work(new_table, disruption_leases.decode(lease_value))
 
 
 def failure_reason(answer: Answer | CommandReply | None) -> str:
--- a/olivecourse/rollout/part.py
+++ b/olivecourse/rollout/part.py
@@ -27,17 +27,17 @@
 from olivecourse.net.loop import READ
 from olivecourse.net.worker import Worker
 from olivecourse.ops.calls import JSON, Reply
-from olivecourse.rollout import places, releases
+from olivecourse.rollout import disruption_leases, releases
 from olivecourse.rollout.agent import Agent, Stage
 from olivecourse.rollout.budgets import Group
-from olivecourse.rollout.hearing import Service
+from olivecourse.rollout.disk import ALIVE_INTERVAL_S, CorruptRecord, Disk, FolderLocked, FolderUnusable
+from olivecourse.rollout.disruption_leases import LeasePurpose, Phase
+from olivecourse.rollout.liveness import Service
 from olivecourse.rollout.member import Member, Setup, failure_reason
-from olivecourse.rollout.places import Phase, Why
-from olivecourse.rollout.register import Step
+from olivecourse.rollout.quorum_register import Step
 from olivecourse.rollout.releases import Command, CommandReply, CommandRequest, Plan, Release
 from olivecourse.rollout.section import PlanText, RolloutConfig
-from olivecourse.rollout.store import ALIVE_INTERVAL_S, CorruptRecord, Disk, FolderLocked, FolderUnusable
-from olivecourse.rollout.wire import MAX_DATAGRAM_BYTES, BadDatagram, Wire
+from olivecourse.rollout.wire import MAX_DATAGRAM_BYTES, BadDatagram, DatagramCodec
 
 MS, S = 1_000_000, 1_000_000_000
 TICK_NS = 20 * MS  # interval of the periodic timer
@@ -64,7 +64,7 @@
 
     def __init__(self, plan: Plan) -> None:
         # Imports scipy, so it is loaded only if a release with gates runs.
-        import olivecourse.rollout.gates as release_analysis
+        import olivecourse.rollout.release_analysis as release_analysis
 
         self._analysis, self._gate = release_analysis, release_analysis.SequentialTest(plan.alpha, plan.worse)
 
@@ -99,9 +99,9 @@
         self.key = f"gateways:{section.gateways[self.me].office}"
         keys, self._secret = self.config.read_keys()
         self.incarnation = time.time_ns() // MS
-        self.wire = Wire(self.me, self.incarnation, keys)
+        self.wire = DatagramCodec(self.me, self.incarnation, keys)
         self._random = Random()  # seeded by the system: equal seeds would make members retry ballots together
-        self._disk, slots, votes = self._open_folder()
+        self._disk, acceptor_states, votes = self._open_folder()
         self._worker = Worker(gateway.loop, "rollout", most=MAX_QUEUED_STEPS)
         version = section.version or os.environ.get(VERSION_VARIABLE, "")
         setup = Setup(
@@ -114,7 +114,7 @@
             lambda plan: CanaryGate(plan) if plan.gates else DisabledGate(),
         )
         now = gateway.loop.clock.now()
-        self.member = Member(setup, self.incarnation, version, slots, self._random, now, votes)
+        self.member = Member(setup, self.incarnation, version, acceptor_states, self._random, now, votes)
         self.agent = Agent(
             self.me, self.key, setup.fleet, self.member, self._random, self._take_out, self._bring_back, now
         )
@@ -126,7 +126,7 @@
         self._planner: Planner | None = None
         self._draining = False  # this gateway is out of service with a lease
         # Numbers of the stores that get no requests from this gateway because of a lease in phase OUT.
-        self._left: set[int] = set()
+        self._leased_out_stores: set[int] = set()
         self._next_refresh_at = self._next_alive_at = now
         self._logged_state: tuple[Any, ...] = ()
         self._ready_since: int | None = None
@@ -156,16 +156,16 @@
             self.gateway.log("rollout_folder_unusable", why=str(error))
             return None, {}, False
         try:
-            slots = disk.load()
+            acceptor_states = disk.load()
         except CorruptRecord as error:
             self.gateway.log("rollout_folder_torn", why=str(error))
-            slots = None
-        if slots is None:
+            acceptor_states = None
+        if acceptor_states is None:
             self.gateway.log("rollout_folder_empty", folder=str(self.config.folder))
-        stale = slots is not None and disk.is_stale(time.time_ns() // S)
+        stale = acceptor_states is not None and disk.is_stale(time.time_ns() // S)
         if stale:
             self.gateway.log("rollout_folder_old", folder=str(self.config.folder))
-        return disk, slots or {}, slots is not None and not stale
+        return disk, acceptor_states or {}, acceptor_states is not None and not stale
 
     # Interface of parts -------------------------------------------------------------------------------
 
@@ -217,9 +217,11 @@
         is configured and not open, tries to open it."""
         if self._disk is None and self.config.folder is not None:
             self._next_alive_at = now + FOLDER_RETRY_NS
-            self._disk, slots, votes = self._open_folder()
+            self._disk, acceptor_states, votes = self._open_folder()
             if self._disk is not None:
-                self.member.register.load_slots(slots, votes and self.me in self.member.setup.members)
+                self.member.register.load_acceptor_states(
+                    acceptor_states, votes and self.me in self.member.setup.members
+                )
                 self._caught_up = votes
         elif self._disk is not None and self.member.register.votes:
             self._next_alive_at = now + ALIVE_INTERVAL_S * S
@@ -230,7 +232,7 @@
         """Updates what the member knows of this gateway and its stores: the store list, the operators'
         drains, the stores that the router avoids, and the counts of the request tracker. Then applies
         the leases."""
-        self._see_stores(now)
+        self._refresh_stores(now)
         ready = not self.gateway.why_not_ready() or self._draining
         if not ready:
             self._ready_since = None
@@ -243,7 +245,7 @@
         self.member.bad = sum(c[1] + c[2] for c in counts) + self.gateway.tracker.late_responses
         self._apply_leases()
 
-    def _see_stores(self, now: int) -> None:
+    def _refresh_stores(self, now: int) -> None:
         """Updates the member's groups of stores and hub caches, and which of their items are out of service
         or cold, by group key."""
         gateway, settings = self.gateway, self.gateway.config.settings
@@ -261,7 +263,7 @@
             cold = store.ready_at_ns and now - store.ready_at_ns < ramp
             # The decision module avoids a store that is leased out. That alone does not count here, since the
             # budget counts leases separately.
-            leased_out_here = store.cache in self._left
+            leased_out_here = store.cache in self._leased_out_stores
             if (
                 store.state is not interface.State.READY
                 or cold
@@ -270,11 +272,11 @@
                 and not leased_out_here
             ):
                 out.setdefault(key, set()).add(store.cache)
-        self.member.world.out = out
-        self.member.world.cold_ns = {
+        self.member.observed_stores.out = out
+        self.member.observed_stores.cold_ns = {
             key: settings.parent_cold_ns if key.startswith("hubs") else settings.cold_ns for key in capacity
         }
-        self.member.world.groups = {
+        self.member.observed_stores.groups = {
             key: Group(key, found, (limits.hubs if key.startswith("hubs") else limits.stores).budget())
             for key, found in capacity.items()
         }
@@ -290,7 +292,7 @@
             for p in table.leases
             if p.phase is Phase.OUT
         }
-        for item in out ^ self._left:
+        for item in out ^ self._leased_out_stores:
             name = self.gateway.directory.names.get(item)
             if name is not None:
                 leased_out = self.gateway.directory.leased_out
@@ -298,9 +300,11 @@
                 event = self.gateway.directory.effective_change(name)
                 if event is not None:
                     self.gateway.emit(event)
-        self._left = out
+        self._leased_out_stores = out
         own_lease = self.member.table(self.key).lease_of(self.me)
-        drained = own_lease is not None and own_lease.phase is Phase.OUT and own_lease.why is Why.DRAIN
+        drained = (
+            own_lease is not None and own_lease.phase is Phase.OUT and own_lease.why is LeasePurpose.DRAIN
+        )
         work = self.agent.works.get(self.me)
         self._set_draining(
             drained or work is not None and work.stage is Stage.OUT and work.activation_confirmed
@@ -311,7 +315,7 @@
             self._log_changes(release, tables)
             self._logged_state = current
 
-    def _log_changes(self, release: Release, tables: dict[str, places.Table]) -> None:
+    def _log_changes(self, release: Release, tables: dict[str, disruption_leases.LeaseTable]) -> None:
         """Logs one line if the state of the release has changed since the last log line, and one for each
         lease that has changed its phase or ended."""
         before = self._logged_state
@@ -370,7 +374,7 @@
     def _flush(self) -> None:
         """Carries out what the member asks for. Messages and answers wait in a queue for the disk if this or
         an earlier step must be written first."""
-        step = self.member.taken()
+        step = self.member.take_step()
         if not (step.durable or step.sends or step.done):
             return
         if self._disk is None or not (step.durable or self._steps or self._writing):
@@ -390,7 +394,7 @@
             durable.update(step.durable)
         disk, recovering = self._disk, not self._caught_up and self.member.register.votes
         write_slots, unix_s = disk.write_recovered if recovering else disk.write, time.time_ns() // S
-        durable = {**self.member.register.slots, **durable} if recovering else durable
+        durable = {**self.member.register.acceptor_states, **durable} if recovering else durable
         self._writing = self._worker.submit(
             lambda: write_slots(durable, unix_s), lambda _, error: self._on_written(steps, recovering, error)
         )
@@ -424,7 +428,10 @@
             except OSError as error:  # a peer that is down answers with an ICMP error
                 self.gateway.log("rollout_peer_error", why=str(error))
         for handle, answer in step.done:
-            if not self.agent.told(handle, answer, self.gateway.loop.clock.now()) and handle in self._tickets:
+            if (
+                not self.agent.handle_answer(handle, answer, self.gateway.loop.clock.now())
+                and handle in self._tickets
+            ):
                 self._answers[handle] = CommandAnswer(answer, self.gateway.loop.clock.now())
 
     def _on_readable(self, mask: int) -> None:
@@ -444,7 +451,7 @@
                 self.gateway.log("rollout_datagram_dropped", why=str(bad), size=len(data))
                 continue
             if 0 <= sender < len(self.names) and sender != self.me:
-                self.member.heard(sender, message, now)
+                self.member.receive(sender, message, now)
         self._flush()
 
     # Operators' interface -----------------------------------------------------------------------------
@@ -474,7 +481,7 @@
                 return _reply(404, {"ok": False, "why": "no listed store and no gateway has this name"})
             key, item = found
             if do == "drain":
-                self.agent.want(key, item, Why.DRAIN, now, bool(arguments.get("force")))
+                self.agent.request_lease(key, item, LeasePurpose.DRAIN, now, bool(arguments.get("force")))
             elif arguments.get("force"):
                 self._force_return(key, item, now)
             elif not self.agent.release_item(key, item, now):
@@ -499,8 +506,8 @@
         warm."""
         lease = self.member.table(key).lease_of(item)
         if lease is not None:
-            op = places.LeaseOperation(
-                places.LeaseAction.FREE, item, lease.holder, lease.token, lease.why, forced=True
+            op = disruption_leases.LeaseOperation(
+                disruption_leases.LeaseAction.FREE, item, lease.holder, lease.token, lease.why, forced=True
             )
             self.member.submit(key, op, now)
             self.gateway.log("rollout_forced", group=key, item=self.name(key, item))
@@ -525,7 +532,7 @@
         if name in self.names:
             item = self.names.index(name)
             return self.member.setup.offices[item], item
-        for key, group in self.member.world.groups.items():
+        for key, group in self.member.observed_stores.groups.items():
             for item in group.capacity:
                 if self.gateway.directory.names.get(item) == name:
                     return key, item
@@ -534,7 +541,7 @@
     def status(self) -> dict[str, Any]:
         """The state of releases and leases as known to this gateway, for the operators' interface."""
         now, release = self.gateway.loop.clock.now(), self.member.release
-        hearing = self.member.hearing
+        liveness = self.member.liveness
         return {
             "gateway": self.gateway.config.name,
             "version": self.member.version,
@@ -552,15 +559,15 @@
             "gateways": [
                 {
                     "name": name,
-                    "heard": not hearing.silent(i, now),
-                    "version": heartbeat.version if (heartbeat := hearing.heartbeat(i)) else "",
+                    "heard": not liveness.silent(i, now),
+                    "version": heartbeat.version if (heartbeat := liveness.heartbeat(i)) else "",
                     "service": heartbeat.service.name.lower() if heartbeat else "unknown",
                 }
                 for i, name in enumerate(self.names)
             ],
             "groups": {
                 key: self._group_status(key)
-                for key in sorted({self.key, *self.member.world.groups, *self.member.tables()})
+                for key in sorted({self.key, *self.member.observed_stores.groups, *self.member.tables()})
             },
             "works": [
                 {"item": self.name(work.key, item), "stage": work.stage.value, "said": work.status_text}
--- a/olivecourse/rollout/register.py
+++ b/olivecourse/rollout/quorum_register.py
@@ -20,7 +20,7 @@
 
 MS = 1_000_000
 # Interval at which an unanswered message is sent again; over twice the longest transit time of a datagram.
-AGAIN_NS = 60 * MS
+RESEND_INTERVAL_NS = 60 * MS
 BALLOT_TIMEOUT_NS = 600 * MS  # age at which a member abandons its ballot, even if replies may still arrive
 PROPOSAL_TIMEOUT_NS = 2_000 * MS  # age at which the outcome of a queued proposal is reported as unknown
 MAX_BACKOFF_NS = 80 * MS  # upper bound of the random delay between an abandoned ballot and the next
@@ -37,7 +37,7 @@
     member: int = -1
 
 
-class Slot(msgspec.Struct, frozen=True, array_like=True):
+class AcceptorState(msgspec.Struct, frozen=True, array_like=True):
     """The acceptor state of one register, as written to disk: the highest ballot that this member has
     promised, and the ballot and value that it accepted last."""
 
@@ -101,7 +101,7 @@
     rumor: bool = False
 
 
-class Recall(msgspec.Struct, frozen=True, array_like=True):
+class RecoveryRequest(msgspec.Struct, frozen=True, array_like=True):
     """Sent by a member that has lost its disk: asks another member for the acceptor state of all registers.
     The reply repeats the `nonce`."""
 
@@ -109,14 +109,14 @@
 
 
 class RecoveryReply(msgspec.Struct, frozen=True, array_like=True):
-    """Reply to `Recall` with the state of one register, out of `total` registers that the sender holds and
-    sends one by one; a `total` of 0 means that it holds none. `authoritative` is true if the sender votes,
-    and false if its folder may be an outdated copy."""
+    """Reply to `RecoveryRequest` with the state of one register, out of `total` registers that the sender
+    holds and sends one by one; a `total` of 0 means that it holds none. `authoritative` is true if the sender
+    votes, and false if its folder may be an outdated copy."""
 
     nonce: int
     total: int
     key: str
-    slot: Slot
+    acceptor_state: AcceptorState
     authoritative: bool = True
 
 
@@ -125,7 +125,7 @@
     """Effects that the caller must carry out in this order: write `durable` to disk, send `sends`, and report
     the answers in `done`."""
 
-    durable: dict[str, Slot] = field(default_factory=dict)
+    durable: dict[str, AcceptorState] = field(default_factory=dict)
     sends: list[tuple[int, Any]] = field(default_factory=list)  # (target member, message)
     # (handle of the proposal, answer); an answer of None means that the outcome is unknown.
     done: list[tuple[int, Any]] = field(default_factory=list)
@@ -163,7 +163,7 @@
         self,
         me: int,
         members: Sequence[int],
-        slots: dict[str, Slot],
+        acceptor_states: dict[str, AcceptorState],
         apply_operations: ApplyOperations,
         random: Random,
         fence: FenceCheck = lambda key, value: False,
@@ -173,7 +173,7 @@
         """`votes` says whether this member takes part in ballots. It is False for a gateway that is not one
         of `members`. It is False also for a member that has no folder open, or an empty or outdated one,
         until that member has recovered the state of the other members."""
-        self.me, self.members, self.slots = me, tuple(members), dict(slots)
+        self.me, self.members, self.acceptor_states = me, tuple(members), dict(acceptor_states)
         self._apply_operations, self._fence, self._out, self._random = apply_operations, fence, out, random
         self.votes = votes
         # Called for each value that a majority accepted in a ballot of this member.
@@ -184,9 +184,9 @@
         self._pending: dict[str, list[tuple[int, Any, int]]] = {}
         self._not_before: dict[str, int] = {}
         self._highest_counts: dict[str, int] = {}
-        self._recovery: tuple[int, int, dict[int, dict[str, Slot]], dict[int, int]] | None = None
+        self._recovery: tuple[int, int, dict[int, dict[str, AcceptorState]], dict[int, int]] | None = None
         self._recovery_sent_at = 0
-        self._authoritative_members: set[int] = set()  # voting members that answered a `Recall`
+        self._authoritative_members: set[int] = set()  # voting members that answered a `RecoveryRequest`
 
     @property
     def majority(self) -> int:
@@ -194,7 +194,7 @@
         members."""
         return len(self.members) // 2 + 1
 
-    def taken(self) -> Step:
+    def take_step(self) -> Step:
         """Returns the disk writes, messages and answers collected since the last call, for the caller to
         carry out, and starts a new, empty step."""
         step, self.step = self.step, Step()
@@ -216,8 +216,13 @@
         proposals = self._pending.pop(key, [])
         if not proposals:
             return
-        slot = self.slots.get(key, Slot())
-        count = max(self._highest_counts.get(key, 0), slot.promised.count, slot.accepted.count) + 1
+        acceptor_state = self.acceptor_states.get(key, AcceptorState())
+        count = (
+            max(
+                self._highest_counts.get(key, 0), acceptor_state.promised.count, acceptor_state.accepted.count
+            )
+            + 1
+        )
         ballot = Ballot(count, self.me)
         self._highest_counts[key] = count
         self.rounds[key] = BallotRound(ballot, now, now, proposals)
@@ -227,7 +232,7 @@
         for member in self.members:
             if member != self.me:
                 self._send(member, Prepare(key, ballot))
-        self.heard(self.me, own_reply, now)
+        self.receive(self.me, own_reply, now)
 
     def _on_promise(self, sender: int, message: Promise, now: int) -> None:
         """Counts a promise. Once a majority has promised, applies the operations to the value with the
@@ -249,7 +254,7 @@
         for member in self.members:
             if member != self.me:
                 self._send(member, accept)
-        self.heard(self.me, own_reply, now)
+        self.receive(self.me, own_reply, now)
 
     def _on_accepted(self, sender: int, message: Accepted, now: int) -> None:
         """Counts an acceptance. Once a majority has accepted, the value is chosen: this member announces it
@@ -289,31 +294,37 @@
 
     # Acceptor -----------------------------------------------------------------------------------------
 
-    def _store_slot(self, key: str, slot: Slot) -> None:
+    def _store_acceptor_state(self, key: str, acceptor_state: AcceptorState) -> None:
         """Changes the acceptor state of register `key`, and adds it to the state that the caller must write
         to disk."""
-        self.slots[key] = self.step.durable[key] = slot
+        self.acceptor_states[key] = self.step.durable[key] = acceptor_state
 
     def _handle_prepare(self, message: Prepare) -> Promise | Reject:
         """Promises the ballot of a phase 1 request, unless this acceptor has already promised a higher one
         for the same register."""
-        slot = self.slots.get(message.key, Slot())
-        if message.ballot < slot.promised:
-            return Reject(message.key, message.ballot, slot.promised)
-        if message.ballot > slot.promised:
-            self._store_slot(message.key, msgspec.structs.replace(slot, promised=message.ballot))
-        return Promise(message.key, message.ballot, slot.accepted, slot.value, self._out(message.key))
+        acceptor_state = self.acceptor_states.get(message.key, AcceptorState())
+        if message.ballot < acceptor_state.promised:
+            return Reject(message.key, message.ballot, acceptor_state.promised)
+        if message.ballot > acceptor_state.promised:
+            self._store_acceptor_state(
+                message.key, msgspec.structs.replace(acceptor_state, promised=message.ballot)
+            )
+        return Promise(
+            message.key, message.ballot, acceptor_state.accepted, acceptor_state.value, self._out(message.key)
+        )
 
     def _handle_accept(self, message: Accept) -> Accepted | Reject:
         """Accepts the value of a phase 2 request, unless this acceptor has promised a higher ballot or
         `fence` finds the value based on an outdated term of the release."""
-        slot = self.slots.get(message.key, Slot())
-        if message.ballot < slot.promised:
-            return Reject(message.key, message.ballot, slot.promised)
+        acceptor_state = self.acceptor_states.get(message.key, AcceptorState())
+        if message.ballot < acceptor_state.promised:
+            return Reject(message.key, message.ballot, acceptor_state.promised)
         if self._fence(message.key, message.value):
-            return Reject(message.key, message.ballot, slot.promised, True)
-        if (slot.promised, slot.accepted) != (message.ballot, message.ballot):
-            self._store_slot(message.key, Slot(message.ballot, message.ballot, message.value))
+            return Reject(message.key, message.ballot, acceptor_state.promised, True)
+        if (acceptor_state.promised, acceptor_state.accepted) != (message.ballot, message.ballot):
+            self._store_acceptor_state(
+                message.key, AcceptorState(message.ballot, message.ballot, message.value)
+            )
         return Accepted(message.key, message.ballot)
 
     # Messages -----------------------------------------------------------------------------------------
@@ -321,7 +332,7 @@
     def _send(self, member: int, message: Any) -> None:
         self.step.sends.append((member, message))
 
-    def heard(self, sender: int, message: Any, now: int) -> None:
+    def receive(self, sender: int, message: Any, now: int) -> None:
         """Handles a protocol message from one of the voting members; messages from other senders are
         ignored."""
         if sender not in self.members:
@@ -338,7 +349,7 @@
             self._on_reject(message, now)
         elif isinstance(message, Learn):
             self.learn(message)
-        elif isinstance(message, Recall) and (self.votes or self.slots):
+        elif isinstance(message, RecoveryRequest) and (self.votes or self.acceptor_states):
             self._answer_recovery(sender, message)
         elif isinstance(message, RecoveryReply):
             self._on_recovery_reply(sender, message)
@@ -364,7 +375,7 @@
         for key, ballot_round in list(self.rounds.items()):
             if now - ballot_round.started_at > BALLOT_TIMEOUT_NS:
                 self._abandon(key, ballot_round, now)
-            elif now - ballot_round.sent_at > AGAIN_NS:
+            elif now - ballot_round.sent_at > RESEND_INTERVAL_NS:
                 ballot_round.sent_at = now
                 preparing = ballot_round.value is None
                 resend = (
@@ -383,34 +394,37 @@
             self._pending[key] = [proposal for proposal in proposals if proposal not in expired]
             self._start(key, now)
 
-    def load_slots(self, slots: dict[str, Slot], votes: bool) -> None:
+    def load_acceptor_states(self, acceptor_states: dict[str, AcceptorState], votes: bool) -> None:
         """Replaces the register states by those read from a folder that could be opened only after the start
         of the process. `votes` says whether this member may vote with them."""
-        self.slots, self.votes = dict(slots), votes
-        for key, slot in slots.items():
-            if slot.value:
-                self.learn(Learn(key, slot.accepted, slot.value))
+        self.acceptor_states, self.votes = dict(acceptor_states), votes
+        for key, acceptor_state in acceptor_states.items():
+            if acceptor_state.value:
+                self.learn(Learn(key, acceptor_state.accepted, acceptor_state.value))
 
     # Recovery after a lost disk -----------------------------------------------------------------------
 
     def _request_recovery(self, now: int) -> None:
-        """Asks the other members for their register states, every 4 * AGAIN_NS from the end of the waiting
-        time QUARANTINE_NS until enough members have answered."""
+        """Asks the other members for their register states, every 4 * RESEND_INTERVAL_NS from the end of the
+        waiting time QUARANTINE_NS until enough members have answered."""
         if self._recovery is None:
             self._recovery = (self._random.getrandbits(31), now, {}, {})
         nonce, started_at, _, _ = self._recovery
-        if now - started_at >= QUARANTINE_NS and now - self._recovery_sent_at >= 4 * AGAIN_NS:
+        if now - started_at >= QUARANTINE_NS and now - self._recovery_sent_at >= 4 * RESEND_INTERVAL_NS:
             self._recovery_sent_at = now
             for member in self.members:
                 if member != self.me:
-                    self._send(member, Recall(nonce))
+                    self._send(member, RecoveryRequest(nonce))
 
-    def _answer_recovery(self, sender: int, message: Recall) -> None:
+    def _answer_recovery(self, sender: int, message: RecoveryRequest) -> None:
         """Sends the state of every register, one message each, to a member that has lost its disk."""
-        if not self.slots:
-            self._send(sender, RecoveryReply(message.nonce, 0, "", Slot()))
-        for key, slot in self.slots.items():
-            self._send(sender, RecoveryReply(message.nonce, len(self.slots), key, slot, self.votes))
+        if not self.acceptor_states:
+            self._send(sender, RecoveryReply(message.nonce, 0, "", AcceptorState()))
+        for key, acceptor_state in self.acceptor_states.items():
+            self._send(
+                sender,
+                RecoveryReply(message.nonce, len(self.acceptor_states), key, acceptor_state, self.votes),
+            )
 
     def _on_recovery_reply(self, sender: int, message: RecoveryReply) -> None:
         """Collects register states of other members. Adopts the newest state of each register, and the right
@@ -424,7 +438,7 @@
             sender
         )
         if message.total:
-            found.setdefault(sender, {})[message.key] = message.slot
+            found.setdefault(sender, {})[message.key] = message.acceptor_state
         complete = [m for m, total in totals.items() if len(found.get(m, {})) >= total]
         # Any majority made up of other members shares a member with every majority that this member may have
         # been part of, and so knows its outcome. If all folders are outdated, as after a long power cut, all
@@ -434,11 +448,14 @@
             and len(complete) < len(self.members) - 1
         ):
             return
-        for slots in found.values():
-            for key, slot in slots.items():
-                current = self.slots.get(key, Slot())
-                newest = slot if slot.accepted > current.accepted else current
-                self._store_slot(
-                    key, Slot(max(slot.promised, current.promised), newest.accepted, newest.value)
+        for acceptor_states in found.values():
+            for key, acceptor_state in acceptor_states.items():
+                current = self.acceptor_states.get(key, AcceptorState())
+                newest = acceptor_state if acceptor_state.accepted > current.accepted else current
+                self._store_acceptor_state(
+                    key,
+                    AcceptorState(
+                        max(acceptor_state.promised, current.promised), newest.accepted, newest.value
+                    ),
                 )
         self.votes, self._recovery = True, None
--- a/olivecourse/rollout/releases.py
+++ b/olivecourse/rollout/releases.py
@@ -248,7 +248,7 @@
     return waves(plan.version, tuple(plan.waves), tuple(gateways))[item]
 
 
-def may_go(release: Release, gateways: Sequence[int], item: int, version: str) -> bool:
+def should_request_lease(release: Release, gateways: Sequence[int], item: int, version: str) -> bool:
     """Returns whether gateway `item`, which runs `version`, should request a lease for the release now. In a
     running release it must run the previous version, and its wave must have started. In a rollback every
     gateway with the new version may request a lease at once; only the budget limits how many go at a time."""
@@ -263,14 +263,14 @@
 
 
 @dataclass(frozen=True)
-class Seen:
+class GatewayStatus:
     """What the heartbeats of a gateway say: its version, and whether it serves and is warm."""
 
     version: str
     warm: bool
 
 
-def through(release: Release, gateways: Sequence[int], seen: Mapping[int, Seen]) -> bool:
+def wave_complete(release: Release, gateways: Sequence[int], seen: Mapping[int, GatewayStatus]) -> bool:
     """Returns whether the waves started so far are complete: all their gateways run the wanted version, serve
     and are warm; in a rollback this holds for all gateways. A gateway without heartbeats delays its wave."""
 
--- a/olivecourse/rollout/wire.py
+++ b/olivecourse/rollout/wire.py
@@ -17,8 +17,8 @@
 import msgspec
 from blake3 import blake3
 
-from olivecourse.rollout import register
-from olivecourse.rollout.hearing import Beat
+from olivecourse.rollout import quorum_register
+from olivecourse.rollout.liveness import Heartbeat
 from olivecourse.rollout.member import HaltNotice, OperationReply, OperationRequest
 
 MAX_DATAGRAM_BYTES = 256
@@ -26,15 +26,15 @@
 REPLAY_WINDOW = 256  # a datagram is dropped if its count is this far below the sender's highest one
 MAX_REASON_CHARS = 40  # a halt's reason is cut off here; that of an answer at twice as many
 KINDS: tuple[type[Any], ...] = (
-    register.Prepare,
-    register.Promise,
-    register.Accept,
-    register.Accepted,
-    register.Reject,
-    register.Learn,
-    register.Recall,
-    register.RecoveryReply,
-    Beat,
+    quorum_register.Prepare,
+    quorum_register.Promise,
+    quorum_register.Accept,
+    quorum_register.Accepted,
+    quorum_register.Reject,
+    quorum_register.Learn,
+    quorum_register.RecoveryRequest,
+    quorum_register.RecoveryReply,
+    Heartbeat,
     OperationRequest,
     OperationReply,
     HaltNotice,
@@ -106,7 +106,7 @@
         return not bits & bit
 
 
-class Wire:
+class DatagramCodec:
     """Encodes and decodes the datagrams of gateway `me`. `incarnation` is the Unix time of its process start
     in milliseconds."""
 
--- a/tests/fleetsim.py
+++ b/tests/fleetsim.py
@@ -11,9 +11,9 @@
 from olivecourse.rollout import releases
 from olivecourse.rollout.agent import Agent
 from olivecourse.rollout.budgets import Budget, Group
-from olivecourse.rollout.hearing import Service
+from olivecourse.rollout.liveness import Service
 from olivecourse.rollout.member import Member, Setup
-from olivecourse.rollout.wire import Keys, Wire
+from olivecourse.rollout.wire import DatagramCodec, Keys
 
 MS, S = 1_000_000, 1_000_000_000
 STORES, GATEWAYS = "stores:praia", "gateways:praia"
@@ -46,7 +46,7 @@
     skew: int = 0
     member: Member = None
     agent: Agent = None
-    wire: Wire = None
+    wire: DatagramCodec = None
     answers: dict = field(default_factory=dict)
 
 
@@ -133,7 +133,7 @@
             self.clock(node),
             self.skip_activation,
         )
-        node.wire = Wire(node.number, node.incarnation, self.keys)
+        node.wire = DatagramCodec(node.number, node.incarnation, self.keys)
 
     def clock(self, node):
         """The time on the gateway's own clock, in nanoseconds."""
@@ -170,8 +170,8 @@
         """Passes the state of the stores and of the gateway to the gateway's member, and applies the leases
         of stores in phase OUT."""
         capacity = dict.fromkeys(self.store_state, 1.0)
-        node.member.world.groups[STORES] = Group(STORES, capacity, Budget(self.budget, 0.75))
-        node.member.world.out[STORES] = {
+        node.member.observed_stores.groups[STORES] = Group(STORES, capacity, Budget(self.budget, 0.75))
+        node.member.observed_stores.out[STORES] = {
             s for s in capacity if self.store_state[s] != "in" or self.store_warm_at[s] > self.now
         }
         node.member.service = (
@@ -202,7 +202,7 @@
                     sender, message = node.wire.decode(data)
                 except ValueError:
                     continue
-                node.member.heard(sender, message, now)
+                node.member.receive(sender, message, now)
             node.member.tick(now)
             self.flush(node)
             node.agent.tick(now)
@@ -217,13 +217,13 @@
         """Carries out the effects of a gateway's member: disk writes, messages and answers. Repeats this,
         since answers cause further operations."""
         for _ in range(4):
-            step = node.member.taken()
+            step = node.member.take_step()
             if self.disks:
                 node.disk.update(step.durable)
             for target, message in step.sends:
                 self.send(node, target, message)
             for handle, answer in step.done:
-                if not node.agent.told(handle, answer, self.clock(node)):
+                if not node.agent.handle_answer(handle, answer, self.clock(node)):
                     node.answers[handle] = answer
 
     def send(self, node, target, message):
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -19,19 +19,19 @@
 from benchmarks.rollout import play as play_processes
 from olivecourse.config.sections import InvalidSection
 from olivecourse.modelcheck.explorer import explore
-from olivecourse.modelcheck.places import FAULTS, NARROW_BOUNDS, Model, find_planted_fault
+from olivecourse.modelcheck.lease_model import FAULTS, NARROW_BOUNDS, Model, find_planted_fault
 from olivecourse.rollout import releases
 from olivecourse.rollout.agent import Stage as WorkStage
 from olivecourse.rollout.budgets import Budget, Group
-from olivecourse.rollout.gates import Counts, SequentialTest
+from olivecourse.rollout.disk import CorruptRecord, Disk, FolderLocked
+from olivecourse.rollout.disruption_leases import Answer, LeasePurpose, Outcome
 from olivecourse.rollout.member import RUMOR_FANOUT, HaltNotice, Member, OperationReply, Setup
 from olivecourse.rollout.part import LEARN_TIMEOUT_NS, CommandAnswer, RolloutComponent
-from olivecourse.rollout.places import Answer, Outcome, Why
-from olivecourse.rollout.register import Ballot, Learn, QuorumRegisters, Recall, Slot
+from olivecourse.rollout.quorum_register import AcceptorState, Ballot, Learn, QuorumRegisters, RecoveryRequest
+from olivecourse.rollout.release_analysis import Counts, SequentialTest
 from olivecourse.rollout.releases import Command, CommandReply, Plan, State, plan_error
 from olivecourse.rollout.section import read_rollout
-from olivecourse.rollout.store import CorruptRecord, Disk, FolderLocked
-from olivecourse.rollout.wire import MAX_DATAGRAM_BYTES, BadDatagram, Keys, Wire
+from olivecourse.rollout.wire import MAX_DATAGRAM_BYTES, BadDatagram, DatagramCodec, Keys
 
 PLAN = Plan("v2", "v1", (20, 60, 100), 0.5, False)
 
@@ -39,7 +39,7 @@
 def drain(fleet, number, store):
     """Requests at gateway `number` that a store be drained; returns the agent's `Work` on that store."""
     node = fleet.nodes[number]
-    return node.agent.want(STORES, store, Why.DRAIN, fleet.clock(node))
+    return node.agent.request_lease(STORES, store, LeasePurpose.DRAIN, fleet.clock(node))
 
 
 def bring_back(fleet, number, store):
@@ -351,7 +351,7 @@
     restart, took the store for warm and ended its lease too early."""
     fleet = Fleet(13)
     for node in fleet.nodes:
-        node.member.world.cold_ns[STORES] = 2 * S
+        node.member.observed_stores.cold_ns[STORES] = 2 * S
     fleet.run(1)
     work = drain(fleet, 4, 100)
     fleet.run(3, lambda: work.stage is WorkStage.OUT)
@@ -412,23 +412,23 @@
     assert not plan_error(PLAN)
 
 
-# Wire, disk, configuration -----------------------------------------------------------------------------
+# Codec, disk, configuration ----------------------------------------------------------------------------
 
 
 @given(st.binary(max_size=300))
 @settings(max_examples=200)
 def test_forged_damaged_and_replayed_datagrams_are_dropped(data):
     old_keys, both_keys = Keys({1: b"a" * 32}, 1), Keys({1: b"a" * 32, 2: b"b" * 32}, 2)
-    receiver = Wire(0, 7, both_keys)
+    receiver = DatagramCodec(0, 7, both_keys)
     with pytest.raises(BadDatagram):
         receiver.decode(data)
-    sealed = Wire(1, 7, old_keys).encode(0, HaltNotice(3, 1, 0, "x" * 500))
+    sealed = DatagramCodec(1, 7, old_keys).encode(0, HaltNotice(3, 1, 0, "x" * 500))
     assert len(sealed) <= MAX_DATAGRAM_BYTES and receiver.decode(sealed)[0] == 1, (
         "signed with a known key that is not current"
     )
     with pytest.raises(BadDatagram, match="come before"):
         receiver.decode(sealed)
-    sender = Wire(2, 7, Keys({2: b"b" * 32}, 2))
+    sender = DatagramCodec(2, 7, Keys({2: b"b" * 32}, 2))
     sealed = sender.encode(0, OperationReply(5, Answer(Outcome.REFUSED, reason="y" * 500)))
     position = len(data) * 7 % len(sealed)
     damaged = bytearray(sealed)
@@ -437,20 +437,20 @@
         receiver.decode(bytes(damaged))
     assert receiver.decode(sealed)[0] == 2
     with pytest.raises(BadDatagram, match="come before"):
-        receiver.decode(Wire(2, 6, both_keys).encode(0, HaltNotice(3, 1, 0)))
+        receiver.decode(DatagramCodec(2, 6, both_keys).encode(0, HaltNotice(3, 1, 0)))
 
 
 def test_a_folder_keeps_promises_and_a_corrupt_or_foreign_folder_is_detected(tmp_path):
     disk = Disk(str(tmp_path / "a"), "n0", b"k" * 32)
     assert disk.load() is None, "no marker: earlier promises of this member may be lost"
     disk.init(10_000)
-    slots = {"stores:praia": Slot(Ballot(3, 1), Ballot(2, 0), b"value")}
-    disk.write(slots, 10_030)
+    acceptor_states = {"stores:praia": AcceptorState(Ballot(3, 1), Ballot(2, 0), b"value")}
+    disk.write(acceptor_states, 10_030)
     disk.close()
     reopened = Disk(str(tmp_path / "a"), "n0", b"k" * 32)
     with pytest.raises(FolderLocked):
         Disk(str(tmp_path / "a"), "n0", b"k" * 32)  # as by the second process during an upgrade
-    assert reopened.load() == slots
+    assert reopened.load() == acceptor_states
     assert [reopened.is_stale(s) for s in (10_031, 10_030 + 7 * 86_400, 1)] == [False, True, True]
     reopened.close()
     for name, key in (("n1", b"k" * 32), ("n0", b"q" * 32)):
@@ -580,7 +580,7 @@
         return [message for _, message in register.step.sends]
 
     assert sent_in_a_minute(7) == []
-    assert any(isinstance(message, Recall) for message in sent_in_a_minute(0))
+    assert any(isinstance(message, RecoveryRequest) for message in sent_in_a_minute(0))
 
 
 def test_a_ticket_is_pending_until_its_gateway_learns_the_result_or_times_out():
@@ -619,11 +619,11 @@
     flood the fleet."""
     member, now = lone_member(), 1_700_000_000 * S
     known, newer = (Learn("stores:praia", Ballot(count, 0), b"", rumor=True) for count in (1, 2))
-    member.heard(0, msgspec.structs.replace(known, rumor=False), now)
+    member.receive(0, msgspec.structs.replace(known, rumor=False), now)
     assert member.register.step.sends == []
     for sender in (1, 5, 9):
-        member.heard(sender, newer, now)
-        member.heard(sender, known, now)
+        member.receive(sender, newer, now)
+        member.receive(sender, known, now)
     targets = [target for target, message in member.register.step.sends if message == newer]
     assert (
         len(targets) == len(set(targets)) == len(member.register.step.sends) == RUMOR_FANOUT
@@ -633,7 +633,7 @@
 
 def test_rumors_spread_a_drain_to_a_hundred_gateways_faster_than_heartbeats():
     fleet = Fleet(3, nodes=100, members=5, stores=40, loss=0.05)
-    assert fleet.nodes[0].member.hearing.period_ns > 1.2 * S
+    assert fleet.nodes[0].member.liveness.period_ns > 1.2 * S
     fleet.run(4)
     drain(fleet, 1, 101)
 
@@ -665,6 +665,6 @@
     release = releases.Release(3, State.RUNNING, plan=Plan("v9", "v8", (1, 100), 0.5, False))
     fleet = tuple(range(500, 1_500))
     for item in fleet:
-        releases.may_go(release, fleet, item, "v8")
-    releases.through(release, fleet, {})
+        releases.should_request_lease(release, fleet, item, "v8")
+    releases.wave_complete(release, fleet, {})
     assert calls == ["v9"]
