--- a/benchmarks/_virtual_agreement.py
+++ b/benchmarks/_virtual_agreement.py
@@ -388,7 +388,7 @@
 
 
 def store_scan_cpu_ms(stores: int) -> float:
-    """Measures `RolloutComponent._refresh_stores` for stores in 46 zones, which runs every 100 ms."""
+    """Measures `RolloutComponent._refresh_stores` for stores in 46 zones; it runs every 100 ms per gateway."""
     from olivecourse.rollout.part import RolloutComponent
 
     ready, names = (
--- a/benchmarks/notice.py
+++ b/benchmarks/notice.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from olivecourse.storm.notice import BIN_NS, BurstDetector, Detector, Notice, ShareDetector
+from olivecourse.storm.detector import BIN_NS, BurstDetector, Detector, ShareDetector, StormMonitor
 
 # A scenario yields for each bin the mean of first attempts, of retries, and the share of both served in time.
 Bin = tuple[float, float, float]
@@ -86,12 +86,12 @@
     story: str, detector: Detector, seed: int
 ) -> tuple[list[float], list[float], tuple[float, float] | None]:
     """Returns when the detector reported the beginnings and ends of storms, and the true span, in seconds."""
-    notice, begins, ends = Notice(detector, 0), [], []
+    monitor, begins, ends = StormMonitor(detector, 0), [], []
     for bin_index, (first, repeats, useful) in enumerate(bins(story, seed)):
-        notice.arrived(False, first)
-        notice.arrived(True, repeats)
-        notice.served(useful)
-        for change in notice.advance((bin_index + 1) * BIN_NS):
+        monitor.record_arrival(False, first)
+        monitor.record_arrival(True, repeats)
+        monitor.record_served(useful)
+        for change in monitor.advance((bin_index + 1) * BIN_NS):
             (begins if change.begins else ends).append(change.at / 1e9)
     true_span = STORIES[story][1]
     return begins, ends, None if true_span is None else (true_span[0] / 10, true_span[1] / 10)
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -98,20 +98,22 @@
     from olivecourse import interface as interface
     from olivecourse.config.settings import nested_pairs, read_settings
     from olivecourse.core.planner import Planner
-    from olivecourse.memory.keeper import Keeper
     from olivecourse.memory.section import MemoryConfig, MemorySection
+    from olivecourse.memory.snapshotter import Snapshotter
     from olivecourse.net.loop import Loop
 
     with tempfile.TemporaryDirectory() as name:
         loop = Loop()
         parsed_settings = read_settings(1, nested_pairs(settings([("fichiers", 2500, "idempotent", False)])))
         planner = Planner(parsed_settings, loop.clock.now(), lambda *args, **kwargs: None)
-        keeper = None
+        snapshotter = None
         if snapshots:
             section = MemorySection(name, interval_s=0.2)  # ten times as often as by default
-            keeper = Keeper(loop, MemoryConfig(Path(name), None, section), "n", lambda *args, **kwargs: None)
-            keeper.adopt(planner.router)
-            keeper.start()
+            snapshotter = Snapshotter(
+                loop, MemoryConfig(Path(name), None, section), "n", lambda *args, **kwargs: None
+            )
+            snapshotter.attach(planner.router)
+            snapshotter.start()
         members = tuple(
             interface.Member(number, 8.0, 0, 1, kind=0, life=f"127.0.0.1:{number}@0")
             for number in range(1, 61)
@@ -152,9 +154,9 @@
         while time.monotonic() < end:
             loop.turn()
             turns_ms.append((loop.clock.now() - loop._woke) / 1e6)
-        if keeper is not None:
-            assert keeper.schedule.written >= seconds
-            keeper.stop()
+        if snapshotter is not None:
+            assert snapshotter.schedule.written >= seconds
+            snapshotter.stop()
         loop.close()
         return sorted(turns_ms)[int(len(turns_ms) * 0.99)]
 
--- a/olivecourse/components.py
+++ b/olivecourse/components.py
@@ -290,18 +290,18 @@
 
     def __init__(self, gateway: GatewayContext) -> None:
         super().__init__(gateway)
-        from olivecourse.memory.keeper import Keeper
+        from olivecourse.memory.snapshotter import Snapshotter
 
-        self.keeper = Keeper(
+        self.snapshotter = Snapshotter(
             gateway.loop, gateway.config.sections["memory"], gateway.config.name, gateway.log
         )
 
     def configure_planner(self, planner: Planner) -> None:
-        self.keeper.adopt(planner.router)
-        self.keeper.start()
+        self.snapshotter.attach(planner.router)
+        self.snapshotter.start()
 
     def stop(self) -> None:
-        self.keeper.stop()
+        self.snapshotter.stop()
 
 
 class StormsComponent(Component):
@@ -310,12 +310,14 @@
     """
 
     def configure_planner(self, planner: Planner) -> None:
-        from olivecourse.storm.guard import Guard
+        from olivecourse.storm.controller import StormController
 
         settings = self.gateway.config.settings
         section = self.gateway.config.sections["storms"]
         planner.set_limiter(
-            Guard(section.policy(), settings, self.gateway.loop.clock.now(), Random(settings.seed).random)
+            StormController(
+                section.policy(), settings, self.gateway.loop.clock.now(), Random(settings.seed).random
+            )
         )
 
     def start(self, front: Listener) -> None:
--- a/olivecourse/memory/__init__.py
+++ b/olivecourse/memory/__init__.py
@@ -1,8 +1,8 @@
 """State that a gateway keeps across restarts: what its Router has learned, and spent (used) order
 tokens, each of which permits one order.
 
-- Logic that uses no file, clock or thread: `lessons`, `ageing`, `uptake`, `collect`, `merging`, `schedule`,
-  `generations` and `grouping`.
+- Logic that uses no file, clock or thread: `records`, `decay`, `restore`, `collect`, `merging`, `schedule`,
+  `generations` and `group_commit`.
 - Conversion of snapshots to the bytes of a file and back: `container` and `codec`.
-- Input and output, with the thread that writes: `disk`, `folder`, `tokenstore` and `keeper`.
+- Input and output, with the thread that writes: `disk`, `folder`, `tokenstore` and `snapshotter`.
 """
--- a/olivecourse/memory/codec.py
+++ b/olivecourse/memory/codec.py
@@ -13,7 +13,7 @@
 
 from olivecourse.memory.container import Contents, UnusableFile
 from olivecourse.memory.generations import Reason
-from olivecourse.memory.lessons import (
+from olivecourse.memory.records import (
     ClassRecord,
     Interval,
     PurgeRecord,
--- a/olivecourse/memory/collect.py
+++ b/olivecourse/memory/collect.py
@@ -8,7 +8,7 @@
 from itertools import islice
 
 from olivecourse.choice import Router
-from olivecourse.memory.lessons import ClassRecord, Interval, PurgeRecord, Record, StoreRecord
+from olivecourse.memory.records import ClassRecord, Interval, PurgeRecord, Record, StoreRecord
 from olivecourse.state import Node
 
 SLICE = 32  # records read or serialised in one turn of the event loop: about 50 microseconds of work
@@ -19,10 +19,10 @@
 
 
 @dataclass
-class Watcher:
+class IntervalRecorder:
     """Records the last KEPT_INTERVALS counting intervals of one Router, which itself keeps only the newest.
 
-    In a counting interval (5 s) the Router counts the load of each object. `look` must be called at least
+    In a counting interval (5 s) the Router counts the load of each object. `update` must be called at least
     once per interval, independently of `collect`.
     """
 
@@ -30,7 +30,7 @@
     _retune_at: int = -1
     _running: tuple[float, float, int] = (0.0, 0.0, 0)
 
-    def look(self, router: Router, now: int) -> None:
+    def update(self, router: Router, now: int) -> None:
         """Records the counting interval that has ended since the last call, if one has.
 
         Its totals are those seen at the last call, because the Router has reset its counters since.
@@ -47,7 +47,7 @@
         self._running = (counter.total, max(router.distinct.count(), 1.0), counter.arrivals)
 
 
-def collect(router: Router, watcher: Watcher, now: int) -> Iterator[list[Record]]:
+def collect(router: Router, interval_recorder: IntervalRecorder, now: int) -> Iterator[list[Record]]:
     """Yields the records of the Router's state in lists, one for each turn of the event loop.
 
     Between two lists the Router may go on working; the records of one list are read at the same moment. All
@@ -61,7 +61,7 @@
         for i, c in enumerate(router.settings.classes)
     ]
     yield from _sliced(_purges(purges, now))
-    for ended, interval in list(watcher.ended):
+    for ended, interval in list(interval_recorder.ended):
         yield [
             Interval(
                 max(now - ended, 0),
--- a/olivecourse/memory/commands.py
+++ b/olivecourse/memory/commands.py
@@ -20,14 +20,14 @@
 
 from olivecourse.config.gateway_config import InvalidConfig, load_operator
 from olivecourse.memory import codec, container
-from olivecourse.memory.ageing import Elapsed, Kind, Policy, elapsed
 from olivecourse.memory.container import UnusableFile, derive_key
+from olivecourse.memory.decay import Elapsed, Kind, Policy, elapsed
 from olivecourse.memory.disk import FolderDisk, FolderLocked, stamp_now
 from olivecourse.memory.folder import Folder, LoadResult
 from olivecourse.memory.generations import parse
-from olivecourse.memory.keeper import PART, PROGRAM
-from olivecourse.memory.lessons import Record, Snapshot
+from olivecourse.memory.records import Record, Snapshot
 from olivecourse.memory.section import MemoryConfig, MemorySection
+from olivecourse.memory.snapshotter import PART, PROGRAM
 from olivecourse.memory.tokenstore import PART as TOKENS
 from olivecourse.memory.tokenstore import BadStore, StoreMetadata, TokenStore, probe
 
@@ -150,10 +150,10 @@
         title="Stores",
     )
     for s in sorted(snapshot.stores, key=lambda s: (-s.pain, s.cache)):
-        pain = f"{s.pain:.2f}{' fails' if s.failing else ''}"
+        error_score = f"{s.pain:.2f}{' fails' if s.failing else ''}"
         counts = f"{s.pain * weight(Kind.PAIN, s.pain_age_ns):.2f}"
         stores.add_row(
-            f"{s.cache:08x}", s.life, pain, counts, _ms(s.wait_ns), f"{s.limit:.1f}", _ms(s.credit_ns)
+            f"{s.cache:08x}", s.life, error_score, counts, _ms(s.wait_ns), f"{s.limit:.1f}", _ms(s.credit_ns)
         )
     classes = Table("class", "sending ms", "may fill", "weight of times", "weight of fills", title="Classes")
     for c in snapshot.classes:
--- a/olivecourse/memory/ageing.py
+++ b/olivecourse/memory/decay.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from olivecourse.memory.lessons import Stamp
+from olivecourse.memory.records import Stamp
 
 S = 1_000_000_000
 CLOCK_TOLERANCE_NS = 2 * S  # a snapshot up to this far in the future counts as new, as clocks are adjusted
--- a/olivecourse/memory/disk.py
+++ b/olivecourse/memory/disk.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Protocol
 
-from olivecourse.memory.lessons import Stamp
+from olivecourse.memory.records import Stamp
 
 
 class Disk(Protocol):
--- a/olivecourse/memory/folder.py
+++ b/olivecourse/memory/folder.py
@@ -13,7 +13,7 @@
 from olivecourse.memory.container import UnusableFile
 from olivecourse.memory.disk import Disk
 from olivecourse.memory.generations import Reason, file_name, next_number, parse, surplus
-from olivecourse.memory.lessons import Snapshot
+from olivecourse.memory.records import Snapshot
 
 
 @dataclass
--- a/olivecourse/memory/merging.py
+++ b/olivecourse/memory/merging.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable
 from typing import TypeVar
 
-from olivecourse.memory.lessons import ClassRecord, Interval, PurgeRecord, Record, StoreRecord
+from olivecourse.memory.records import ClassRecord, Interval, PurgeRecord, Record, StoreRecord
 
 L = TypeVar("L")
 K = TypeVar("K")
--- a/olivecourse/memory/lessons.py
+++ b/olivecourse/memory/records.py
@@ -98,7 +98,7 @@
     intervals: list[Interval] = field(default_factory=list)
     purges: list[PurgeRecord] = field(default_factory=list)
 
-    def file(self, records: list[Record]) -> None:
+    def add(self, records: list[Record]) -> None:
         """Adds each record to the list of its type."""
         self.stores += [x for x in records if isinstance(x, StoreRecord)]
         self.classes += [x for x in records if isinstance(x, ClassRecord)]
--- a/olivecourse/memory/uptake.py
+++ b/olivecourse/memory/restore.py
@@ -21,8 +21,8 @@
     Router,
     choose_threshold,
 )
-from olivecourse.memory.ageing import Elapsed, Kind, Policy
-from olivecourse.memory.lessons import Interval, Snapshot, StoreRecord
+from olivecourse.memory.decay import Elapsed, Kind, Policy
+from olivecourse.memory.records import Interval, Snapshot, StoreRecord
 from olivecourse.state import Node
 
 # Minimum weight of the next answer in an error score that was restored from a snapshot; each answer halves
@@ -53,7 +53,7 @@
             self.counts[reason] = self.counts.get(reason, 0) + count
 
 
-class Uptake:
+class SnapshotRestore:
     """Restores one snapshot into one Router.
 
     `elapsed` is the age of the snapshot at `began`, when this object was created; `began` and all `now` are
@@ -183,7 +183,7 @@
         if record.credit_ns is not None:
             node.credit = min(node.credit, record.credit_ns)
 
-    def settle(self, router: Router) -> bool:
+    def update_threshold(self, router: Router) -> bool:
         """Chooses the popularity threshold T for the present stores, whose number may differ from the saved.
 
         Returns False if the Router knows no store yet, and must then be called again.
--- a/olivecourse/memory/section.py
+++ b/olivecourse/memory/section.py
@@ -9,14 +9,14 @@
 import msgspec
 
 from olivecourse.config.sections import InvalidSection, read_section
-from olivecourse.memory.ageing import DEFAULTS, Decay, Kind, Policy, S
 from olivecourse.memory.container import derive_key
+from olivecourse.memory.decay import DEFAULTS, Decay, Kind, Policy, S
 
 Seconds = Annotated[float, msgspec.Meta(gt=0, le=30 * 86_400)]
 
 
 class HalfLives(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Half-life of the weight of a saved record, in seconds, by kind; see `ageing.Kind`."""
+    """Half-life of the weight of a saved record, in seconds, by kind; see `decay.Kind`."""
 
     pain: Seconds = DEFAULTS[Kind.PAIN].half_life_ns / S
     wait: Seconds = DEFAULTS[Kind.WAIT].half_life_ns / S
@@ -27,7 +27,7 @@
 
 
 class Limits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Age from which a saved record is not restored, in seconds, by kind; see `ageing.Kind`."""
+    """Age from which a saved record is not restored, in seconds, by kind; see `decay.Kind`."""
 
     pain: Seconds = DEFAULTS[Kind.PAIN].drop_after_ns / S
     wait: Seconds = DEFAULTS[Kind.WAIT].drop_after_ns / S
@@ -56,7 +56,7 @@
     key_file: str | None = None  # with a key, files have a MAC instead of a plain checksum
     half_life_s: HalfLives = HalfLives()
     drop_after_s: Limits = Limits()
-    trust_floor: Annotated[float, msgspec.Meta(ge=0.02, le=1)] = 0.03  # see `ageing.Policy`
+    trust_floor: Annotated[float, msgspec.Meta(ge=0.02, le=1)] = 0.03  # see `decay.Policy`
     tokens: TokensSection | None = TokensSection()  # None: spent tokens are not kept on disk
 
     def __post_init__(self) -> None:
--- a/olivecourse/memory/keeper.py
+++ b/olivecourse/memory/snapshotter.py
@@ -11,15 +11,15 @@
 
 from olivecourse.choice import Router
 from olivecourse.memory import codec
-from olivecourse.memory.ageing import elapsed
-from olivecourse.memory.collect import SLICE, Watcher, collect
+from olivecourse.memory.collect import SLICE, IntervalRecorder, collect
+from olivecourse.memory.decay import elapsed
 from olivecourse.memory.disk import Clock, FolderDisk, FolderLocked, stamp_now
 from olivecourse.memory.folder import Folder, LoadResult
-from olivecourse.memory.lessons import Record, Snapshot
 from olivecourse.memory.merging import merged
+from olivecourse.memory.records import Record, Snapshot
+from olivecourse.memory.restore import SnapshotRestore
 from olivecourse.memory.schedule import LogEntry, Schedule
 from olivecourse.memory.section import MemoryConfig
-from olivecourse.memory.uptake import Uptake
 from olivecourse.net.loop import Loop
 from olivecourse.net.worker import Worker
 
@@ -38,18 +38,18 @@
 class TrackedRouter:
     """One Router whose state is restored and saved.
 
-    `since` is when `Keeper.adopt` took it, by the event loop's clock. `restore` is None if there was no
+    `since` is when `Snapshotter.attach` took it, by the event loop's clock. `restore` is None if there was no
     snapshot.
     """
 
     router: Router
     since: int
-    restore: Uptake | None = None
-    watcher: Watcher = field(default_factory=Watcher)
+    restore: SnapshotRestore | None = None
+    interval_recorder: IntervalRecorder = field(default_factory=IntervalRecorder)
     restore_done: bool = False
 
 
-class Keeper:
+class Snapshotter:
     """Saves and restores the state of the Routers of one process.
 
     The constructor locks the folder and loads the newest snapshot. It raises FolderLocked if another process
@@ -98,7 +98,7 @@
 
     # Routers -----------------------------------------------------------------------------------------
 
-    def adopt(self, router: Router) -> None:
+    def attach(self, router: Router) -> None:
         """Restores saved state into a new Router and tracks it; must be called before its first event.
 
         The state is the present one of this process's other Routers, if any has been restored, and otherwise
@@ -113,11 +113,11 @@
             else (self._loaded.snapshot, self._clock())
         )
         if snapshot is not None:
-            tracked.restore = Uptake(snapshot, elapsed(snapshot.stamp, read_at), now, self._policy)
+            tracked.restore = SnapshotRestore(snapshot, elapsed(snapshot.stamp, read_at), now, self._policy)
             tracked.restore.begin(router, now)
         self._routers.append(tracked)
 
-    def leave(self, router: Router) -> None:
+    def detach(self, router: Router) -> None:
         """Stops tracking a Router whose forwarder has gone.
 
         The state of the last tracked Router is kept in memory, for the next one that is adopted.
@@ -131,8 +131,8 @@
         """The present state of `routers`, merged into one snapshot that is not written to disk."""
         now = self._loop.clock.now()
         snapshot = Snapshot(self._name, self._clock(), self._density(routers))
-        records = [x for s in routers for part in collect(s.router, s.watcher, now) for x in part]
-        snapshot.file(merged(records))
+        records = [x for s in routers for part in collect(s.router, s.interval_recorder, now) for x in part]
+        snapshot.add(merged(records))
         return snapshot
 
     @staticmethod
@@ -155,7 +155,7 @@
         if now >= self._next_interval_check:
             self._next_interval_check = now + INTERVAL_CHECK_NS
             for tracked in self._routers:
-                tracked.watcher.look(tracked.router, now)
+                tracked.interval_recorder.update(tracked.router, now)
         self._log_entries(self.schedule.check_slow(now))
         if self._routers and self.schedule.begins(now):
             self._steps = self._collecting()
@@ -166,7 +166,7 @@
         restore = tracked.restore
         if restore is None:
             tracked.restore_done = True
-        elif restore.settle(tracked.router) or now - tracked.since > RESTORE_TIMEOUT_NS:
+        elif restore.update_threshold(tracked.router) or now - tracked.since > RESTORE_TIMEOUT_NS:
             tracked.restore_done = True
             self._log(
                 "memory_taken_up",
@@ -193,7 +193,7 @@
         header = codec.write_header(self._name, self._clock(), PROGRAM)
         records: list[Record] = []
         for tracked in routers:
-            for part in collect(tracked.router, tracked.watcher, now):
+            for part in collect(tracked.router, tracked.interval_recorder, now):
                 records += part
                 yield
         if len(routers) > 1:
--- a/olivecourse/memory/tokenstore.py
+++ b/olivecourse/memory/tokenstore.py
@@ -30,7 +30,7 @@
 from olivecourse.fronts.tokens import MOST_SPENT, Rejected
 from olivecourse.memory.disk import FolderDisk, FolderLocked
 from olivecourse.memory.generations import Reason, file_name, next_number, parse
-from olivecourse.memory.grouping import Group, GroupCommit, Verdict
+from olivecourse.memory.group_commit import Group, GroupCommit, Verdict
 from olivecourse.memory.section import MemoryConfig, TokensSection
 from olivecourse.net.loop import Loop
 from olivecourse.net.worker import Worker
--- a/olivecourse/ops/learned.py
+++ b/olivecourse/ops/learned.py
@@ -11,29 +11,31 @@
 import msgspec
 
 from olivecourse.choice import Router
-from olivecourse.memory.ageing import DEFAULTS, Elapsed, Policy
-from olivecourse.memory.collect import Watcher, collect
-from olivecourse.memory.lessons import Snapshot, Stamp
-from olivecourse.memory.uptake import Uptake
+from olivecourse.memory.collect import IntervalRecorder, collect
+from olivecourse.memory.decay import DEFAULTS, Elapsed, Policy
+from olivecourse.memory.records import Snapshot, Stamp
+from olivecourse.memory.restore import SnapshotRestore
 
 MAX_STATE_BYTES = 2**20
 AGEING_POLICY = Policy(DEFAULTS)
 
 
-def encode_state(router: Router, watcher: Watcher, name: str, now: int, unix_ns: int) -> bytes:
+def encode_state(
+    router: Router, interval_recorder: IntervalRecorder, name: str, now: int, unix_ns: int
+) -> bytes:
     """Encodes the whole state in one call.
 
     About 60 stores and a few hundred hot objects take a few milliseconds.
     """
     snapshot = Snapshot(name, Stamp(unix_ns), router.density)
-    for lessons in collect(router, watcher, now):
-        snapshot.file(lessons)
+    for records in collect(router, interval_recorder, now):
+        snapshot.add(records)
     # JSON can't represent infinity.
     snapshot.intervals = [replace(interval, t=min(interval.t, 1e300)) for interval in snapshot.intervals]
     return msgspec.json.encode(snapshot)
 
 
-def restore_state(router: Router, data: bytes, now: int, unix_ns: int) -> Uptake:
+def restore_state(router: Router, data: bytes, now: int, unix_ns: int) -> SnapshotRestore:
     """Restores the state into a Router that has had no event yet.
 
     Raises ValueError, and then leaves the Router unchanged.
@@ -42,6 +44,6 @@
         raise ValueError(f"{len(data)} bytes are too many")
     snapshot = msgspec.json.decode(data, type=Snapshot)  # raises ValidationError, a ValueError
     elapsed_ns = max(unix_ns - snapshot.stamp.unix_ns, 0)
-    uptake = Uptake(snapshot, Elapsed(elapsed_ns, True), now, AGEING_POLICY)
-    uptake.begin(router, now)
-    return uptake
+    restore = SnapshotRestore(snapshot, Elapsed(elapsed_ns, True), now, AGEING_POLICY)
+    restore.begin(router, now)
+    return restore
--- a/olivecourse/ops/succession.py
+++ b/olivecourse/ops/succession.py
@@ -15,7 +15,7 @@
 from olivecourse.choice import Router
 from olivecourse.fronts.listener import Handed, Listener
 from olivecourse.fronts.thrift import ThriftClient, ThriftFront
-from olivecourse.memory.collect import Watcher
+from olivecourse.memory.collect import IntervalRecorder
 from olivecourse.net.loop import Loop
 from olivecourse.ops.handover import HandoverListener, Link, request_handover
 from olivecourse.ops.handwire import BadMessage, Kind, Message
@@ -82,7 +82,7 @@
         self._process_record = ProcessRecord(folder, name, log)
         self._front: Listener | None = None
         self._router: Router | None = None
-        self._watcher = Watcher()
+        self._interval_recorder = IntervalRecorder()
         self._warm_state = b""
         self._handover_listener: HandoverListener | None = None
         self._lineage = ProcessLineage[Link]()
@@ -110,11 +110,11 @@
         if not self._warm_state:
             return
         try:
-            uptake = restore_state(router, self._warm_state, self._loop.clock.now(), time.time_ns())
+            restore = restore_state(router, self._warm_state, self._loop.clock.now(), time.time_ns())
         except ValueError as error:
             self._log("handover_unusable", why=str(error))
         else:
-            self._loop.after(0, lambda: uptake.settle(router))
+            self._loop.after(0, lambda: restore.update_threshold(router))
         self._warm_state = b""
 
     def start(self, front: Listener) -> None:
@@ -172,7 +172,7 @@
         self._scan_processes()
         self._scan_count += 1
         if self._router is not None and self._scan_count % SCANS_PER_INTERVAL_CHECK == 0:
-            self._watcher.look(self._router, self._loop.clock.now())
+            self._interval_recorder.update(self._router, self._loop.clock.now())
         self._loop.after(SCAN_INTERVAL_NS, self._tick)
 
     # Transfer of client connections -------------------------------------------------------------------
@@ -241,7 +241,9 @@
         warm_state = (
             b""
             if self._router is None
-            else encode_state(self._router, self._watcher, self._name, self._loop.clock.now(), time.time_ns())
+            else encode_state(
+                self._router, self._interval_recorder, self._name, self._loop.clock.now(), time.time_ns()
+            )
         )
         link.send(Message(Kind.LEARNED, raw=warm_state))
         self._log("upgrade_begins", learned_bytes=len(warm_state))
--- a/olivecourse/service.py
+++ b/olivecourse/service.py
@@ -14,7 +14,7 @@
 from olivecourse.net.seam import PlannerServer
 
 if TYPE_CHECKING:
-    from olivecourse.memory.keeper import Keeper
+    from olivecourse.memory.snapshotter import Snapshotter
 
 
 class PlannerService:
@@ -26,12 +26,12 @@
         if config.planner is None:
             raise ValueError("no planner socket")
         self.loop, self.log, self._config = Loop(), log, config
-        self._keeper: Keeper | None = None
+        self._snapshotter: Snapshotter | None = None
         if "memory" in config.sections:
-            from olivecourse.memory.keeper import Keeper
+            from olivecourse.memory.snapshotter import Snapshotter
 
-            self._keeper = Keeper(self.loop, config.sections["memory"], config.name, log)
-            self._keeper.start()
+            self._snapshotter = Snapshotter(self.loop, config.sections["memory"], config.name, log)
+            self._snapshotter.start()
         self._server = PlannerServer(
             self.loop, config.planner, config.settings, log, self._on_planner_created, self._on_planner_gone
         )
@@ -41,24 +41,24 @@
         values of earlier runs, if the configuration enables them.
         """
         if "storms" in self._config.sections:
-            from olivecourse.storm.guard import Guard
+            from olivecourse.storm.controller import StormController
 
             settings = self._config.settings
             planner.set_limiter(
-                Guard(
+                StormController(
                     self._config.sections["storms"].policy(),
                     settings,
                     self.loop.clock.now(),
                     Random(settings.seed).random,
                 )
             )
-        if self._keeper is not None:
-            self._keeper.adopt(planner.router)
+        if self._snapshotter is not None:
+            self._snapshotter.attach(planner.router)
 
     def _on_planner_gone(self, planner: Planner) -> None:
         """Stops saving the learned values of a planner whose forwarder disconnected."""
-        if self._keeper is not None:
-            self._keeper.leave(planner.router)
+        if self._snapshotter is not None:
+            self._snapshotter.detach(planner.router)
 
     def stop(self) -> None:
         """Makes `run` return after the current turn of the event loop. Called at SIGTERM."""
@@ -75,8 +75,8 @@
         self.log("ready", planner=self._server.path)
         self.loop.run(lambda: None)
         # Saves the learned values, which must happen while the forwarders' Routers still exist.
-        if self._keeper is not None:
-            self._keeper.stop()
+        if self._snapshotter is not None:
+            self._snapshotter.stop()
         self._server.close()
         self.loop.close()
         self.log("stopped")
--- a/olivecourse/storm/guard.py
+++ b/olivecourse/storm/controller.py
@@ -20,10 +20,10 @@
     Verdict,
 )
 from olivecourse.storm.budgets import BudgetPolicy, RetryBudgets
-from olivecourse.storm.calendar import RetrySchedule
-from olivecourse.storm.heed import ComplianceTracker
-from olivecourse.storm.notice import BIN_NS, Notice, ShareDetector
-from olivecourse.storm.repeats import RetryTracker
+from olivecourse.storm.detector import BIN_NS, ShareDetector, StormMonitor
+from olivecourse.storm.retry_after import ComplianceTracker
+from olivecourse.storm.retry_schedule import RetrySchedule
+from olivecourse.storm.retry_tracker import RetryTracker
 
 MS = 1_000_000
 RATE_DECAY = 0.9  # factor of the old value of a rate at each bin of 100 ms: about a second of memory
@@ -94,7 +94,7 @@
         return max(self.best_per_s - self.first_per_s, MIN_SPARE_PART * self.best_per_s)
 
 
-class Guard:
+class StormController:
     """Detects storms and limits one Router during them.
 
     `uniform` returns random numbers from 0 to 1, by which the times of client retries are spread.
@@ -104,7 +104,7 @@
         self, policy: Policy, settings: interface.Settings, now: int, uniform: Callable[[], float]
     ) -> None:
         self._classes, self._now = settings.classes, now
-        self.monitor = Notice(ShareDetector(), now, policy.on, policy.off)
+        self.monitor = StormMonitor(ShareDetector(), now, policy.on, policy.off)
         limiter: Limiter = Gradient() if policy.limiter == "gradient" else Aimd(policy.target_wait_ns)
         self.admission = AdmissionController(limiter)
         self.budgets = RetryBudgets(policy.budget, MAX_BUCKETS)
@@ -184,7 +184,7 @@
                 marked if client is None else self.retries.is_retry(client, self._key(event), marked, now)
             )
             self._weight = 1.0 if client is None else self.compliance.record_request(client, now)
-            self.monitor.arrived(self._is_retry)
+            self.monitor.record_arrival(self._is_retry)
             if not self._is_retry:
                 self.rates.first()
         elif isinstance(event, interface.AttemptEnded):
@@ -210,7 +210,7 @@
         opened = self._open.pop(event.request, None)
         if opened is None:
             return
-        self.monitor.served()
+        self.monitor.record_served()
         self.rates.useful()
         waited = max(now - opened.began - opened.cost_ns, 0.0)
         self.admission.ended(waited, opened.in_flight, False, now)
--- a/olivecourse/storm/notice.py
+++ b/olivecourse/storm/detector.py
@@ -111,7 +111,7 @@
     level: float
 
 
-class Notice:
+class StormMonitor:
     """Counts requests in bins of 100 ms, passes them to a detector and reports when a storm begins and ends.
 
     A storm begins after `hold` consecutive bins with the detector's level at or above `on`. It ends after
@@ -133,14 +133,14 @@
         """The detector's level, from 0 to 1, as of the last closed bin."""
         return self._detector.level()
 
-    def arrived(self, retry: bool, amount: float = 1.0) -> None:
+    def record_arrival(self, retry: bool, amount: float = 1.0) -> None:
         """Counts `amount` arriving client requests, as retries if `retry` is True, else as first tries."""
         if retry:
             self._bin.retries += amount
         else:
             self._bin.first += amount
 
-    def served(self, amount: float = 1.0) -> None:
+    def record_served(self, amount: float = 1.0) -> None:
         """Counts `amount` answers that were served in time."""
         self._bin.useful += amount
 
--- a/olivecourse/storm/section.py
+++ b/olivecourse/storm/section.py
@@ -8,7 +8,7 @@
 
 from olivecourse.config.sections import read_section
 from olivecourse.storm.budgets import BudgetPolicy
-from olivecourse.storm.guard import MS, Policy
+from olivecourse.storm.controller import MS, Policy
 
 Level = Annotated[float, msgspec.Meta(ge=0, le=1)]
 
@@ -32,7 +32,7 @@
             raise ValueError("notice_off is to be below notice_on")
 
     def policy(self) -> Policy:
-        """The section as the policy of a storm controller (`guard.Guard`)."""
+        """The section as the policy of a storm controller (`controller.StormController`)."""
         return Policy(
             self.notice_on,
             self.notice_off,
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -26,17 +26,17 @@
 from olivecourse.choice import Router
 from olivecourse.config.gateway_config import InvalidConfig, load_operator
 from olivecourse.memory import codec, container
-from olivecourse.memory.ageing import DEFAULTS, Decay, Elapsed, Policy, elapsed
-from olivecourse.memory.collect import GROUPS, MAX_PURGES, Watcher, collect
+from olivecourse.memory.collect import GROUPS, MAX_PURGES, IntervalRecorder, collect
 from olivecourse.memory.container import UnusableFile, derive_key
+from olivecourse.memory.decay import DEFAULTS, Decay, Elapsed, Policy, elapsed
 from olivecourse.memory.disk import FolderDisk, FolderLocked
 from olivecourse.memory.folder import Folder
 from olivecourse.memory.generations import Reason
-from olivecourse.memory.keeper import Keeper
-from olivecourse.memory.lessons import ClassRecord, Interval, PurgeRecord, Snapshot, Stamp, StoreRecord
 from olivecourse.memory.merging import merged
+from olivecourse.memory.records import ClassRecord, Interval, PurgeRecord, Snapshot, Stamp, StoreRecord
+from olivecourse.memory.restore import SnapshotRestore
 from olivecourse.memory.section import MemoryConfig, MemorySection
-from olivecourse.memory.uptake import Uptake
+from olivecourse.memory.snapshotter import Snapshotter
 from olivecourse.net.loop import Loop
 
 DATA = Path(__file__).parent / "data"
@@ -209,11 +209,11 @@
     for saved in (None, snap):
         router = Router(make_settings(), now)
         if saved is not None:
-            restore = Uptake(saved, passed, now, POLICY)
+            restore = SnapshotRestore(saved, passed, now, POLICY)
             restore.begin(router, now)
         router.handle(interface.CacheList(1, interface.ListKind.HELD, tuple(members)), now)
         if saved is not None:
-            restore.settle(router)
+            restore.update_threshold(router)
         both.append(router)
     return both
 
@@ -322,8 +322,8 @@
 
 def take_snapshot(router, now):
     """A Snapshot of the Router's present state."""
-    snap, watcher = snapshot(router.density), Watcher()
-    snap.file([x for part in collect(router, watcher, now) for x in part])
+    snap, interval_recorder = snapshot(router.density), IntervalRecorder()
+    snap.add([x for part in collect(router, interval_recorder, now) for x in part])
     return snap
 
 
@@ -408,18 +408,20 @@
 # Snapshots on a failing disk -----------------------------------------------------------------
 
 
-class KeeperHarness:
-    """A Keeper with one Router, on an event loop that the test drives."""
+class SnapshotterHarness:
+    """A Snapshotter with one Router, on an event loop that the test drives."""
 
     make_loop = Loop
 
     def __init__(self, path, **section):
         self.loop, self.logged = Loop(), []
         config = MemoryConfig(path, None, MemorySection(str(path), interval_s=0.1, **section))
-        self.keeper = Keeper(self.loop, config, "n0", lambda event, **v: self.logged.append((event, v)))
+        self.snapshotter = Snapshotter(
+            self.loop, config, "n0", lambda event, **v: self.logged.append((event, v))
+        )
         self.router = Router(make_settings(), self.loop.clock.now())
-        self.keeper.adopt(self.router)
-        self.keeper.start()
+        self.snapshotter.attach(self.router)
+        self.snapshotter.start()
 
     def until(self, condition, seconds=20):
         end = time.monotonic() + seconds
@@ -433,21 +435,21 @@
         return [v for e, v in self.logged if e == event]
 
     def close(self):
-        self.keeper.stop()
+        self.snapshotter.stop()
         self.loop.close()
 
 
 def test_a_full_slow_or_missing_disk_is_logged_once_and_the_loop_keeps_running(tmp_path, monkeypatch):
     folder = tmp_path / "memory"
-    harness = KeeperHarness(folder)
-    harness.until(lambda: harness.keeper.schedule.written)
+    harness = SnapshotterHarness(folder)
+    harness.until(lambda: harness.snapshotter.schedule.written)
 
     def full(self, handle, data):
         raise OSError(28, "No space left on device")
 
     real_write, real_sync = FolderDisk.write, FolderDisk.sync
     monkeypatch.setattr(FolderDisk, "write", full)
-    harness.until(lambda: harness.keeper.schedule.failures >= 3)
+    harness.until(lambda: harness.snapshotter.schedule.failures >= 3)
     assert len(harness.log_fields("memory_write_failed")) == 1
     monkeypatch.setattr(FolderDisk, "write", real_write)
     harness.until(lambda: harness.log_fields("memory_writes_again"))
@@ -476,24 +478,24 @@
 
 
 def test_a_locked_folder_is_rejected_and_a_folder_that_cannot_be_created_is_only_logged(tmp_path):
-    first = KeeperHarness(tmp_path / "memory")
+    first = SnapshotterHarness(tmp_path / "memory")
     with pytest.raises(FolderLocked):
-        KeeperHarness(tmp_path / "memory")
+        SnapshotterHarness(tmp_path / "memory")
     first.close()
-    KeeperHarness(tmp_path / "memory").close()
-    nowhere = KeeperHarness(tmp_path / "missing" / "memory")
+    SnapshotterHarness(tmp_path / "memory").close()
+    nowhere = SnapshotterHarness(tmp_path / "missing" / "memory")
     assert nowhere.log_fields("memory_unusable")
     nowhere.close()
 
 
 def test_a_replaced_folder_that_is_locked_by_another_gateway_is_not_written(tmp_path):
     folder = tmp_path / "m"
-    first = KeeperHarness(folder)
-    first.until(lambda: first.keeper.schedule.written)
+    first = SnapshotterHarness(folder)
+    first.until(lambda: first.snapshotter.schedule.written)
     folder.rename(tmp_path / "gone")
     other = FolderDisk(folder)
     other.open_locked("router.lock")
-    first.until(lambda: first.keeper.schedule.failures >= 3)  # neither at the first attempt nor later
+    first.until(lambda: first.snapshotter.schedule.failures >= 3)  # neither at the first attempt nor later
     assert [p.name for p in folder.iterdir()] == ["router.lock"]
     other.release()
     first.until(lambda: list(folder.glob("router.*.mem")))
@@ -627,8 +629,8 @@
 
 
 def test_a_folder_that_became_read_only_is_read_and_still_locked(tmp_path, monkeypatch):
-    first = KeeperHarness(tmp_path)
-    first.until(lambda: first.keeper.schedule.written)
+    first = SnapshotterHarness(tmp_path)
+    first.until(lambda: first.snapshotter.schedule.written)
     first.close()
     real_open = os.open
 
@@ -638,9 +640,9 @@
         return real_open(path, flags, *rest, **more)
 
     monkeypatch.setattr("olivecourse.memory.disk.os.open", read_only)
-    second = KeeperHarness(tmp_path)
+    second = SnapshotterHarness(tmp_path)
     second.until(lambda: second.log_fields("memory_write_failed") and second.log_fields("memory_taken_up"))
     assert second.log_fields("memory_write_failed")[0]["why"] == "Read-only file system"
     with pytest.raises(FolderLocked):
-        KeeperHarness(tmp_path)
+        SnapshotterHarness(tmp_path)
     second.close()
--- a/tests/test_spent.py
+++ b/tests/test_spent.py
@@ -12,13 +12,13 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from test_memory import KeeperHarness, fixed
+from test_memory import SnapshotterHarness, fixed
 from test_signed import ORDER, SignedStage
 
 from olivecourse.components import MemoryComponent
 from olivecourse.config.gateway_config import load_operator
 from olivecourse.fronts.tokens import Rejected
-from olivecourse.memory.grouping import Group, GroupCommit, State, Verdict
+from olivecourse.memory.group_commit import Group, GroupCommit, State, Verdict
 from olivecourse.memory.section import MemoryConfig, MemorySection, TokensSection
 from olivecourse.memory.tokenstore import DurableSpent, TokenStore, token_digest
 
@@ -92,13 +92,13 @@
     assert group_commit.spend(b"c", 100.5, 0, 60.0) is Verdict.TAKEN
 
 
-class TokenStoreHarness(KeeperHarness):
+class TokenStoreHarness(SnapshotterHarness):
     """A DurableSpent on an event loop that the test drives."""
 
     def __init__(self, path, name="n0", **tokens):
-        self.loop, self.logged = KeeperHarness.make_loop(), []
+        self.loop, self.logged = SnapshotterHarness.make_loop(), []
         config = MemoryConfig(path, None, MemorySection(str(path), tokens=TokensSection(**tokens)))
-        self.keeper = self.spent = DurableSpent(
+        self.snapshotter = self.spent = DurableSpent(
             self.loop, config, name, 3.0, lambda event, **v: self.logged.append((event, v))
         )
 
@@ -287,7 +287,7 @@
         return load_operator(str(path), {})
 
     def close(self):
-        for component in (self.gateway.component(MemoryComponent).keeper, self.gateway.spent):
+        for component in (self.gateway.component(MemoryComponent).snapshotter, self.gateway.spent):
             component.stop()
         super().close()
 
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -20,13 +20,13 @@
 from olivecourse import interface
 from olivecourse.storm.admission import AdmissionController, AdmissionRequest, Aimd, Gradient, Verdict
 from olivecourse.storm.budgets import BudgetPolicy, RetryBudgets
-from olivecourse.storm.calendar import MIN_WAIT_NS, SLOT_NS, RetrySchedule
+from olivecourse.storm.controller import Policy, StormController
+from olivecourse.storm.detector import Bin, ShareDetector, StormMonitor
 from olivecourse.storm.explain import read
-from olivecourse.storm.guard import Guard, Policy
-from olivecourse.storm.heed import MAX_PENALTY, ComplianceTracker
-from olivecourse.storm.notice import Bin, Notice, ShareDetector
-from olivecourse.storm.ramp import Escrow, TransferRow, cold_budget
-from olivecourse.storm.repeats import RetryTracker
+from olivecourse.storm.retry_after import MAX_PENALTY, ComplianceTracker
+from olivecourse.storm.retry_schedule import MIN_WAIT_NS, SLOT_NS, RetrySchedule
+from olivecourse.storm.retry_tracker import RetryTracker
+from olivecourse.storm.slow_start import Escrow, TransferRow, cold_budget
 
 MS, S = 1_000_000, 1_000_000_000
 
@@ -47,14 +47,14 @@
 @fixed
 @given(rows=st.lists(st.tuples(st.floats(0, 1e6), st.floats(0, 1e6), st.floats(0, 1e6)), max_size=50))
 def test_levels_stay_between_0_and_1_and_begins_and_ends_alternate(rows):
-    detector, monitor = ShareDetector(), Notice(ShareDetector(), 0)
+    detector, monitor = ShareDetector(), StormMonitor(ShareDetector(), 0)
     changes = []
     for n, (first, retries, useful) in enumerate(rows):
         detector.add(Bin(first, retries, useful))
         assert 0 <= detector.level() <= 1
-        monitor.arrived(False, first)
-        monitor.arrived(True, retries)
-        monitor.served(useful)
+        monitor.record_arrival(False, first)
+        monitor.record_arrival(True, retries)
+        monitor.record_served(useful)
         changes += [c.begins for c in monitor.advance((n + 1) * 100 * MS)]
     assert changes == [n % 2 == 0 for n in range(len(changes))]
 
@@ -236,7 +236,9 @@
         self.random, self.ignores_retry_after, self.marked = random.Random(seed), ignores_retry_after, marked
         classes = (interface.RequestClass("read", 300 * MS, 0.0, S, effect=interface.Effect.IDEMPOTENT),)
         router_settings = interface.Settings(classes=classes, retry_after=True, max_retry_after_ns=S)
-        self.guard = Guard(Policy(), router_settings, 0, self.random.random) if with_controller else None
+        self.controller = (
+            StormController(Policy(), router_settings, 0, self.random.random) if with_controller else None
+        )
         self.queue, self.open, self.good = [], {}, [0] * 400
         self.due = [(self.random.randrange(5 * S), c, 0) for c in range(300)]
         self.logged, self.count, self.longest_queue = [], 0, 0
@@ -262,8 +264,8 @@
                         interface.AttemptEnded(name, 0, 1, interface.Status.SERVED, now - since, True),
                     )
                     heapq.heappush(self.due, (now + int(self.random.expovariate(1 / (5 * S))), client, 0))
-            if self.guard is not None:
-                self.logged += self.guard.on_actions([], now)
+            if self.controller is not None:
+                self.logged += self.controller.on_actions([], now)
         return self.good
 
     def send_request(self, client, tries, now):
@@ -275,11 +277,11 @@
             client=client,
             flags=interface.Flag(2 if tries and self.marked else 0),
         )
-        if self.guard is not None:
-            self.guard.on_event(request, now)
-            if not self.guard.admit(request, 10 * MS, S, len(self.open)):
-                wait = self.guard.retry_after_ns(request, S)
-                self.guard.on_actions([interface.Refuse(request.request, wait)], now)
+        if self.controller is not None:
+            self.controller.on_event(request, now)
+            if not self.controller.admit(request, 10 * MS, S, len(self.open)):
+                wait = self.controller.retry_after_ns(request, S)
+                self.controller.on_actions([interface.Refuse(request.request, wait)], now)
                 heapq.heappush(
                     self.due, (now + (10 * MS if self.ignores_retry_after else wait), client, tries + 1)
                 )
@@ -290,8 +292,8 @@
 
     def end(self, name, now, event):
         del self.open[name]
-        if self.guard is not None:
-            self.guard.on_event(event, now)
+        if self.controller is not None:
+            self.controller.on_event(event, now)
 
 
 def recovered(good, before):
@@ -342,19 +344,19 @@
 
 
 def test_the_controller_limits_nothing_without_a_storm():
-    guard = Office(True, False).guard
+    controller = Office(True, False).controller
     for n in range(3000):
         request = interface.Request(f"r{n}", 0, object="o")
-        guard.on_event(request, n * 10 * MS)
+        controller.on_event(request, n * 10 * MS)
         assert (
-            guard.admit(request, 10 * MS, S, 5)
-            and guard.may_retry(request, 1, 2)
-            and guard.retry_after_ns(request, S) == S
+            controller.admit(request, 10 * MS, S, 5)
+            and controller.may_retry(request, 1, 2)
+            and controller.retry_after_ns(request, S) == S
         )
-        guard.on_event(
+        controller.on_event(
             interface.AttemptEnded(request.request, 0, 1, interface.Status.SERVED, MS, True), n * 10 * MS + MS
         )
-        assert guard.on_actions([], n * 10 * MS + MS) == [] and not guard._open
+        assert controller.on_actions([], n * 10 * MS + MS) == [] and not controller._open
 
 
 def test_the_router_asks_its_limits_and_a_write_is_refused_only_before_it_ran(drive):
@@ -400,7 +402,7 @@
     log.write_text("\n".join(map(json.dumps, lines)) + "\nTraceback: no line of ours\n")
     first, second = (found := read(log.open())).storms
     assert found.unread == 1 and (first.began, first.ended, second.ended) == ("t2", "t3", "")
-    assert first.rejected["crowded"] == office.guard.rejected["crowded"] > 100 and first.level >= 0.3
+    assert first.rejected["crowded"] == office.controller.rejected["crowded"] > 100 and first.level >= 0.3
     assert "store_connection_lost store=s-1 out=9" in first.preceding
     done = run("storms", "explain", str(log))
     assert done.returncode == 0 and "2 storms" in done.stdout and "still on" in done.stdout
