--- a/olivecourse/relay/commands.py
+++ b/olivecourse/relay/commands.py
@@ -1,4 +1,6 @@
-"""`olivecourse relay`: operators' queries to a running relay; and the descriptor limit of a relay process."""
+"""`olivecourse relay`: operators' queries to a running relay. Also raises a relay process's limit on open
+file descriptors.
+"""
 
 from __future__ import annotations
 
@@ -12,11 +14,11 @@
 
 from olivecourse.config.address import parse_address
 
-TIMEOUT_S = 5.0
+TIMEOUT_S = 5.0  # for connecting to the relay, and for each read of its answer
 
 
 def most_descriptors() -> int:
-    """Raises this process's soft limit on open files to the hard limit, and returns that limit."""
+    """Raises this process's soft limit on open file descriptors to the hard limit; returns the hard limit."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft != hard:
         resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
@@ -24,7 +26,10 @@
 
 
 def _fetch(address: str, path: str) -> Any:
-    """Returns the relay's JSON answer to a GET of `path`; exits with 3 if there is no valid answer."""
+    """Returns the decoded JSON body that the relay at `address` answers to a GET of `path`.
+
+    If the relay does not answer, or not with status 200 and valid JSON, prints why and exits with code 3.
+    """
     try:
         host, port = parse_address(address)
     except ValueError as error:
@@ -69,7 +74,7 @@
 
 
 def _print_status(report: dict[str, Any]) -> None:
-    """Prints a relay's status for people."""
+    """Prints the decoded status that `encode_status` produced as lines of text for an operator."""
     upstream, watchers = report["upstream"], report["watchers"]
     mark = "none yet" if report["mark"] is None else report["mark"]
     click.echo(f"{report['name']}: newest event {report['revision']}, low-water mark {mark}")
--- a/olivecourse/relay/connection.py
+++ b/olivecourse/relay/connection.py
@@ -1,4 +1,7 @@
-"""One watcher's connection to a relay: reads requests one at a time and sends answers shared by many."""
+"""The HTTP connection of one watcher (a gateway, or a relay below) to a relay.
+
+Requests are handled one at a time. The bytes of an answer are shared by all watchers that get the same one.
+"""
 
 from __future__ import annotations
 
@@ -18,16 +21,18 @@
 if TYPE_CHECKING:
     from olivecourse.relay.server import RelayServer
 
-MAX_REQUEST_BYTES = 8_192  # of one request including its head; a poll has about 80
-MAX_PIPELINED = 64  # requests queued behind an unanswered one; gateways send none
-CLOSE_TIMEOUT_NS = 500_000_000  # for the peer to read a refusal and close
-UNUSED_BUFFER_BYTES = 1  # bytes; `read` and `send` bypass the buffers of Stream
+MAX_REQUEST_BYTES = 8_192  # longest accepted request, with its head and body; a poll has about 80 bytes
+MAX_PIPELINED = 64  # requests that a peer may send before an earlier one is answered; gateways send none
+CLOSE_TIMEOUT_NS = 500_000_000  # time for the peer to read the last answer or refusal and to close
+UNUSED_BUFFER_BYTES = 1  # size of Stream's two buffers, which `read` and `send` of this class bypass
 
-IDLE, WAITING, SENDING, CLOSING = range(4)
+IDLE, WAITING, SENDING, CLOSING = range(4)  # the states of a WatcherConnection
 
 
 class Request:
-    """A complete HTTP request: its method, its target, and whether the connection stays open after it."""
+    """A complete HTTP request: its method, its target (path and query), and whether the connection stays open
+    after the answer.
+    """
 
     __slots__ = ("keep_alive", "method", "target")
 
@@ -40,13 +45,16 @@
 class WatcherConnection(Stream):
     """The connection of one watcher: a gateway, or a relay that polls this one.
 
-    States: IDLE until a request is complete, WAITING while a poll is held, SENDING until the socket has taken
-    the whole answer, CLOSING after a refusal. An answer is never copied: what the socket does not take at
-    once stays a view of the shared answer.
+    States: IDLE until a request is complete, WAITING while a poll is held until there are events for it,
+    SENDING until the socket has taken the whole answer, CLOSING from a refusal or a last answer until the
+    connection has ended. The bytes of an answer, which many connections share, are normally not copied: what
+    the socket does not take at once is kept as a memoryview of them.
     """
 
     def __init__(self, server: RelayServer, sock: socket.socket, name: str, key: int) -> None:
-        """`name` identifies the watcher to operators; `key` is unique among the connections of this relay."""
+        """`name` is the peer's HOST:PORT, shown to operators; `key` is a number that no other connection of
+        this relay has.
+        """
         self.server = server
         self.name = name
         self.key = key
@@ -65,7 +73,10 @@
     # Requests
 
     def read(self) -> None:
-        """Reads once; the level-triggered selector reports any remaining bytes in the next turn."""
+        """Called when the socket is readable: receives once, or defers that if the turn's time is used up.
+
+        The level-triggered selector reports any remaining bytes in the next turn of the event loop.
+        """
         now = self.server.time_within_budget()
         if not now:
             self.server.defer(self)
@@ -85,7 +96,9 @@
                 self._next_request(now)
 
     def read_deferred_bytes(self) -> None:
-        """Reads the bytes for which an earlier turn had no time, unless the connection has closed."""
+        """Makes the read that `read` deferred in an earlier turn of the event loop, unless the connection has
+        closed.
+        """
         if self.open:
             self._ready(READ)
 
@@ -116,7 +129,10 @@
         self._pipelined.append(Request(self._parser.get_method(), target, self._parser.should_keep_alive()))
 
     def _next_request(self, now: int) -> None:
-        """Handles the oldest queued request; each later one gets its own turn, which keeps turns short."""
+        """Handles the oldest complete request that is still unhandled, if any.
+
+        Each further pipelined request is handled in a turn of the event loop of its own, to keep turns short.
+        """
         if not self._pipelined:
             return
         request = self._pipelined.pop(0)
@@ -126,12 +142,15 @@
     # Answers
 
     def hold(self, due_ns: int) -> None:
-        """Holds the poll until there are events for it, or until `due_ns`."""
+        """Leaves the poll unanswered until there are events for it, or until the time `due_ns`."""
         self.state = WAITING
         self.server.deadlines.set(self.deadline, due_ns)
 
     def send(self, body: bytes, now: int) -> None:
-        """Answers the request with `body`, which many connections may share."""
+        """Sends a 200 response with `body`; other connections may be sending the same bytes object.
+
+        What the socket does not take at once is kept and sent by `flush`.
+        """
         head = answer_head(len(body), self._keep_alive)
         self.state = SENDING
         try:
@@ -147,20 +166,20 @@
             self._hold_unread(head, body, sent, now)
 
     def _hold_unread(self, head: bytes, body: bytes, sent: int, now: int) -> None:
-        if sent < len(head):  # rare, as the head alone does not fill a socket buffer
+        if sent < len(head):  # copies the body; rare, as the head alone does not fill a socket buffer
             body = head[sent:] + body
             sent = 0
         else:
             sent -= len(head)
         self._unread = memoryview(body)[sent:]
-        self._blocked = True  # makes the Stream wait until the socket is writable
+        self._blocked = True  # makes Stream._want also wait for the socket to be writable, to call `flush`
         self._want()
         server = self.server
         server.deadlines.set(self.deadline, now + server.read_timeout_ns)
         server.hold_unread(self, body)
 
     def flush(self) -> None:
-        """Sends more of the unread answer once the socket is writable."""
+        """Called when the socket is writable: sends more of the answer that it has taken only in part."""
         unread = self._unread
         if unread is None:
             self._blocked = False
@@ -197,16 +216,16 @@
             self._next_request(self.loop.clock.now())
 
     def send_and_close(self, body: bytes, now: int) -> None:
-        """Answers the held poll and then closes the connection."""
+        """Answers the held poll and then closes the connection; used while the relay stops."""
         self._keep_alive = False
         self.send(body, now)
 
     def refuse(self, status: HTTPStatus, why: str) -> None:
-        """Answers with an error status and closes the connection."""
+        """Answers the request with the error `status` and the text `why`, and closes the connection."""
         if self.state == CLOSING or not self.open:
             return
         self.server.request_refused(self, status, why)
-        if self._unread is not None:  # an error can't be sent in the middle of another answer
+        if self._unread is not None:  # an earlier answer is still being sent; an error can't interrupt it
             self.close(why)
             return
         try:
@@ -217,7 +236,7 @@
         self._begin_close(self.loop.clock.now())
 
     def _begin_close(self, now: int) -> None:
-        """Shuts down the sending side and waits for the peer to close.
+        """Shuts down the sending side and waits up to CLOSE_TIMEOUT_NS for the peer to close.
 
         After an immediate close, bytes still in flight from the peer would reset the connection and lose the
         answer.
@@ -245,7 +264,7 @@
             self.close("done")
 
     def closed(self, why: str) -> None:
-        """Called once, when the connection has ended."""
+        """Called once by Stream when the connection has ended, for the reason `why`."""
         self.deadline.due_ns = 0
         self._unread = None
         self._pipelined.clear()
--- a/olivecourse/relay/deadlines.py
+++ b/olivecourse/relay/deadlines.py
@@ -1,38 +1,41 @@
-"""Deadlines of many connections, each of which is moved often; without I/O.
+"""Deadlines of many connections, where each deadline is moved often; without I/O.
 
-Deadlines are grouped in time buckets. A postponed deadline stays in its bucket and moves only when that
-bucket comes due, so that a poll needs no timer of its own (the lazy form of a hashed timing wheel: G.
-Varghese and A. Lauck, "Hashed and Hierarchical Timing Wheels", 1987).
+Deadlines are grouped in time buckets of 20 ms. A postponed deadline stays in its bucket and is moved to a
+later one only when that bucket comes due, so that a poll needs no timer of its own in the event loop (the
+lazy form of a hashed timing wheel: G. Varghese and A. Lauck, "Hashed and Hierarchical Timing Wheels", 1987).
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-BUCKET_NS = 20_000_000  # how late a deadline may be met; no deadline here needs to be more precise
+BUCKET_NS = 20_000_000  # width of a time bucket; deadlines are met this much late, which none here minds
 
 
 class Deadline:
-    """A callback that is due at `due_ns`, or never if that is 0."""
+    """A callback to be run at the time `due_ns` in nanoseconds, or never if that is 0.
+
+    `Deadlines.set` schedules it.
+    """
 
     __slots__ = ("bucket", "call", "due_ns")
 
     def __init__(self, call: Callable[[int], object]) -> None:
-        """`call` gets the time at which the deadline was found to have passed."""
+        """`call` is the callback; its argument is the current time in nanoseconds."""
         self.call = call
-        self.due_ns = 0  # 0: never
-        self.bucket = 0  # the earliest bucket that holds it; 0: none
+        self.due_ns = 0  # 0: not scheduled, or cancelled
+        self.bucket = 0  # index (time // BUCKET_NS) of the earliest bucket that lists this object; 0: none
 
 
 class Deadlines:
-    """All deadlines of a server; each is met up to BUCKET_NS late and never early."""
+    """All deadlines of a server; each is found due up to BUCKET_NS late and never early."""
 
     def __init__(self, now: int) -> None:
         self._buckets: dict[int, list[Deadline]] = {}
-        self._next = now // BUCKET_NS  # the first bucket that has not been processed
+        self._next = now // BUCKET_NS  # index of the first bucket that `take_due` has not processed
 
     def set(self, deadline: Deadline, due_ns: int) -> None:
-        """Moves `deadline` to `due_ns`."""
+        """Schedules `deadline` for the time `due_ns`, in place of any earlier schedule."""
         deadline.due_ns = due_ns
         bucket = max(due_ns // BUCKET_NS + 1, self._next)
         if deadline.bucket and deadline.bucket <= bucket:
@@ -50,7 +53,7 @@
     def take_due(self, now: int) -> list[Deadline]:
         """Removes and returns the deadlines that have passed by `now`, for the caller to run.
 
-        They come in the order of their buckets.
+        They are ordered by bucket, not by time within a bucket.
         """
         due: list[Deadline] = []
         last = now // BUCKET_NS
@@ -58,7 +61,7 @@
             bucket = self._next
             self._next = bucket + 1
             for deadline in self._buckets.pop(bucket, ()):
-                # Skips a deadline that an earlier bucket holds, and one that has been cancelled.
+                # Skips the stale entry of a deadline that was moved to another bucket, and a cancelled one.
                 if deadline.bucket != bucket or not deadline.due_ns:
                     if deadline.bucket == bucket:
                         deadline.bucket = 0
--- a/olivecourse/relay/event_log.py
+++ b/olivecourse/relay/event_log.py
@@ -1,4 +1,7 @@
-"""The newest events, each encoded once into one growing buffer; an answer is a slice of the buffer."""
+"""A log of the newest events, each encoded as JSON once into one growing buffer.
+
+The events of an answer to a poll are a slice of that buffer.
+"""
 
 from __future__ import annotations
 
@@ -7,9 +10,11 @@
 
 from olivecourse.relay.events import RelayEvent
 
-MIN_TRIMMED = 1_024  # events; moving the rest for fewer costs more than the memory it frees
+# Least number of removed events before their memory is freed; for fewer, moving the retained events to the
+# front costs more than the memory is worth.
+MIN_TRIMMED = 1_024
 
-# Values come from a JSON parser and so hold no cycles.
+# Events come from a JSON parser and so contain no reference cycles, for which the encoder need not check.
 JSON_ENCODER = json.JSONEncoder(separators=(",", ":"), check_circular=False)
 
 
@@ -19,36 +24,37 @@
 
 
 class EventLog:
-    """A queue of events in ascending numbers, appended at the end and removed from the front.
+    """A queue of events in the ascending order of their numbers, appended at the end, removed from the front.
 
-    The buffer holds each encoded event followed by a comma. Removed events stay in the lists until they make
-    up at least half of them, so that a removal costs amortised constant time.
+    The buffer holds each encoded event followed by a comma. Removed events stay in the buffer and the lists
+    until there are MIN_TRIMMED of them and they make up at least half of the entries, so that a removal costs
+    amortised constant time.
     """
 
     def __init__(self) -> None:
         self._buffer = bytearray()
         self._numbers: list[int] = []
         self._events: list[RelayEvent] = []
-        self._starts: list[int] = []  # offset of each event in the buffer
-        self._head = 0  # index of the oldest retained event
+        self._starts: list[int] = []  # byte offset in the buffer at which each encoded event starts
+        self._head = 0  # index in the three lists of the oldest event that has not been removed
 
     def __len__(self) -> int:
         return len(self._numbers) - self._head
 
     @property
     def size(self) -> int:
-        """The encoded size of the retained events, in bytes."""
+        """The size in bytes of the JSON encodings of all events that have not been removed."""
         if self._head == len(self._starts):
             return 0
         return len(self._buffer) - self._starts[self._head]
 
     @property
     def oldest_number(self) -> int:
-        """The number of the oldest retained event; the log must not be empty."""
+        """The event number of the oldest event that has not been removed; the log must not be empty."""
         return self._numbers[self._head]
 
     def append(self, event: RelayEvent, encoded: bytes) -> None:
-        """Appends an event, whose number must be above those of all others."""
+        """Appends an event and its JSON encoding; its number must be above those of all earlier events."""
         self._numbers.append(event.number)
         self._events.append(event)
         self._starts.append(len(self._buffer))
@@ -56,7 +62,7 @@
         self._buffer += b","
 
     def remove_oldest(self) -> tuple[RelayEvent, bytes]:
-        """Removes the oldest event and returns it with its encoding."""
+        """Removes the oldest event and returns it with its JSON encoding; the log must not be empty."""
         head = self._head
         event = self._events[head]
         last = head + 1 == len(self._starts)
@@ -77,12 +83,14 @@
         self._head = 0
 
     def first_after(self, number: int) -> int:
-        """Returns the number of the first retained event above `number`, or 0 if there is none."""
+        """Returns the lowest event number above `number` in the log, or 0 if there is none."""
         index = bisect_right(self._numbers, number, self._head)
         return self._numbers[index] if index < len(self._numbers) else 0
 
     def encoded_after(self, number: int) -> bytes:
-        """Returns the encodings of all retained events above `number`, joined by commas."""
+        """Returns the JSON encodings of all events in the log whose number is above `number`, in ascending
+        order and joined by commas; empty if there are none.
+        """
         index = bisect_right(self._numbers, number, self._head)
         if index == len(self._numbers):
             return b""
--- a/olivecourse/relay/events.py
+++ b/olivecourse/relay/events.py
@@ -1,9 +1,10 @@
-"""Parsing of one numbered event of the notice board from decoded JSON.
+"""Parsing of one numbered event from decoded JSON. The events come from the notice board, the platform's
+discovery service, which publishes changes of the server list and purges under ascending numbers.
 
-An event is passed on to watchers unchanged. Only what folding needs is parsed here: the members of a server
-list, and the key and time of a purge. An unusable part is counted and passed on for the gateways to refuse,
-as they would if it came from the platform directly; a relay that dropped the event would hide its other
-parts.
+An event is passed on to watchers (gateways and relays below) unchanged. Parsed is only what a relay needs to
+merge old events into a compact state: the members of a server list, and the key and time of a purge. A part
+that can't be parsed is counted and passed on for the gateways to refuse, as they would if it came from the
+platform directly; a relay that dropped the event would hide its other parts.
 """
 
 from __future__ import annotations
@@ -15,13 +16,16 @@
 GONE = "Gone"
 PHASES = frozenset(("Ready", "Terminating", GONE))
 OBJECT_KEY = re.compile(r"[0-9a-f]{16}")
-HIGHEST_NUMBER = 2**63 - 1  # a larger number would overflow the 64-bit integers of other readers
+HIGHEST_NUMBER = 2**63 - 1  # highest event number; a larger one would overflow other readers' 64-bit integers
 
 PurgeKey = str | int
-"""An object's key (16 hex digits) or a group's number; a key never equals a number."""
+"""What a purge covers: the key of one object (text of 16 hex digits) or the number of a group of objects.
+
+As one is a text and the other a number, they never compare equal."""
 
 FOLDED_THROUGH = "folded_through"
-"""Key in the event of a folded list: the number of the newest change in the list, if above the event's own.
+"""JSON key in an event with a complete server list that a relay has made from several events. Its value is
+the number of the newest event whose change the list includes; it may be above the event's own number.
 
 Relays write and read it; other readers ignore it like any unknown part."""
 
@@ -29,12 +33,15 @@
 
 
 class InvalidRelayEvent(ValueError):
-    """A value that is not a numbered event; the message says why."""
+    """Raised for a value that is not a JSON object with a valid event number; the message says which."""
 
 
 @dataclass
 class MemberChange:
-    """The complete entry of one store in an event; `name` is its id, `gone` says that it left the list."""
+    """One store's complete entry in an event.
+
+    `name` is the store's id, `gone` is true if the store has left the server list, `raw` is the JSON object.
+    """
 
     name: str
     gone: bool
@@ -43,7 +50,10 @@
 
 @dataclass
 class PoolChange:
-    """A complete server list, or changes to one. `raw` is the original part, unknown fields included."""
+    """The `pool` part of an event: a complete server list if `complete`, else changes to single members.
+
+    `raw` is the part as received, unknown fields included.
+    """
 
     complete: bool
     members: list[MemberChange]
@@ -52,7 +62,7 @@
 
 @dataclass
 class Purge:
-    """A purge of an object or a group, issued at the Unix time `made_ms` in milliseconds."""
+    """The purge of one object or of a group of objects, issued at the Unix time `made_ms` in milliseconds."""
 
     key: PurgeKey
     made_ms: int
@@ -60,11 +70,12 @@
 
 @dataclass
 class RelayEvent:
-    """One event: its number, its usable parts, and the original object that is passed on.
+    """One event: its number, its server list part and its purge (None if absent or invalid), and `raw`, the
+    JSON object as received, which is passed on.
 
-    `folded_through` is the number up to which a complete list includes all changes: the event's own number or
-    a higher one. `unusable` counts parts and members that can't be folded; `has_unknown` is true if there are
-    parts of unknown meaning.
+    `folded_through` is the event number up to which a complete server list includes all changes: the event's
+    own number or a higher one. `unusable` counts the invalid parts and list members; `has_unknown` is true if
+    the event has parts of unknown meaning.
     """
 
     number: int
@@ -77,7 +88,11 @@
 
 
 def parse_event(raw: object) -> RelayEvent:
-    """Parses an event; raises InvalidRelayEvent if `raw` is no object or has no number above 0."""
+    """Parses an event from a decoded JSON value.
+
+    Raises InvalidRelayEvent if `raw` is not a JSON object or its `rev` is not a number from 1 to
+    HIGHEST_NUMBER; other invalid parts are only counted.
+    """
     if not isinstance(raw, dict):
         raise InvalidRelayEvent("an event must be an object")
     number = _event_number(raw.get("rev"))
@@ -104,14 +119,18 @@
 
 
 def _event_number(value: Any) -> int:
-    """Returns `value` if it is a valid event number, else 0."""
+    """Returns `value` if it is an integer from 1 to HIGHEST_NUMBER, else 0."""
     if not isinstance(value, int) or isinstance(value, bool):
         return 0
     return value if 0 < value <= HIGHEST_NUMBER else 0
 
 
 def _parse_pool(raw: Any) -> tuple[PoolChange | None, int]:
-    """Returns the list or change in `raw`, and the number of unusable members."""
+    """Parses the `pool` part of an event.
+
+    Returns the server list or the changes to it, and the number of invalid members, which are left out; None
+    and 1 if the whole part is invalid.
+    """
     if not isinstance(raw, dict):
         return None, 1
     entries = raw.get("members", [])
--- a/olivecourse/relay/history.py
+++ b/olivecourse/relay/history.py
@@ -1,9 +1,10 @@
 """A relay's bounded event history: a compacted base (snapshot) and a run of the newest events after it (log).
 
-Event numbers are those of the notice board, so a watcher may continue at another relay with the number that
-it holds. The oldest events of the run are folded into the base: server list entries by store, purges by key.
-A watcher whose number is in the run gets a slice of the run; an older one gets the events of the base above
-its number, and then the whole run.
+Event numbers are those of the platform's notice board (its discovery service), so a watcher (a gateway or
+relay that polls this relay) may continue at another relay with the number of its newest event. The oldest
+events of the run are folded, that is merged, into the base, which keeps the newest server list entry of each
+store and the newest purge of each object or group. A watcher whose number is in the run gets a slice of the
+run; an older one gets the events of the base above its number, and then the whole run.
 
 In such a compacted answer each purge keeps its number. The server list gets the lowest number above the
 watcher's that no purge has, and `folded_through` holds the number of its newest change. A watcher whose
@@ -26,25 +27,27 @@
 from olivecourse.relay.purges import PurgeRecord, UnsettledPurges
 
 S = 1_000_000_000  # nanoseconds per second
-MAX_CACHED_RUNS = 4  # total size of the cached answers, as a multiple of the run's size limit
-MAX_CACHED_ANSWERS = 64  # distinct numbers of waiting watchers; most wait at the last few
+MAX_CACHED_RUNS = 4  # the cached answers have together at most this many times HistoryLimits.most_bytes
+MAX_CACHED_ANSWERS = 64  # answers cached at a time; most watchers poll with one of the newest few numbers
 
 
 @dataclass(frozen=True)
 class HistoryLimits:
     """Limits of an event history.
 
-    `most_bytes` and `most_events` bound the run of complete events. The run need only cover a watcher's poll
-    and a change to another relay: 4,096 events are half a minute at 150 events per second, and older events
-    take less memory when folded. The newest event is always kept, whatever its length.
+    `most_bytes` and `most_events` bound the run, the newest events in full. The run need only cover the time
+    of a watcher's poll and of a change to another relay: 4,096 events are half a minute at 150 events per
+    second, and older events take less memory when folded into the base. The newest event is always kept,
+    whatever its length.
 
-    `most_members` bounds the server list: about 15 times the stores of the largest deployment planned.
+    `most_members` bounds the stores in the folded server list: about 15 times those of the largest deployment
+    planned.
 
     `most_purges` bounds the folded purges: over 1,000 per second through the whole retention.
 
-    `purge_retention_ns` must be at least the settings' `purge_settles`, after which no store holds an older
-    copy; the default is ten times the usual 6 s, to allow for clock differences and for stores that were
-    unreachable.
+    `purge_retention_ns` is how long a folded purge is kept. It must be at least `purge_settles` of the
+    gateways' settings, the time after which no store holds a copy older than the purge; the default is ten
+    times the usual 6 s, to allow for clock differences and for stores that were unreachable.
     """
 
     most_bytes: int = 2**20
@@ -62,7 +65,9 @@
 
 @dataclass(frozen=True)
 class AppendResult:
-    """How many of the values given to `append` were new events, known events and invalid values."""
+    """How many of the values given to `EventHistory.append` were new events (`taken`), events with a number
+    not above the newest (`known`), and no valid events (`invalid`).
+    """
 
     taken: int
     known: int
@@ -71,10 +76,15 @@
 
 @dataclass(frozen=True)
 class HistoryCounters:
-    """Counters since the start.
-
-    `unusable` counts parts that are passed on but not folded, `unknown_dropped` events with parts of unknown
-    meaning that left the run, `purges_evicted` and `members_refused` those over a limit.
+    """Counters of an event history since the relay's start, written to the relay's status under these names.
+
+    `taken`, `known` and `invalid` are the sums of AppendResult. `unusable` counts invalid parts of events and
+    list members, which are passed on but not folded; `folded` the events moved from the run to the base;
+    `unknown_dropped` those of them with parts of unknown meaning, which are lost. `purges_superseded` counts
+    folded purges for whose object or group another was as new or newer, `purges_settled` those dropped at the
+    end of their retention, `purges_evicted` and `members_refused` those over a limit. `answers_encoded`
+    counts answers encoded, `answers_compacted` those of them that were made with the base, `answers_shared`
+    answers taken from the cache, `watchers_too_old` polls refused with WatcherTooOld.
     """
 
     taken: int
@@ -96,7 +106,8 @@
 class WatcherTooOld(LookupError):
     """The history no longer holds everything that a watcher missed, so its poll must be refused.
 
-    Raised only while a limit on purges or members is exceeded, and only for numbers older than the run.
+    Raised only while the limit on folded purges or on list members is exceeded, and only for a watcher whose
+    event number is below the run.
     """
 
 
@@ -108,9 +119,11 @@
         self._run = EventLog()
         self._members = FoldedMembers(limits.most_members)
         self._purges = UnsettledPurges(limits.purge_retention_ns, limits.most_purges)
-        self._folded_through = 0  # a watcher below this number needs events of the base
+        self._folded_through = 0  # a watcher whose event number is below this needs events of the base
         self._list_known = False  # whether a complete server list has been appended
-        self._list_through = 0  # `folded_through` of the newest list folded by an upstream relay, or 0
+        # `folded_through` of the newest complete list if an upstream relay made it from several events, until
+        # the run has been folded up to that number; otherwise 0.
+        self._list_through = 0
         self._revision = 0
         self._answers: dict[int, bytes] = {}
         self._answers_size = 0
@@ -127,12 +140,12 @@
 
     @property
     def revision(self) -> int:
-        """The number of the newest event; 0 before the first."""
+        """The event number of the newest event appended; 0 before the first."""
         return self._revision
 
     @property
     def ready(self) -> bool:
-        """Whether a complete server list has been appended; before that no poll may be answered."""
+        """Whether a complete server list has been appended; until then `since` returns no events."""
         return self._list_known
 
     @property
@@ -158,8 +171,8 @@
     def append(self, events: Sequence[Any], now: int) -> AppendResult:
         """Appends the events of an upstream answer, given as decoded JSON values in any order.
 
-        Events at or below `revision` are ignored as known, so an upstream that has restarted with lower
-        numbers or without events changes nothing.
+        Events whose number is at or below `revision` are ignored as known, so an upstream that has restarted
+        with lower numbers or without events changes nothing. `now` is the Unix time in nanoseconds.
         """
         parsed, invalid = _parse_all(events)
         parsed.sort(key=_number)
@@ -200,9 +213,10 @@
             self._fold_through_list(now)
 
     def _fold_through_list(self, now: int) -> None:
-        """Folds the run up to the number through which the newest list includes all changes.
+        """Folds the events of the run up to `_list_through`, whose changes the newest complete list includes.
 
-        Otherwise a watcher between the list's own number and that number would get a slice without the list.
+        Otherwise a watcher that holds a number from the list's own up to that one would get a slice of the
+        run without the list.
         """
         run = self._run
         while len(run) > 1 and run.oldest_number <= self._list_through:
@@ -220,15 +234,16 @@
         if event.pool is not None:
             self._members.fold(event.folded_through, event.pool)
         if event.purge is not None:
-            if event.pool is not None or event.has_unknown:  # the event's encoding holds more than the purge
+            if event.pool is not None or event.has_unknown:  # the base needs an encoding of the purge alone
                 encoded = encode_json({"rev": event.number, "flush": event.raw["flush"]})
             self._purges.fold(event.number, event.purge, encoded, now)
 
     def since(self, revision: int, now: int) -> bytes | None:
-        """Returns the JSON body for a watcher that holds `revision`, or None if there are no later events.
+        """Returns the JSON body with all events after `revision`, the newest that a watcher holds.
 
-        Until the next append, all watchers that lack the same events get the same object. Raises
-        WatcherTooOld if a limit was exceeded and the watcher may have missed what was dropped.
+        None if there are no later events or no complete server list yet. Until the next append, all watchers
+        that lack the same events get the same bytes object. Raises WatcherTooOld if a limit was exceeded and
+        the watcher may have missed what was dropped.
         """
         if revision >= self._revision or not self._list_known:
             return None
@@ -247,7 +262,7 @@
         return answer
 
     def empty_answer(self) -> bytes:
-        """Returns the JSON body, without events, for a poll that timed out."""
+        """Returns the JSON body, with the newest event number and no events, for a poll that timed out."""
         return b'{"rev":%d,"notices":[]}' % self._revision
 
     def _check_not_too_old(self, revision: int, now: int) -> None:
@@ -259,9 +274,12 @@
             raise WatcherTooOld("more purges are unsettled than this relay may hold")
 
     def _equivalent_revision(self, revision: int) -> int:
-        """Returns a number with the same compacted answer, so that watchers at different numbers share it."""
+        """Returns the number that stands for `revision` in the key of a cached compacted answer.
+
+        Watchers with different event numbers share the cached answer if it would be the same for them.
+        """
         members_number = self._members.number
-        if members_number > revision:  # the list's event number depends on `revision`
+        if members_number > revision:  # the answer includes the list, whose number depends on `revision`
             return revision
         lowest_purge = self._purges.lowest_number or self._folded_through
         return members_number if revision < lowest_purge else revision
@@ -278,9 +296,10 @@
         return b'{"rev":%d,"notices":[%b]}' % (self._revision, b",".join(parts))
 
     def _base_after(self, revision: int) -> list[bytes]:
-        """Returns the encoded events of the base above `revision`, in ascending numbers.
+        """Returns the JSON encodings of the base's events for a watcher that holds `revision`, in ascending
+        numbers.
 
-        The list is left out for a watcher that has taken its newest change.
+        The server list is left out if the watcher already holds its newest change.
         """
         records = self._purges.after(revision)
         parts = [record.encoded for record in records]
@@ -293,7 +312,7 @@
             FOLDED_THROUGH.encode(),
             self._members.number,
         )
-        # Without a free number, one event holds both the purge and the list.
+        # If the list must share its number with a purge, one event holds both.
         if index < len(records) and records[index].number == number:
             parts[index] = b"%b,%b" % (parts[index][:-1], pool)
         else:
@@ -301,7 +320,10 @@
         return parts
 
     def _cache_answer(self, key: int, answer: bytes) -> None:
-        """Caches the answer for other watchers; an answer longer than the bound is cached alone."""
+        """Caches an encoded answer for other watchers; clears the cache first if a bound would be exceeded.
+
+        An answer that alone exceeds the bound on bytes is therefore still cached, as the only one.
+        """
         size = self._answers_size + len(answer)
         if size > MAX_CACHED_RUNS * self._limits.most_bytes or len(self._answers) >= MAX_CACHED_ANSWERS:
             self._answers.clear()
@@ -311,9 +333,10 @@
 
 
 def _first_free_number(records: list[PurgeRecord], above: int, highest: int) -> tuple[int, int]:
-    """Returns the index among the purges and the value of the lowest number above `above` that no purge has.
+    """Finds the lowest event number above `above` that none of the purges in `records` has.
 
-    If there is none below `highest`, the number is `highest`.
+    Returns the index in `records` at which an event of that number belongs, and the number. If no number
+    below `highest` is free, the number is `highest`, which a purge may have.
     """
     number = above + 1
     index = 0
@@ -328,7 +351,7 @@
 
 
 def _parse_all(events: Sequence[Any]) -> tuple[list[RelayEvent], int]:
-    """Returns the parsed events, and how many values are not events."""
+    """Returns the parsed events, and how many of the values are not valid events."""
     parsed: list[RelayEvent] = []
     invalid = 0
     for raw in events:
--- a/olivecourse/relay/members.py
+++ b/olivecourse/relay/members.py
@@ -1,4 +1,7 @@
-"""The server list that results from all events so far; it is encoded only when a watcher needs all of it."""
+"""The server list that results from the events that a relay has folded, that is dropped from its log.
+
+It is encoded as JSON only when a watcher needs the complete list.
+"""
 
 from __future__ import annotations
 
@@ -9,9 +12,9 @@
 
 
 class FoldedMembers:
-    """The newest complete entry of each store, by id. A store that is gone leaves no entry.
+    """The newest server list entry of each store, by store id. A store that has left the list has no entry.
 
-    Only changed entries are encoded again; the encoded list is cached until the next change.
+    Only changed entries are encoded as JSON again; the encoded list is cached until the next change.
     """
 
     def __init__(self, most_members: int) -> None:
@@ -19,22 +22,22 @@
         self._members: dict[str, dict[str, Any]] = {}
         self._encoded_members: dict[str, bytes] = {}
         self._encoded_pool: bytes | None = None
-        self._extra: dict[str, Any] = {}  # the newest change without its members
-        self.number = 0  # number of the newest folded change
-        self.complete = False  # whether a complete list has been folded and all members fit
-        self.refused = 0  # count of members refused because of the limit
+        self._extra: dict[str, Any] = {}  # the newest folded `pool` part, for its fields other than `members`
+        self.number = 0  # event number up to which the changes of the list have been folded
+        self.complete = False  # whether a complete list was folded and no member was refused since
+        self.refused = 0  # counts the members left out because the list already had `most_members`
 
     def __len__(self) -> int:
         return len(self._members)
 
     def fold(self, number: int, change: PoolChange) -> None:
-        """Applies a change, or a complete list as of `number`; calls must follow the order of events.
+        """Applies changes to members, or a complete list that includes all changes up to event `number`.
 
-        A change that an already folded list includes is ignored: a relay whose answer was cut off may get it
-        again from another upstream.
+        Calls must follow the order of events. A change that an already folded complete list includes is
+        ignored: a relay whose answer from upstream was cut off may get it again from another upstream.
 
-        Above the limit on members the list is incomplete until the next complete one that fits, because a
-        list that lacks stores must never be served as complete.
+        If there are more than `most_members`, the list counts as incomplete until the next complete one that
+        fits, because a list that lacks stores must never be served as complete.
         """
         if number <= self.number:
             return
@@ -60,7 +63,7 @@
             self.complete = False
 
     def encoded_pool(self) -> bytes:
-        """Returns the complete list, encoded as the `pool` part of an event."""
+        """Returns the whole folded server list as the JSON value of an event's `pool` part."""
         if self._encoded_pool is None:
             self._encoded_pool = self._encode_pool()
         return self._encoded_pool
@@ -76,5 +79,5 @@
         extra = dict(self._extra)
         extra.pop("members", None)
         extra["complete"] = True
-        head = encode_json(extra)[:-1]  # without its closing brace
+        head = encode_json(extra)[:-1]  # cuts off the closing brace, so that `members` can follow
         return b'%b,"members":[%b]}' % (head, b",".join(parts))
--- a/olivecourse/relay/requests.py
+++ b/olivecourse/relay/requests.py
@@ -6,9 +6,10 @@
 
 POLL_PATH = b"/board/poll"
 STATUS_PATH = b"/relay/status"
-HIGHEST_NUMBER = 2**63 - 1  # of events; a larger one would overflow the 64-bit integers of other readers
+HIGHEST_NUMBER = 2**63 - 1  # highest value of a parameter; larger ones overflow others' 64-bit integers
 
-# The exact form that gateways and relays send; other forms take the slower general parser below.
+# The exact form of the poll targets that gateways and relays send. A poll in another form, for example with
+# its parameters in another order, takes the slower general parser below.
 USUAL_POLL = re.compile(
     rb"/board/poll\?watch=(\d{1,18})&linger=(\d{1,9})(?:&low=(\d{1,18})&count=(\d{1,9}))?"
 )
@@ -16,14 +17,15 @@
 
 
 class BadTarget(ValueError):
-    """A target with unusable parameters; the message says why."""
+    """Raised for a request target with a missing or invalid parameter; the message says which."""
 
 
 class PollRequest:
-    """One poll: the event number that the watcher holds, and how many milliseconds it will wait.
+    """One poll of a watcher, that is a gateway or a relay: `revision` is the number of the newest event that
+    it holds, `linger_ms` how many milliseconds it will wait for later ones.
 
-    For a relay, `low` is the number that all its watchers have taken and `count` the number of gateways below
-    it; for a gateway they are None and 1.
+    If a relay reports them, `low` is the event number that all its watchers have taken and `count` the number
+    of gateways below it; for a gateway they are None and 1.
     """
 
     __slots__ = ("count", "linger_ms", "low", "revision")
@@ -36,14 +38,15 @@
 
 
 def path_of(target: bytes) -> bytes:
-    """Returns the target without its query."""
+    """Returns a request target without its query, the part from the first `?` on."""
     return target.partition(b"?")[0]
 
 
 def parse_poll(target: bytes) -> PollRequest:
-    """Parses the poll in `target`, whose path is POLL_PATH; raises BadTarget.
+    """Parses the query of a request target whose path is POLL_PATH.
 
-    Unknown parameters are ignored; the last value of a repeated parameter counts.
+    Unknown parameters are ignored; the last value of a repeated parameter counts. Raises BadTarget if `watch`
+    or `linger` is missing or a number is invalid.
     """
     usual_match = USUAL_POLL.fullmatch(target)
     if usual_match is not None:
@@ -61,7 +64,10 @@
 
 
 def number_parameter(target: bytes, name: bytes) -> int | None:
-    """Returns a numeric parameter of a target's query, or None if it is absent; raises BadTarget."""
+    """Returns the parameter `name` of a request target's query as an integer, or None if it is absent.
+
+    Raises BadTarget if its value is not a decimal number up to HIGHEST_NUMBER.
+    """
     return _number(_parameters(target), name)
 
 
--- a/olivecourse/relay/responses.py
+++ b/olivecourse/relay/responses.py
@@ -8,7 +8,10 @@
 
 
 def answer_head(length: int, keep_alive: bool) -> bytes:
-    """Returns the head of a 200 response with a JSON body of `length` bytes."""
+    """Returns the status line and headers of a 200 response with a JSON body of `length` bytes.
+
+    Unless `keep_alive`, the head announces that the relay will close the connection.
+    """
     return b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n%b\r\n" % (
         length,
         b"" if keep_alive else CLOSING,
@@ -16,7 +19,9 @@
 
 
 def refusal(status: HTTPStatus, why: str) -> bytes:
-    """Returns a complete error response that announces the close of the connection."""
+    """Returns a complete error response with the text `why` as its body; it announces that the relay will
+    close the connection.
+    """
     body = f"{why}\n".encode()
     allow = b"Allow: GET\r\n" if status is HTTPStatus.METHOD_NOT_ALLOWED else b""
     return b"HTTP/1.1 %d %b\r\nContent-Type: text/plain\r\nContent-Length: %d\r\n%b%b\r\n%b" % (
--- a/olivecourse/relay/section.py
+++ b/olivecourse/relay/section.py
@@ -1,4 +1,6 @@
-"""The `relay:` section of an operator's file: listening address, upstreams and limits of a relay."""
+"""The `relay:` section of an operator's YAML file: a relay's listening address, its upstreams (the platform's
+discovery service or other relays, which it polls), and its limits.
+"""
 
 from __future__ import annotations
 
@@ -16,28 +18,35 @@
 MS = 1_000_000  # nanoseconds per millisecond
 S = 1_000 * MS
 KB = 1024
-MAX_UPSTREAMS = 16  # more than the relays of a whole fleet
-MIN_LEASE_MARGIN_S = 2  # seconds for an answer to reach the watcher and its next poll to arrive
+MAX_UPSTREAMS = 16  # most upstream addresses in the section; more than the relays of a whole fleet
+MIN_LEASE_MARGIN_S = 2  # by this a lease exceeds the longest wait, for an answer and the next poll to arrive
 
 
 class RelaySection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The fields of the section, with their defaults.
-
-    | field | unit | why this default |
-    | --- | --- | --- |
-    | `listen`, `upstreams` | HOST:PORT | none; the first upstream is preferred |
-    | `report_upstream` | | off: only a relay, not the platform, is sure to accept the extra poll parameters |
-    | `lease_s` | seconds | three times the longest wait: one lost poll must not count as a dead gateway |
-    | `longest_wait_ms` | ms | the longest wait that the platform's protocol allows a poll |
-    | `shortest_grace_ms` | ms | shortest grace of the settings (drains, purges); sets the pace of answers |
-    | `purge_retention_s` | seconds | ten times the usual `purge_settles` of 6 s |
-    | `history_kb`, `history_events` | KB, events | half a minute at 150 purges a second |
-    | `most_members` | stores | 15 times the largest deployment planned |
-    | `most_purges` | purges | over 1,000 a second through the whole retention |
-    | `most_watchers` | connections | the largest fleet planned, if a single relay is left for it |
-    | `most_unread_kb` | KB | four of the longest answers; bounds the answers held for all slow readers |
-    | `read_timeout_ms` | ms | about four times the 0.7 s after which a gateway abandons an answer |
-    | `idle_timeout_ms` | ms | gateways poll several times a second; an idle peer has gone silently |
+    """The fields of the section, each with the reason for its default. A watcher is a gateway or a relay that
+    polls this relay.
+
+    - `listen`, `upstreams` (HOST:PORT): no default; the first upstream is preferred.
+    - `report_upstream`: whether polls to the upstream report the low-water mark and the count of this relay's
+      gateways; off, because only a relay, not the platform, is sure to accept the extra poll parameters.
+    - `lease_s` (seconds): how long a watcher counts as live without a poll; three times the longest wait, as
+      one lost poll must not count as a dead gateway.
+    - `longest_wait_ms`: the longest time that a poll is held; the most that the platform's protocol allows.
+    - `shortest_grace_ms`: the shortest time that the gateways' settings allow for an event (drain, purge) to
+      be obeyed; it sets the pace of answers.
+    - `purge_retention_s` (seconds): how long purges are kept after they have left the log of newest events;
+      ten times the usual `purge_settles` of 6 s.
+    - `history_kb`, `history_events`: the size of the log of newest events; half a minute at 150 purges a
+      second.
+    - `most_members`: the most stores in the server list; 15 times the largest deployment planned.
+    - `most_purges`: the most purges kept after they have left the log; over 1,000 a second through the whole
+      retention.
+    - `most_watchers`: the most connections; the largest fleet planned, if a single relay is left for it.
+    - `most_unread_kb`: bounds the answers held for all slow readers together; four of the longest answers.
+    - `read_timeout_ms`: how long a watcher may read nothing of an answer; about four times the 0.7 s after
+      which a gateway abandons an answer.
+    - `idle_timeout_ms`: how long a connection may go without a request; gateways poll several times a second,
+      so an idle peer has gone silently.
     """
 
     listen: str
@@ -66,7 +75,7 @@
             raise ValueError(f"lease_s is to be {MIN_LEASE_MARGIN_S} s more than longest_wait_ms")
 
     def history_limits(self) -> HistoryLimits:
-        """Returns the limits of the event history."""
+        """Returns the limits of the event history, with sizes in bytes and times in nanoseconds."""
         return HistoryLimits(
             most_bytes=self.history_kb * KB,
             most_events=self.history_events,
@@ -76,11 +85,12 @@
         )
 
     def addresses(self) -> list[Address]:
-        """Returns the parsed addresses of the upstreams."""
+        """Returns the parsed addresses of the upstreams, the preferred one first."""
         return [parse_address(text) for text in self.upstreams]
 
 
-# Fields that only a start applies; a reload logs those that differ.
+# Fields of RelaySection that take effect only when the relay starts. A reload of the configuration does not
+# apply them, and logs those that have changed.
 FIXED_AT_START = (
     "listen",
     "lease_s",
@@ -94,14 +104,17 @@
 
 @dataclass(frozen=True)
 class RelayConfig:
-    """A relay's name and its `relay:` section."""
+    """A relay's name, the top-level `name` of the operator's file, and the file's `relay:` section."""
 
     name: str
     section: RelaySection
 
 
 def read_relay(path: str) -> RelayConfig:
-    """Reads a relay's configuration from the operator's file; raises BadSection with a one-line message."""
+    """Reads a relay's configuration from the operator's YAML file at `path`.
+
+    Raises BadSection with a one-line message if the `relay:` section is missing or invalid.
+    """
     section = read_section(path, "relay", RelaySection)
     if section is None:
         raise BadSection(f"{path}: relay: missing")
--- a/olivecourse/relay/server.py
+++ b/olivecourse/relay/server.py
@@ -1,8 +1,8 @@
 """The server of a relay: holds and answers long polls in the platform's protocol.
 
-`GET /board/poll?watch=N&linger=MS` is answered once events above N exist, or without events after MS
-milliseconds. Work proportional to the number of watchers is done in slices, so that no turn of the loop is
-long.
+`GET /board/poll?watch=N&linger=MS` is answered once events with numbers above N exist, or without events
+after MS milliseconds. Work proportional to the number of watchers (the gateways and relays that poll) is done
+in slices of limited time, so that no turn of the event loop is long.
 """
 
 from __future__ import annotations
@@ -25,45 +25,50 @@
 from olivecourse.relay.watermarks import LowWaterMark
 
 MS = 1_000_000  # nanoseconds per millisecond
-READ_BUDGET_NS = 30 * MS  # per turn, for reading and answering new polls, and again for deferred reads
-SLICE_NS = 20 * MS  # per turn, for answering the polls that waited
-MAX_ACCEPTED_PER_TURN = 64  # about 5 ms of work
+# Time per turn of the event loop for reading and answering new polls, and the same again for the reads that
+# an earlier turn deferred.
+READ_BUDGET_NS = 30 * MS
+SLICE_NS = 20 * MS  # time per turn of the event loop for answering held polls, and the same for deadlines
+MAX_ACCEPTED_PER_TURN = 64  # connections accepted in one turn of the event loop; about 5 ms of work
 BACKLOG = 4_096  # connections not yet accepted; all gateways of a failed relay connect at the same time
-SEND_BUFFER_BYTES = 262_144  # per connection in the kernel; thousands must not take gigabytes
-MAX_REFUSED_CONNECTIONS = 256  # refused connections that may still be reading their refusal
-ACCEPT_RETRY_NS = 50 * MS  # delay before accepting again after running out of descriptors
+SEND_BUFFER_BYTES = 262_144  # kernel's send buffer per connection; thousands must not take gigabytes
+MAX_REFUSED_CONNECTIONS = 256  # connections above `most_watchers` kept open to read their refusal
+ACCEPT_RETRY_NS = 50 * MS  # delay before accepting again after `accept` failed, e.g. without free descriptors
 
-StatusReport = Callable[[bytes, int], bytes]
+StatusReport = Callable[[bytes, int], bytes]  # from a status request's target and the time to the JSON body
 
 
 @dataclass
 class ServerLimits:
-    """The limits of a relay server that a reload may change."""
+    """The limits of a relay server, which a reload of the configuration may change.
+
+    Taken from the RelaySection fields of similar names, which have the reasons for the defaults.
+    """
 
     most_watchers: int
     longest_wait_ms: int
     read_timeout_ns: int
     idle_timeout_ns: int
     most_unread_bytes: int
-    pace_ns: int  # the least time between two rounds of answers to waiting polls
+    pace_ns: int  # the least time between the starts of two rounds of answers to held polls
 
 
 @dataclass
 class ServerCounters:
-    """Counters since the start, written to the status under their names."""
+    """Counters since the relay's start, written to its status under their names."""
 
-    polls: int = 0
-    answers: int = 0
-    empty_answers: int = 0
-    bytes: int = 0  # sum of the answers' bodies
-    not_ready: int = 0  # polls answered 503 before the first complete server list
+    polls: int = 0  # valid polls received
+    answers: int = 0  # polls answered with events
+    empty_answers: int = 0  # polls answered without events after their wait
+    bytes: int = 0  # sum of the lengths of the bodies of both kinds of answers
+    not_ready: int = 0  # polls answered 503 because no complete server list was known
     too_old: int = 0  # polls answered 503 because the history no longer holds all missed events
-    bad_requests: int = 0
+    bad_requests: int = 0  # requests answered with another error than 503
     cut_off: int = 0  # connections closed for reading too slowly
-    idle_closed: int = 0
-    refused_full: int = 0
-    accept_failed: int = 0
-    connections: int = 0  # accepted connections
+    idle_closed: int = 0  # connections closed for sending no request within the idle time-out
+    refused_full: int = 0  # connections and polls refused because of the limits on watchers
+    accept_failed: int = 0  # failures to accept a connection, e.g. for lack of descriptors
+    connections: int = 0  # accepted connections, including those refused afterwards
 
 
 class RelayServer:
@@ -79,7 +84,8 @@
         status: StatusReport,
         log: Callable[..., None],
     ) -> None:
-        """`status` returns the body of a status answer for a target and a time.
+        """`status` returns the JSON body of the answer to a status request, from the request's target and the
+        current time in nanoseconds.
 
         Raises OSError if the server can't listen at `address`.
         """
@@ -94,13 +100,13 @@
         self._log = log
         self._unread = UnreadAnswers(limits.most_unread_bytes)
         self._keys = itertools.count(1)
-        self._refused_connections: dict[int, WatcherConnection] = {}  # refused connections, oldest first
+        self._refused_connections: dict[int, WatcherConnection] = {}  # above the limit, oldest first
         self._deferred: dict[int, WatcherConnection] = {}
         self._waiting: dict[int, WatcherConnection] = {}
         self._to_answer: list[WatcherConnection] = []
         self._answer_again = False
         self._answer_scheduled = False
-        self._answered_ns = 0  # start of the last round of answers
+        self._answered_ns = 0  # time at which the latest round of answers to held polls started
         self._turn_started_ns = 0
         self._stopping = False
         self.apply_limits(limits)
@@ -114,29 +120,34 @@
 
     @property
     def waiting(self) -> int:
-        """The number of held polls."""
+        """The number of polls held until there are events for them."""
         return len(self._waiting)
 
     @property
     def unread_bytes(self) -> int:
-        """The size in bytes of answers held for slow readers; a shared answer counts once."""
+        """The bytes of the answers held because watchers have not read them; a shared answer counts once."""
         return self._unread.size
 
     def apply_limits(self, limits: ServerLimits) -> None:
-        """Applies other limits; connections above a lowered limit stay open."""
+        """Replaces the limits; connections above a lowered limit on watchers stay open."""
         self._limits = limits
         self.read_timeout_ns = limits.read_timeout_ns
         self.idle_timeout_ns = limits.idle_timeout_ns
         self._unread.most_bytes = limits.most_unread_bytes
 
-    # Turns of the loop
+    # Turns of the event loop
 
     def turn_ended(self) -> None:
-        """Resets the read budget; must be called after each turn of the loop."""
+        """Resets the time that reads have taken (READ_BUDGET_NS); must be called after each turn of the event
+        loop.
+        """
         self._turn_started_ns = 0
 
     def time_within_budget(self) -> int:
-        """Returns the current time, or 0 if this turn's read budget is used up; then call `defer`."""
+        """Returns the current time in nanoseconds, for a connection that is about to read.
+
+        Returns 0 if reads have used up this turn's READ_BUDGET_NS; the connection must then call `defer`.
+        """
         now = self.loop.clock.now()
         if not self._turn_started_ns:
             self._turn_started_ns = now
@@ -145,7 +156,8 @@
         return now
 
     def defer(self, watcher: WatcherConnection) -> None:
-        """Defers a watcher's read to the next turn, where deferred reads run in order of arrival.
+        """Defers a watcher's read to the next turn of the event loop, where deferred reads run in the order
+        in which they were deferred.
 
         The selector reports the same sockets first in each turn, so busy sockets could starve the others.
         """
@@ -154,7 +166,7 @@
         self._deferred[watcher.key] = watcher
 
     def _read_deferred(self) -> None:
-        self._turn_started_ns = 0  # deferred reads get their own budget, beyond which they are deferred again
+        self._turn_started_ns = 0  # gives these reads a READ_BUDGET_NS of their own
         deferred, self._deferred = self._deferred, {}
         for watcher in deferred.values():
             try:
@@ -163,7 +175,7 @@
                 self.loop.faulted("socket", error)
 
     def call_next_turn(self, call: Callable[[], object]) -> None:
-        """Runs `call` in the next turn of the loop."""
+        """Runs `call` in the next turn of the event loop."""
         self.loop.next_turn(call)
 
     def _run_deadlines(self) -> None:
@@ -174,16 +186,15 @@
             self.loop.after(BUCKET_NS, self._run_deadlines)
 
     def _run_due(self, due: list[Deadline]) -> None:
-        """Runs due deadlines for one slice of time and leaves the rest to the next turn.
-
-        Thousands may be due at once.
+        """Runs the callbacks of due deadlines for SLICE_NS and leaves the rest to the next turn of the event
+        loop, because thousands may be due at once.
         """
         started_ns = now = self.loop.clock.now()
         run_count = 0
         while run_count < len(due) and now - started_ns <= SLICE_NS:
             deadline = due[run_count]
             run_count += 1
-            if deadline.due_ns and deadline.due_ns <= now:  # it has not been moved since
+            if deadline.due_ns and deadline.due_ns <= now:  # not cancelled or postponed since it was taken
                 deadline.call(now)
             now = self.loop.clock.now()
         if run_count < len(due):
@@ -207,9 +218,9 @@
             self._add_connection(sock, f"{address[0]}:{address[1]}")
 
     def _accept_failed(self, error: OSError) -> None:
-        """Stops accepting for a while, most likely for lack of descriptors.
+        """Stops accepting for ACCEPT_RETRY_NS after an error, most likely for lack of file descriptors.
 
-        The listening socket stays readable, so that watching it on would keep the loop busy.
+        The listening socket stays readable, so that watching it on would keep the event loop busy.
         """
         self.counters.accept_failed += 1
         self._log("relay_accept_failed", why=str(error))
@@ -237,9 +248,10 @@
         self.deadlines.set(watcher.deadline, self.loop.clock.now() + self.idle_timeout_ns)
 
     def _refuse_connection(self, watcher: WatcherConnection) -> None:
-        """Refuses a new connection.
+        """Answers a new connection above the limit on watchers with 503.
 
-        The peer has some time to read the refusal, but many refused connections must not use up descriptors.
+        The peer has some time to read the refusal, but many refused connections must not use up the file
+        descriptors, so above MAX_REFUSED_CONNECTIONS the oldest one is closed at once.
         """
         self._refused_connections[watcher.key] = watcher
         watcher.refuse(HTTPStatus.SERVICE_UNAVAILABLE, "this relay is full")
@@ -247,7 +259,7 @@
             next(iter(self._refused_connections.values())).close("full")
 
     def connection_ended(self, watcher: WatcherConnection) -> None:
-        """Removes a connection that has ended."""
+        """Called once by a connection that has ended: forgets it and its held poll or unread answer."""
         self.watchers.pop(watcher.key, None)
         self._refused_connections.pop(watcher.key, None)
         self._waiting.pop(watcher.key, None)
@@ -256,21 +268,24 @@
             self.marks.disconnected(watcher.name, self.loop.clock.now())
 
     def request_refused(self, watcher: WatcherConnection, status: HTTPStatus, why: str) -> None:
-        """Counts and logs a request that is answered with an error."""
+        """Called by a connection before it answers a request with the error `status`.
+
+        Counts and logs the error unless it is a 503, whose callers count it themselves.
+        """
         self._waiting.pop(watcher.key, None)
         if status is not HTTPStatus.SERVICE_UNAVAILABLE:
             self.counters.bad_requests += 1
             self._log("relay_bad_request", peer=watcher.name, status=int(status), why=why)
 
     def idle_timed_out(self, watcher: WatcherConnection) -> None:
-        """Closes a connection without a request for too long."""
+        """Closes a connection that has sent no request within the idle time-out."""
         self.counters.idle_closed += 1
         watcher.close("idle")
 
     # Requests
 
     def handle(self, watcher: WatcherConnection, method: bytes, target: bytes, now: int) -> None:
-        """Handles one complete request."""
+        """Handles one complete HTTP request of a connection: a poll, a status request, or an invalid one."""
         if method == b"GET" and target.startswith(POLL_PATH + b"?"):
             self._handle_poll(watcher, target, now)
             return
@@ -317,7 +332,11 @@
         watcher.hold(now + wait_ms * MS)
 
     def _answer(self, watcher: WatcherConnection, now: int) -> bool:
-        """Answers the poll if there are events for it; returns whether it was answered or refused."""
+        """Answers the watcher's poll with the events after its number, or with 503 if the history no longer
+        holds them all.
+
+        Returns False, without an answer, if there are no such events.
+        """
         try:
             body = self.history.since(watcher.poll.revision, now)
         except WatcherTooOld as why:
@@ -340,7 +359,9 @@
             watcher.send(body, now)
 
     def wait_timed_out(self, watcher: WatcherConnection, now: int) -> None:
-        """Answers a poll whose wait has ended: without events, or with 503 before the first complete list."""
+        """Answers a poll whose wait has ended: without events, or with 503 if no complete server list is
+        known yet.
+        """
         if not self.history.ready:
             self.counters.not_ready += 1
             watcher.refuse(HTTPStatus.SERVICE_UNAVAILABLE, "no whole list is known yet")
@@ -348,10 +369,13 @@
         self.counters.empty_answers += 1
         self._send(watcher, self.history.empty_answer(), now)
 
-    # Answers to all who wait
+    # Rounds of answers to all held polls
 
     def events_appended(self) -> None:
-        """Schedules a round of answers to the waiting polls, at least `pace_ns` after the last round."""
+        """Called when the history has new events: schedules a round of answers to the held polls.
+
+        It starts at least `pace_ns` after the start of the previous round, and after that round's end.
+        """
         if self._answer_scheduled:
             return
         if self._to_answer:
@@ -368,7 +392,7 @@
         self._answer_scheduled = False
         self._answered_ns = self.loop.clock.now()
         self._to_answer = list(self._waiting.values())
-        self._to_answer.reverse()  # `pop` takes from the end, so the longest waiting poll comes first
+        self._to_answer.reverse()  # `_answer_slice` pops from the end: this puts the longest held poll there
         self._answer_slice()
 
     def _answer_slice(self) -> None:
@@ -388,9 +412,9 @@
     # Slow readers
 
     def hold_unread(self, watcher: WatcherConnection, answer: bytes) -> None:
-        """Records an answer that the socket has not taken completely.
+        """Records that the socket of `watcher` has not taken all bytes of `answer`.
 
-        Above the bound, the watchers that have been stuck longest are cut off.
+        While such answers exceed `most_unread_bytes` together, the watcher stuck for longest is cut off.
         """
         self._unread.hold(watcher.key, answer)
         slowest = self._unread.slowest()
@@ -399,11 +423,11 @@
             slowest = self._unread.slowest()
 
     def release_unread(self, watcher: WatcherConnection) -> None:
-        """Records that a slow reader has read its whole answer."""
+        """Records that the socket of `watcher` has now taken its whole answer."""
         self._unread.release(watcher.key)
 
     def cut_off(self, watcher: WatcherConnection, why: str) -> None:
-        """Closes the connection of a watcher that reads too slowly."""
+        """Closes the connection of a watcher that reads its answer too slowly; `why` goes to the log."""
         self.counters.cut_off += 1
         self._log("relay_watcher_cut_off", peer=watcher.name, why=why)
         watcher.close(why)
@@ -411,7 +435,7 @@
     # The end
 
     def stop(self) -> None:
-        """Stops accepting, and answers every held poll with the events that there are."""
+        """Stops accepting, and answers every held poll at once, with the events after its number if any."""
         if self._stopping:
             return
         self._stopping = True
@@ -438,7 +462,7 @@
         return len(self._waiting) + len(self._unread)
 
     def close(self) -> None:
-        """Stops the server and closes every connection."""
+        """Stops the server and closes every connection at once, also with unread answers."""
         self.stop()
         for watcher in [*self.watchers.values(), *self._refused_connections.values()]:
             watcher.close("the relay is stopping")
--- a/olivecourse/relay/service.py
+++ b/olivecourse/relay/service.py
@@ -1,4 +1,6 @@
-"""The relay process: one poll to an upstream, and a server for the polls of many watchers."""
+"""The relay process: polls one upstream (the platform's discovery service or another relay) for events, and
+serves them to the polls of many watchers (gateways and further relays).
+"""
 
 from __future__ import annotations
 
@@ -16,17 +18,22 @@
 from olivecourse.relay.status import encode_status
 from olivecourse.relay.watermarks import LowWaterMark
 
-# One level of relays may use a tenth of the shortest grace to batch events. The rest is left for further
-# levels of relays, for the batching in gateways, and for the transmission between them.
+# The shortest grace period, the time within which the settings require an event to be obeyed, is divided by
+# this: one level of relays paces its upstream polls as if it had only a tenth of it. The rest is left for
+# further levels of relays, for the batching in gateways, and for the transmission between them.
 GRACE_DIVISOR = 10
-ANSWER_DIVISOR = 20  # the shortest grace divided by this is the least time between two rounds of answers
-STOP_TIMEOUT_NS = 800 * MS  # so that a process ends within one second of the signal to stop
-STOP_CHECK_INTERVAL_NS = 10 * MS
-SPARE_DESCRIPTORS = 64  # for logs, the listening socket, the upstream poll and refused connections
+ANSWER_DIVISOR = 20  # the shortest grace period divided by this is the least time between rounds of answers
+STOP_TIMEOUT_NS = 800 * MS  # most time to send answers at a stop, so that the process ends within a second
+STOP_CHECK_INTERVAL_NS = 10 * MS  # between checks during a stop whether all answers have been sent
+SPARE_DESCRIPTORS = 64  # file descriptors for logs, listening socket, upstream poll and refused connections
 
 
 def server_limits(section: RelaySection, most_descriptors: int) -> ServerLimits:
-    """Returns the server's limits, with no more watchers than the descriptors suffice for."""
+    """Returns the server's limits from the `relay:` section.
+
+    `most_descriptors` is the process's limit on open file descriptors; the most watchers are lowered to it,
+    less SPARE_DESCRIPTORS.
+    """
     return ServerLimits(
         most_watchers=max(min(section.most_watchers, most_descriptors - SPARE_DESCRIPTORS), 1),
         longest_wait_ms=section.longest_wait_ms,
@@ -42,10 +49,13 @@
 
 
 class RelayService:
-    """Connects the event history, the low-water mark, the server and the upstream poll."""
+    """A running relay: its event loop, event history, low-water mark, server and poll to the upstream."""
 
     def __init__(self, config: RelayConfig, log: Callable[..., None], most_descriptors: int) -> None:
-        """Raises OSError if the relay can't listen at its address."""
+        """`most_descriptors` is the process's limit on open file descriptors, which bounds the connections.
+
+        Raises OSError if the relay can't listen at its address.
+        """
         section = config.section
         self.name = config.name
         self.loop = Loop()
@@ -84,19 +94,21 @@
 
     @property
     def upstream(self) -> Address:
-        """The address of the upstream that is polled now."""
+        """The address of the upstream that is polled at present, one of the configured ones."""
         return self._client.address
 
     @property
     def upstream_since_ns(self) -> int:
-        """The Unix time in nanoseconds since which that upstream is polled."""
+        """The Unix time in nanoseconds since which the present upstream has been polled."""
         return self._client.address_since_ns
 
     def _status(self, target: bytes, now: int) -> bytes:
         return encode_status(self, target, now)
 
     def _on_events(self, events: list[Any]) -> None:
-        """Appends events from upstream to the history and answers the waiting polls."""
+        """Called with each answer of the upstream: appends its events, as decoded JSON, to the history and
+        schedules answers to the held polls if any are new.
+        """
         self.upstream_answers += 1
         result = self.history.append(events, self.loop.clock.now())
         if result.invalid:
@@ -108,7 +120,11 @@
             self.log("relay_list_known", revision=self.history.revision)
 
     def upstream_query(self) -> str:
-        """Returns the poll parameters that report all watchers to an upstream relay, or an empty text."""
+        """Returns the query parameters that a poll to an upstream relay carries about the watchers below this
+        one: `low`, the event number that all have taken, and `count`, their number of gateways.
+
+        Empty if `report_upstream` is off.
+        """
         if not self._section.report_upstream:
             return ""
         now = self.loop.clock.now()
@@ -116,7 +132,9 @@
         return f"&low={low}&count={self.marks.counted(now)}"
 
     def stop(self) -> None:
-        """Answers the waiting polls and ends the loop within a second."""
+        """Starts to stop: answers the held polls, and ends the event loop once the answers have been sent, at
+        the latest after STOP_TIMEOUT_NS.
+        """
         if self._stop_deadline_ns:
             return
         self._stop_deadline_ns = self.loop.clock.now() + STOP_TIMEOUT_NS
@@ -132,7 +150,7 @@
             self.loop.after(STOP_CHECK_INTERVAL_NS, self._check_stopped)
 
     def reload(self, config: RelayConfig) -> None:
-        """Applies another configuration; logs the changed fields that need a restart."""
+        """Applies a configuration read again; logs the changed fields that take effect only at a restart."""
         old, new = self._section, config.section
         needs_restart = [name for name in FIXED_AT_START if getattr(old, name) != getattr(new, name)]
         self._section = new
@@ -144,14 +162,16 @@
         self.log("reloaded", moved=moved, needs_restart=needs_restart)
 
     def run(self) -> None:
-        """Serves until `stop` has been called and has completed."""
+        """Runs the event loop until a `stop` has completed, then closes all sockets."""
         self.log("ready", listen=f"{self._section.listen.rpartition(':')[0]}:{self.server.port}")
         self.loop.run(self.server.turn_ended)
         self.close()
         self.log("stopped", polls=self.server.counters.polls, answers=self.server.counters.answers)
 
     def close(self) -> None:
-        """Closes the upstream poll, the server and the loop at once."""
+        """Closes the upstream poll, the server with its connections, and the event loop, without waiting for
+        answers to be sent.
+        """
         self._client.stop()
         self.server.close()
         self.loop.close()
--- a/olivecourse/relay/status.py
+++ b/olivecourse/relay/status.py
@@ -1,7 +1,7 @@
 """The status of a relay for operators: one JSON object in answer to `GET /relay/status`.
 
-With `?behind=N` it lists the watchers that have not taken event N, otherwise those that lack the newest
-event.
+With `?behind=N` it lists the watchers (gateways and relays that poll) that have not taken the event with
+number N, otherwise those that lack the newest event.
 """
 
 from __future__ import annotations
@@ -16,12 +16,15 @@
     from olivecourse.relay.service import RelayService
 
 S = 1_000_000_000  # nanoseconds per second
-MAX_LISTED = 200  # lagging watchers listed, about 20 KB
-BEHIND = b"behind"
+MAX_LISTED = 200  # most watchers listed as lacking the event, about 20 KB
+BEHIND = b"behind"  # query parameter with the event number that the status is asked about
 
 
 def encode_status(relay: RelayService, target: bytes, now: int) -> bytes:
-    """Returns the body of a status answer; raises BadTarget. `now` is the Unix time in nanoseconds."""
+    """Returns the JSON body of the answer to a status request with this target.
+
+    `now` is the Unix time in nanoseconds. Raises BadTarget if the `behind` parameter is not a valid number.
+    """
     asked = number_parameter(target, BEHIND)
     number = relay.history.revision if asked is None else asked
     mark = relay.marks.mark(now)
--- a/olivecourse/relay/unread.py
+++ b/olivecourse/relay/unread.py
@@ -1,30 +1,33 @@
 """Bounds the memory of answers that slow readers have not read completely; without I/O.
 
-Readers share answers, so each answer counts once, no matter how many readers still need it.
+A reader is a connection of a relay, given by its number. Readers share answers, so the bytes of each answer
+count once, no matter how many readers still need it.
 """
 
 from __future__ import annotations
 
 
 class UnreadAnswers:
-    """The answers held only for slow readers, and these readers in the order in which they got stuck."""
+    """The answers that must be kept because some readers have not read them completely, and these readers in
+    the order in which their sockets first did not take all of an answer.
+    """
 
     def __init__(self, most_bytes: int) -> None:
         self.most_bytes = most_bytes
-        self._readers: dict[int, bytes] = {}  # the unread answer of each reader, the longest stuck first
-        self._reader_counts: dict[int, int] = {}  # by id() of an answer that _readers keeps alive
+        self._readers: dict[int, bytes] = {}  # each reader's unread answer, in the order of the `hold` calls
+        self._reader_counts: dict[int, int] = {}  # readers per answer, by the id() of the bytes in _readers
         self._size = 0
 
     @property
     def size(self) -> int:
-        """The size of all held answers in bytes, each counted once."""
+        """The total size in bytes of all held answers; one that several readers need counts once."""
         return self._size
 
     def __len__(self) -> int:
         return len(self._readers)
 
     def hold(self, reader: int, answer: bytes) -> None:
-        """Records that `reader` has not read all of `answer`."""
+        """Records that `reader` has not read all of `answer`; it must have no other unread answer."""
         self._readers[reader] = answer
         reader_count = self._reader_counts.get(id(answer), 0)
         self._reader_counts[id(answer)] = reader_count + 1
@@ -44,7 +47,8 @@
         self._size -= len(answer)
 
     def slowest(self) -> int | None:
-        """Returns the reader that has been stuck longest if the bound is exceeded, else None.
+        """Returns the reader whose answer has been unread for longest if the held answers together exceed
+        `most_bytes`, for the caller to disconnect; else None.
 
         A single answer may be held whatever its length; otherwise it could never be sent to anyone.
         """
--- a/olivecourse/relay/watermarks.py
+++ b/olivecourse/relay/watermarks.py
@@ -1,9 +1,10 @@
-"""The low-water mark: the highest event number that every watcher with a live lease has taken.
+"""The low-water mark: the highest event number up to which every watcher with a live lease has taken all
+events. A watcher is a gateway or a relay that polls this relay.
 
 The `watch` parameter of a poll is the number that the watcher has taken. A relay that polls this one reports
-the mark of its own watchers and their count. A watcher without a poll for the duration of a lease no longer
-holds the mark back; it is listed as lapsed for a while. The mark does not limit what a lapsed watcher serves;
-that is bounded by the watcher's own rules.
+the mark of its own watchers and the count of gateways below it. A watcher without a poll for the duration of
+a lease no longer holds the mark back; it is listed as lapsed for LAPSED_RETENTION_NS. The mark does not limit
+what a lapsed watcher serves; that is bounded by the watcher's own rules.
 
 A watcher has taken an event once it has polled with that event's number or a higher one. Times are
 nanoseconds of any one monotonic clock.
@@ -16,15 +17,20 @@
 from dataclasses import dataclass
 
 S = 1_000_000_000  # nanoseconds per second
-LAPSED_RETENTION_NS = 600 * S  # long enough for an operator to notice
-MAX_LAPSED = 4_096  # half of the largest fleet planned
-MAX_WATCHERS = 16_384  # twice the largest fleet planned, all on one relay
-SPARE_HEAP_ENTRIES = 64  # stale entries that a heap may have before it is rebuilt
+LAPSED_RETENTION_NS = 600 * S  # how long lapsed watchers stay listed, for an operator to notice them
+MAX_LAPSED = 4_096  # most lapsed watchers listed; half of the largest fleet planned
+MAX_WATCHERS = 16_384  # most watchers with a live lease; twice the largest fleet planned, all on one relay
+# The heap is rebuilt once it has this many entries more than twice the numbers that watchers hold.
+SPARE_HEAP_ENTRIES = 64
 
 
 @dataclass(frozen=True)
 class LaggingWatcher:
-    """A watcher that lacks an event: the number it has, since when, and whether its lease has lapsed."""
+    """A watcher that has not taken a certain event, for the operators' status.
+
+    `revision` is the event number that it has taken, `since_ns` when it first reported that number, and
+    `lapsed` is true if it has not polled for the duration of a lease.
+    """
 
     name: str
     revision: int
@@ -34,10 +40,11 @@
 
 @dataclass(frozen=True)
 class WatermarkCounters:
-    """Counters since the start.
+    """Counters of watchers since the relay's start, written to its status under these names.
 
-    `refused` counts reports refused because the table of watchers was full. `lapsed_dropped` counts watchers
-    dropped from the full list of lapsed ones, `lapsed_forgotten` those dropped after their retention.
+    `lapsed` counts expired leases, `returned` lapsed watchers that polled again, `refused` polls refused
+    because the table of watchers was full. `lapsed_dropped` counts watchers dropped from the full list of
+    lapsed ones, `lapsed_forgotten` those dropped from it after LAPSED_RETENTION_NS.
     """
 
     lapsed: int
@@ -48,23 +55,25 @@
 
 
 class _Watcher:
-    """The state of one watcher: the number it has taken, and how many gateways it stands for."""
+    """The state of one watcher: `revision`, the event number that it has taken; `count`, how many gateways it
+    stands for (1, or those below a relay); and the times of its reports.
+    """
 
     __slots__ = ("count", "last_report_ns", "revision", "since_ns")
 
     def __init__(self, revision: int, count: int, now: int) -> None:
         self.revision = revision
         self.count = count
-        self.since_ns = now  # when the watcher first reported this number
+        self.since_ns = now  # when the watcher first reported `revision`
         self.last_report_ns = now
 
 
 class LowWaterMark:
-    """The lowest number that the live watchers have taken.
+    """The watchers with a live lease, and the lowest of the event numbers that they have taken.
 
-    Watchers are counted per number and a heap holds the numbers, because most watchers share the few newest
-    numbers. A number without watchers stays in the heap until it reaches the top or until most entries are
-    stale. A report and a query of the mark cost amortised constant time per new number.
+    Watchers are counted per event number and a heap holds the numbers, because most watchers share the few
+    newest numbers. A number without watchers stays in the heap until it reaches the top or until most entries
+    are of that kind. A report and a query of the mark cost amortised constant time per new number.
     """
 
     def __init__(
@@ -75,10 +84,11 @@
         lapsed_retention_ns: int = LAPSED_RETENTION_NS,
         started_ns: int | None = None,
     ) -> None:
-        """`lease_ns` must exceed the longest wait of a poll, because a waiting watcher sends no reports.
+        """A watcher counts as live for `lease_ns` after its last poll; that must exceed the longest wait of a
+        poll, because a watcher whose poll is held reports nothing.
 
-        With `started_ns` there is no mark for the first lease after that time, because watchers from before
-        the start may not have reconnected yet.
+        With `started_ns`, the time of the relay's start, there is no mark for the duration of one lease from
+        then on, because watchers from before the start may not have reconnected yet.
         """
         self._mark_valid_from_ns = 0 if started_ns is None else started_ns + lease_ns
         self._lease_ns = lease_ns
@@ -87,7 +97,7 @@
         self._lapsed_retention_ns = lapsed_retention_ns
         self._watchers: OrderedDict[str, _Watcher] = OrderedDict()  # in the order of their last reports
         self._lapsed: OrderedDict[str, _Watcher] = OrderedDict()  # in the order in which they lapsed
-        self._holders: dict[int, int] = {}  # count of watchers by number
+        self._holders: dict[int, int] = {}  # count of live watchers by the event number that they have taken
         self._heap: list[int] = []
         self._counted = 0
         self._lapsed_total = 0
@@ -98,16 +108,17 @@
 
     @property
     def counters(self) -> WatermarkCounters:
-        """A copy of all counters."""
+        """A copy of the counters since the relay's start."""
         return WatermarkCounters(
             self._lapsed_total, self._returned, self._refused, self._lapsed_dropped, self._lapsed_forgotten
         )
 
     def report(self, watcher: str, revision: int, now: int, low: int | None = None, count: int = 1) -> bool:
-        """Records that `watcher` has taken `revision` and, for a relay, that its watchers have taken `low`.
+        """Records a poll of the watcher with the name `watcher`: it has taken event number `revision` and, if
+        it is a relay, its own watchers have taken `low` and `count` gateways are below it.
 
-        Returns False if the table is full: then the watcher must not be served, as the mark would not cover
-        it.
+        Renews its lease. Returns False if the table of watchers is full: then the watcher must not be served,
+        as the mark would not cover it.
         """
         taken = revision if low is None or low > revision else low
         state = self._watchers.get(watcher)
@@ -146,9 +157,9 @@
             self._watchers.move_to_end(watcher)
 
     def mark(self, now: int) -> int | None:
-        """Returns the number that every watcher with a live lease has taken.
+        """Returns the low-water mark, the event number that every watcher with a live lease has taken.
 
-        None if there are no such watchers, or in the first lease after the start.
+        None if there are no such watchers, or if the relay started less than a lease ago.
         """
         self._expire(now)
         if now < self._mark_valid_from_ns:
@@ -159,10 +170,11 @@
         return heap[0] if heap else None
 
     def subtree_low(self, revision: int, now: int) -> int:
-        """Returns the `low` that a relay at `revision` reports to its upstream for itself and its watchers.
+        """Returns the event number that this relay and all its watchers have taken, which it reports to its
+        upstream as `low`; `revision` is the relay's own newest event.
 
-        Without watchers it is the relay's own number. For the first lease after the start it is 0, because
-        the state of earlier watchers is unknown.
+        Without watchers it is `revision`. For one lease after the relay's start it is 0, because the state of
+        watchers from before is unknown.
         """
         low = self.mark(now)
         if now < self._mark_valid_from_ns:
@@ -175,7 +187,8 @@
         return self._counted
 
     def behind(self, revision: int, now: int) -> list[LaggingWatcher]:
-        """Returns the watchers that have not taken `revision`, the lowest first.
+        """Returns the live and lapsed watchers that have not taken event number `revision`, in ascending
+        order of the numbers that they have taken.
 
         Visits all watchers, so it is only for operators' queries.
         """
@@ -204,7 +217,9 @@
             del self._holders[number]
 
     def _expire(self, now: int) -> None:
-        """Moves watchers with an expired lease to the lapsed ones, and drops the oldest of those."""
+        """Moves watchers with an expired lease to the list of lapsed ones, and drops from that list those
+        above `most_lapsed` or past their retention, the oldest first.
+        """
         expired_before_ns = now - self._lease_ns
         while self._watchers:
             name = next(iter(self._watchers))
