--- a/olivecourse/ops/bans.py
+++ b/olivecourse/ops/bans.py
@@ -1,4 +1,5 @@
-"""The stores that operators have drained by hand, as replicated state without I/O.
+"""The stores that operators have drained (taken out of service) by hand, as state that the processes of a hot
+restart replicate; without I/O.
 
 A store is drained if the newest record for its id says so. Each record carries an increasing timestamp, so
 records may arrive in any order, more than once, or from the other process of a hot restart, and all processes
@@ -10,15 +11,15 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-GATEWAY_ID = ""  # id of the gateway itself, which no store has: a drain of it stops new work
-MAX_RECORDS = 4096  # ids with a record; above it, the oldest records that end a drain are dropped first
+GATEWAY_ID = ""  # the gateway itself in drain records; no store has this id. Its drain stops new work
+MAX_RECORDS = 4096  # drain records; above it, the oldest of those that end a drain are dropped
 
 
 @dataclass(frozen=True, order=True)
 class DrainRecord:
-    """A drain (`out` is true) or its end, for one id.
+    """An operator's decision on one store or the gateway: a drain (`out` is true) or the end of a drain.
 
-    `stamp` is the Unix time in nanoseconds, made strictly increasing.
+    `stamp` is the Unix time of the decision in nanoseconds, raised if needed above all earlier records'.
     """
 
     stamp: int
@@ -26,23 +27,30 @@
 
 
 class ManualDrains:
-    """A last-writer-wins map from store id to its newest drain record."""
+    """Maps the id of each store (or GATEWAY_ID) to its newest drain record; `drained` is the set of the ids
+    that are drained now.
+    """
 
     def __init__(self, unix_ns: Callable[[], int]) -> None:
-        """`unix_ns` returns the Unix time in nanoseconds, a clock that both processes share."""
+        """`unix_ns` returns the Unix time in nanoseconds, the clock that all processes of a gateway share."""
         self._unix_ns = unix_ns
         self.records: dict[str, DrainRecord] = {}
         self.drained: set[str] = set()
 
     def set_drained(self, store: str, out: bool) -> bool:
-        """Applies an operator's call to `store`; returns whether the state has changed."""
+        """Drains the store with the id `store` if `out`, else ends its drain; returns False if that was its
+        state already.
+        """
         if (store in self.drained) == out:
             return False
         newest = max((record.stamp for record in self.records.values()), default=0)
         return bool(self.merge([(store, DrainRecord(max(self._unix_ns(), newest + 1), out))]))
 
     def merge(self, records: Iterable[tuple[str, DrainRecord]]) -> set[str]:
-        """Merges records from another process; returns the ids whose drain began or ended as a result."""
+        """Takes over each record, given with its store id, that is newer than the one known for that id.
+
+        Returns the ids whose drain began or ended as a result.
+        """
         changed = set[str]()
         for store, record in records:
             existing = self.records.get(store)
--- a/olivecourse/ops/calls.py
+++ b/olivecourse/ops/calls.py
@@ -1,4 +1,7 @@
-"""Routing of the operators' HTTP calls: maps a path, method and body to one reply. No I/O."""
+"""Routing of the operators' HTTP calls (readiness, metrics, drains): maps path, method and body to one reply.
+
+No I/O.
+"""
 
 from __future__ import annotations
 
@@ -10,16 +13,16 @@
 
 from olivecourse.config.vocabulary import CALLS, Call
 
-MAX_BODY_BYTES = 4096  # a body holds one id, which is far shorter
-MAX_ID_LENGTH = 256  # characters
+MAX_BODY_BYTES = 4096  # longest accepted request body, which holds one store id and is far shorter
+MAX_ID_LENGTH = 256  # longest accepted store id, in characters
 TEXT, JSON = "text/plain; version=0.0.4; charset=utf-8", "application/json"
 
 
 class OperatorHandlers(Protocol):
-    """The operations of the gateway that the operators' calls need."""
+    """The operations of the gateway that the operators' calls need; implemented by GatewayDesk."""
 
     def why_not_ready(self) -> str:
-        """Returns an empty text if this gateway serves requests, else the reason why it does not."""
+        """Returns an empty text if this gateway serves requests, else the reason, for the readiness reply."""
         ...
 
     def metrics(self) -> bytes:
@@ -27,31 +30,36 @@
         ...
 
     def was_listed(self, store: str) -> bool:
-        """Whether any server list so far has contained this id."""
+        """Whether a server list has contained the store with this id, so that it may be drained."""
         ...
 
     def set_store_drained(self, store: str, out: bool) -> None:
-        """Drains the store, or ends its drain.
+        """Drains the store with this id if `out`, else ends its drain.
 
-        Once the call has returned, a drained store gets no new attempts and is not named as a fill source.
+        Once the call has returned, a drained store gets no new requests and is not named to other stores as a
+        source to fill from.
         """
         ...
 
     def set_draining(self, draining: bool) -> None:
-        """Drains this gateway, or ends its drain.
+        """Drains this whole gateway, or ends its drain.
 
-        A draining gateway reports that it takes no work, but still answers every request that arrives.
+        A draining gateway reports that it is not ready, but still answers every request that arrives.
         """
         ...
 
     def extension_reply(self, method: str, path: str, body: bytes) -> Reply | None:
-        """Returns the reply of an optional part of the gateway that handles this call, else None."""
+        """Returns the reply of an optional part of the gateway that handles calls of its own, or None if no
+        part handles this one.
+        """
         ...
 
 
 @dataclass(frozen=True)
 class Reply:
-    """An HTTP reply: status code, body, media type, and the `Allow` header's methods on a 405."""
+    """An HTTP reply: its status code, its body, the body's media type in `kind`, and in `allow` the value of
+    the `Allow` header, which only a 405 (method not allowed) has.
+    """
 
     status: int
     body: bytes
@@ -60,7 +68,7 @@
 
 
 class BadCall(Exception):
-    """A refused call; `reply` is the error reply."""
+    """Raised for an operator's call that is refused; `reply` is the error reply, with the reason in JSON."""
 
     def __init__(self, status: int, why: str, allow: str = "") -> None:
         super().__init__(why)
@@ -72,7 +80,10 @@
 
 
 def _store_id(id_in_path: str, body: bytes) -> str:
-    """Returns the store id from the path, or else from a body of the form {"id": text}."""
+    """Returns the store id from the end of the path, or, if that is empty, from a JSON body {"id": text}.
+
+    Raises BadCall with 400 if the id or the body is invalid.
+    """
     if id_in_path:
         if len(id_in_path) > MAX_ID_LENGTH:
             raise BadCall(400, f"an id has at most {MAX_ID_LENGTH} characters")
@@ -135,10 +146,11 @@
 
 
 def answer(handlers: OperatorHandlers, method: str, path: str, body: bytes) -> Reply:
-    """Returns the reply to one complete call; a refusal states its reason in JSON.
+    """Returns the reply to one complete operator's call; a refusal states its reason in JSON.
 
-    Refusals: 400 for a malformed body, 404 for an unknown path or a store that no server list has named,
-    405 for a wrong method (with `Allow`), 413 for a body over MAX_BODY_BYTES, 503 if not ready.
+    Refusals: 400 for a malformed body or store id, 404 for an unknown path or a store that no server list has
+    named, 405 for a wrong method (with `Allow`), 413 for a body over MAX_BODY_BYTES. A readiness call gets
+    503 while the gateway is not ready.
     """
     try:
         if (
--- a/olivecourse/ops/commands.py
+++ b/olivecourse/ops/commands.py
@@ -1,4 +1,4 @@
-"""`olivecourse ops`: the operators' HTTP calls as commands, for people and scripts without curl."""
+"""`olivecourse ops`: commands that make the operators' HTTP calls to a gateway, for use without curl."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from olivecourse.config.address import parse_address
 
-TIMEOUT_S = 5.0  # the admin server must answer within one second
+TIMEOUT_S = 5.0  # for connecting and for each read; the gateway's admin server must answer within one second
 
 ADDRESS = click.option(
     "--address",
@@ -22,7 +22,10 @@
 
 
 def _call(address: str, method: str, path: str, fields: dict[str, str] | None = None) -> tuple[int, str]:
-    """Makes one call and returns status and body; exits with 3 if the gateway does not answer."""
+    """Makes one HTTP call to the gateway's admin server and returns the status code and the body.
+
+    `fields` is sent as a JSON body. If there is no answer, prints why and exits with code 3.
+    """
     try:
         host, port = parse_address(address)
     except ValueError as error:
--- a/olivecourse/ops/desk.py
+++ b/olivecourse/ops/desk.py
@@ -1,4 +1,4 @@
-"""Handlers of the operators' calls, backed by the components of one gateway."""
+"""Carries out the operators' calls (readiness, metrics, drains) with the components of one gateway."""
 
 from __future__ import annotations
 
@@ -16,29 +16,35 @@
 
 
 class Gateway(Protocol):
-    """The members of the gateway that the handlers use."""
+    """The members of the gateway that GatewayDesk uses.
+
+    `conf_loaded` counts the configurations loaded, with the first one; `conf_invalid` those refused as
+    invalid.
+    """
 
     conf_loaded: int
     conf_invalid: int
 
     def drain(self, draining: bool) -> None:
-        """Tells clients to use another gateway, or that they may return."""
+        """Starts (or ends, if false) to close client connections once idle, so that clients go elsewhere."""
         ...
 
     def why_not_ready(self) -> str:
-        """Returns an empty text if the gateway serves requests, else the reason why it does not."""
+        """Returns an empty text if the gateway serves requests, else the reason, for the readiness reply."""
         ...
 
     def avoided(self) -> set[int]:
-        """Returns the stores that the decision module avoids, by its own choice or as the list says."""
+        """Returns the numbers of the stores to which the decision module (the Router) sends no requests at
+        present, by its own choice or because of the server list.
+        """
         ...
 
     def longest_turn_s(self) -> float:
-        """Returns the longest turn of the event loop, in seconds."""
+        """Returns the duration of the event loop's longest turn since the process started, in seconds."""
         ...
 
     def emit(self, event: interface.Event) -> None:
-        """Passes an event to the decision module."""
+        """Passes an event, such as a changed server list entry, to the decision module (the Router)."""
         ...
 
 
@@ -58,15 +64,17 @@
         self._gateway, self._ledger, self._pool, self._directory = gateway, ledger, pool, directory
         self._log = log
         self.manual_drains = ManualDrains(time.time_ns)
-        self.spoken: Callable[[], None] = lambda: None  # called after a call that changed a drain
-        self.others: list[Callable[[str, str, bytes], Reply | None]] = []  # call handlers of optional parts
+        self.spoken: Callable[[], None] = lambda: None  # called after an operator began or ended a drain
+        # Handlers of the gateway's optional parts for calls of their own, given method, path and body; each
+        # returns None for a call that it does not handle.
+        self.others: list[Callable[[str, str, bytes], Reply | None]] = []
         directory.manually_drained = self.manual_drains.drained
         self._metrics = GatewayMetrics(self)
 
     # Operators' calls ---------------------------------------------------------------------------------
 
     def why_not_ready(self) -> str:
-        """Returns an empty text if the gateway serves requests, else the reason why it does not."""
+        """Returns an empty text if the gateway serves requests, else the reason, for the readiness reply."""
         return self._gateway.why_not_ready()
 
     def metrics(self) -> bytes:
@@ -74,37 +82,41 @@
         return self._metrics.text()
 
     def was_listed(self, store: str) -> bool:
-        """Whether a server list has named this id, or a drain record exists for it."""
-        has_record = store in self.manual_drains.records  # possibly by an earlier process
+        """Whether a server list has contained the store with this id, or a drain record exists for it."""
+        has_record = store in self.manual_drains.records  # perhaps made by an earlier process of this gateway
         return (
             store in self._directory.recently_listed or has_record or store in self._directory.names.values()
         )
 
     def set_store_drained(self, store: str, out: bool) -> None:
-        """Drains the store, or ends its drain, and notifies the other process of a hot restart."""
+        """Drains the store with this id if `out`, else ends its drain; tells the other process of a hot
+        restart through `spoken`.
+        """
         if self.manual_drains.set_drained(store, out):
             self._apply_changes({store})
             self.spoken()
 
     def set_draining(self, draining: bool) -> None:
-        """Drains this gateway, or ends its drain."""
+        """Drains this whole gateway, or ends its drain."""
         self.set_store_drained(GATEWAY_ID, draining)
 
     def extension_reply(self, method: str, path: str, body: bytes) -> Reply | None:
-        """Returns the reply of the first optional part that handles this call, else None."""
+        """Returns the reply of the first handler in `others` that handles this call, else None."""
         return next((reply for call in self.others if (reply := call(method, path, body)) is not None), None)
 
     @property
     def draining(self) -> bool:
-        """Whether operators have drained this gateway."""
+        """Whether operators have drained this whole gateway, in this process or another one of it."""
         return GATEWAY_ID in self.manual_drains.drained
 
     def drain_records(self) -> list[tuple[str, DrainRecord]]:
-        """Returns the newest drain record of each id."""
+        """Returns the newest manual drain record of each store, with its id, to be shared or written."""
         return list(self.manual_drains.records.items())
 
     def merge_drains(self, records: Iterable[tuple[str, DrainRecord]]) -> None:
-        """Merges drain records of another process of this gateway, running or ended."""
+        """Merges manual drain records, with their store ids, from another process of this gateway, running or
+        ended, and applies the drains that began or ended as a result.
+        """
         self._apply_changes(self.manual_drains.merge(records))
 
     def _apply_changes(self, stores: set[str]) -> None:
@@ -122,27 +134,29 @@
     # Values of the metrics ----------------------------------------------------------------------------
 
     def outcomes(self) -> list[list[int]]:
-        """Returns, for each class, the counts of requests served, refused and failed."""
+        """Returns, for each request class, the counts of requests served, refused and failed."""
         return self._ledger.outcomes
 
     def attempts_sent(self) -> int:
-        """Returns the number of attempts written completely."""
+        """Returns the number of attempts (requests to stores, parents or origins) written completely."""
         return self._pool.sends
 
     def open_requests(self) -> int:
-        """Returns the number of open requests."""
+        """Returns the number of clients' requests that have no final answer yet."""
         return self._ledger.open
 
     def store_counts(self) -> tuple[int, int]:
-        """Returns the number of listed stores, and how many of them get no requests now."""
+        """Returns the number of stores in the server list, and how many of them get no requests now, because
+        they are not ready, drained by hand, or avoided by the decision module.
+        """
         listed = self._directory.members
         avoided = {store for store in listed if not self._directory.ready(store)} | self._gateway.avoided()
         return len(listed), len(avoided & listed.keys())
 
     def longest_turn_s(self) -> float:
-        """Returns the longest turn of the event loop, in seconds."""
+        """Returns the duration of the event loop's longest turn since the process started, in seconds."""
         return self._gateway.longest_turn_s()
 
     def reload_counts(self) -> tuple[int, int]:
-        """Returns the number of configurations loaded, and of those refused as invalid."""
+        """Returns the count of configurations loaded, with the first one, and of those refused as invalid."""
         return self._gateway.conf_loaded, self._gateway.conf_invalid
--- a/olivecourse/ops/door.py
+++ b/olivecourse/ops/door.py
@@ -1,4 +1,6 @@
-"""The admin server for operators: HTTP/1.1 with one call per connection, on the gateway's event loop."""
+"""The admin server, to which operators make calls (readiness, metrics, drains): HTTP/1.1 with one call per
+connection, on the gateway's event loop.
+"""
 
 from __future__ import annotations
 
@@ -15,11 +17,12 @@
 
 MS = 1_000_000  # nanoseconds per millisecond
 MAX_CONNECTIONS = 16  # concurrent connections; above it, a new connection closes the oldest
-CALL_TIMEOUT_NS = 2_000 * MS  # for a complete call to arrive
+CALL_TIMEOUT_NS = 2_000 * MS  # from the accept of a connection until its call must have arrived completely
 CLOSE_TIMEOUT_NS = 500 * MS  # for the client to read its reply and close
-SWEEP_INTERVAL_NS = 100 * MS
-MAX_URL_BYTES = 1024
-MAX_LOGGED = 80  # characters of a path, or bytes of a body, in the log
+SWEEP_INTERVAL_NS = 100 * MS  # between searches for connections that have passed one of these time-outs
+MAX_URL_BYTES = 1024  # longest accepted request target; a longer one is refused with 414
+MAX_LOGGED = 80  # most characters of a refused call's path, and bytes of its body, that are logged
+# Sizes of a connection's buffers for bytes received and not yet parsed, and for unsent bytes of the reply.
 INPUT_LIMIT_BYTES, OUTPUT_LIMIT_BYTES = 16_384, 262_144
 
 
@@ -34,7 +37,7 @@
         super().__init__(server.loop, sock, INPUT_LIMIT_BYTES, OUTPUT_LIMIT_BYTES)
 
     def received(self) -> None:
-        """Feeds the received bytes to the HTTP parser."""
+        """Called when bytes have arrived: feeds them to the HTTP parser, or drops them after the reply."""
         data = self.inbox.take(len(self.inbox))
         if self.answered:
             return
@@ -48,25 +51,25 @@
                 self._reply(BadCall(400, "not HTTP/1.1").reply)
 
     def on_url(self, url: bytes) -> None:
-        """Parser callback: a part of the request target has arrived."""
+        """HTTP parser's callback: a part of the request target has arrived; refuses one that is too long."""
         self.url += url
         if len(self.url) > MAX_URL_BYTES:
             self._reply(BadCall(414, "path too long").reply)
 
     def on_body(self, data: bytes) -> None:
-        """Parser callback: a part of the body has arrived."""
+        """HTTP parser's callback: a part of the body has arrived; refuses a body that is too long."""
         if not self.answered:
             self.body += data
         if len(self.body) > MAX_BODY_BYTES:
             self._reply(BadCall(413, f"a body has at most {MAX_BODY_BYTES} bytes").reply)
 
     def on_message_complete(self) -> None:
-        """Parser callback: the call is complete, so it is answered."""
+        """HTTP parser's callback: the whole request has arrived, so it is answered."""
         path = self.url.partition(b"?")[0].decode("ascii", "replace")
         if not self.answered:
             method = self.parser.get_method().decode()
             reply = self.server.answer(method, path, bytes(self.body))
-            if 400 <= reply.status < 500:  # the client does not follow the documented calls
+            if 400 <= reply.status < 500:  # an error of the operator's client, which a 503 (not ready) is not
                 self.server.log(
                     "ops_call_refused",
                     call=f"{method} {path[:MAX_LOGGED]}",
@@ -100,12 +103,15 @@
                 pass
 
     def closed(self, why: str) -> None:
-        """Called once when the connection has ended."""
+        """Called once by Stream when the connection has ended, for the reason `why`."""
         self.server.connection_ended(self)
 
 
 class Door:
-    """Listens at `address` for operators' calls; each is answered in the loop turn that completes it."""
+    """The admin server: listens at `address` for operators' calls.
+
+    A call is answered in the turn of the event loop in which its last byte is read.
+    """
 
     def __init__(
         self, loop: Loop, address: Address, handlers: OperatorHandlers, log: Callable[..., None]
@@ -119,7 +125,7 @@
         loop.after(SWEEP_INTERVAL_NS, self._sweep)
 
     def answer(self, method: str, path: str, body: bytes) -> Reply:
-        """Returns the reply to a complete call, or a 500 if a handler raises."""
+        """Returns the reply to a complete call, or a 500 if the code that carries it out raises."""
         try:
             return answer(self._handlers, method, path, body)
         except Exception as error:  # an error in a handler must not stop the gateway
@@ -140,10 +146,10 @@
                 next(iter(self.connections)).close("closed to make room for a new connection")
             connection = OperatorConnection(self, sock)
             self.connections[connection] = None
-            connection.read()  # the call usually arrives with the connection, so it need not wait for others
+            connection.read()  # usually the call has arrived already, so it need not wait a turn
 
     def connection_ended(self, connection: OperatorConnection) -> None:
-        """Removes a connection that has ended."""
+        """Called by a connection that has ended: forgets it."""
         self.connections.pop(connection, None)
 
     def _sweep(self) -> None:
@@ -155,7 +161,7 @@
         self.loop.after(SWEEP_INTERVAL_NS, self._sweep)
 
     def close(self) -> None:
-        """Stops listening and closes every connection."""
+        """Stops listening and closes every connection at once, also with an unsent reply."""
         self._closed = True
         self.loop.forget(self._sock)
         self._sock.close()
--- a/olivecourse/ops/figures.py
+++ b/olivecourse/ops/figures.py
@@ -1,4 +1,4 @@
-"""The metrics of a gateway in the Prometheus text format, collected at each scrape."""
+"""The metrics of a gateway in the Prometheus text format; their values are read anew for each scrape."""
 
 from __future__ import annotations
 
@@ -12,46 +12,57 @@
 
 
 class Source(Protocol):
-    """Supplies the values of the metrics. Counters start at 0 with the process."""
+    """Supplies the values of the metrics; implemented by GatewayDesk. Counters start at 0 with the process.
+
+    `classes` are the names of the request classes.
+    """
 
     classes: list[str]
 
     def outcomes(self) -> list[list[int]]:
-        """Returns, for each class, the counts of final answers: served, refused and failed.
+        """Returns, for each of `classes`, the counts of requests whose final answer was served, refused and
+        failed.
 
         The counts include answers from every component; a request abandoned by its client is in none of them.
         """
         ...
 
     def attempts_sent(self) -> int:
-        """Returns the attempts to stores, parents and origins that have been written completely."""
+        """Returns the number of attempts, single requests to a store, parent or origin, whose last byte has
+        been written.
+        """
         ...
 
     def open_requests(self) -> int:
-        """Returns the accepted requests that have no final answer and whose client is still connected."""
+        """Returns the number of accepted requests that have no final answer and whose client is still
+        connected.
+        """
         ...
 
     def store_counts(self) -> tuple[int, int]:
-        """Returns the number of listed stores, parents and origins, and how many of them get no requests now.
+        """Returns the number of stores, parents and origins in the server list, and how many of them get no
+        requests now.
 
         The latter are drained by hand, listed as draining, or avoided by the decision module for failures.
         """
         ...
 
     def longest_turn_s(self) -> float:
-        """Returns the longest turn of the event loop since the start, in seconds.
+        """Returns the duration of the event loop's longest turn since the process started, in seconds.
 
-        An answer may have been delayed by this much.
+        An answer to a client may have been delayed by this much.
         """
         ...
 
     def reload_counts(self) -> tuple[int, int]:
-        """Returns the counts of configurations loaded, including the first one, and of those refused."""
+        """Returns the count of configurations loaded, with the first one, and of those refused as invalid."""
         ...
 
 
 class GatewayMetrics:
-    """A Prometheus collector that reads its values from a `Source`."""
+    """A collector of the Prometheus client library with a registry of its own; reads the metrics' values from
+    a `Source`.
+    """
 
     def __init__(self, source: Source) -> None:
         self._source = source
@@ -63,11 +74,13 @@
         return generate_latest(self._registry)
 
     def describe(self) -> list[Metric]:
-        """Returns an empty list, so that registration does not call `collect` to learn the names."""
+        """Called when the collector is registered: returns an empty list, so that the registry does not call
+        `collect` to learn the metrics' names.
+        """
         return []
 
     def collect(self) -> Iterator[Metric]:
-        """Yields every metric family with its current value; called by the registry."""
+        """Yields every metric with its current value; called by the registry for each scrape."""
         source = self._source
         for name, class_label, state_label, states in vocabulary.ENDS:
             yield from self._outcome_counters(name, class_label, state_label, states)
@@ -85,9 +98,10 @@
     def _outcome_counters(
         self, name: str, class_label: str, state_label: str, states: tuple[str, ...]
     ) -> Iterator[Metric]:
-        """Yields the counters of ended requests by class and outcome.
+        """Yields the counters of ended requests by request class and outcome (served, refused, failed).
 
-        With a state label there is one family with a label for the outcome, else one family per outcome.
+        With a `state_label` there is one metric `name` with a label for the outcome. If it is empty there is
+        one metric per outcome, whose word from `states` replaces {} in `name`.
         """
         labels = [class_label, *([state_label] if state_label else ())]
         help_text = "Requests ended, by class and how."
@@ -103,10 +117,10 @@
 
 
 def counters(names: tuple[str, ...], help_text: str, value: float) -> Iterator[Metric]:
-    """Yields one counter per name, each with the same help text and value."""
+    """Yields one Prometheus counter per name under which the same value is exported."""
     yield from (CounterMetricFamily(name, help_text, value=value) for name in names)
 
 
 def gauges(names: tuple[str, ...], help_text: str, value: float) -> Iterator[Metric]:
-    """Yields one gauge per name, each with the same help text and value."""
+    """Yields one Prometheus gauge per name under which the same value is exported."""
     yield from (GaugeMetricFamily(name, help_text, value=value) for name in names)
--- a/olivecourse/ops/handover.py
+++ b/olivecourse/ops/handover.py
@@ -1,4 +1,6 @@
-"""The Unix socket over which a gateway's process transfers its client connections to its successor."""
+"""The Unix socket over which a gateway's process transfers its client connections to its successor, the
+process that replaces it in a hot restart.
+"""
 
 from __future__ import annotations
 
@@ -17,29 +19,35 @@
 from olivecourse.net.stream import listen_unix
 from olivecourse.ops.handwire import MAX_MESSAGE_BYTES, VERSION, BadMessage, Decoder, Kind, Message
 
-MAX_LINKS = 4
-MAX_QUEUED_BYTES = MAX_MESSAGE_BYTES + 8 * 2**20  # bytes; a link with more unread is closed
-MAX_READS_PER_TURN = 16
-READ_BYTES = 262_144
-MAX_FDS_PER_READ = 16  # most descriptors received in one read
-ANSWER_TIMEOUT_S = 0.5  # a starting process waits this long; one turn of a loaded loop takes a tenth of it
-MAX_PENDING_FDS = 64  # descriptors received before the messages that they belong to
+MAX_LINKS = 4  # most connections from other processes open at a time
+MAX_QUEUED_BYTES = MAX_MESSAGE_BYTES + 8 * 2**20  # a link with more unsent bytes is closed
+MAX_READS_PER_TURN = 16  # reads from a link in one turn of the event loop
+READ_BYTES = 262_144  # most bytes received in one read from a link
+MAX_FDS_PER_READ = 16  # most file descriptors received in one read from a link
+# A starting process waits this long for its predecessor's reply. One turn of the predecessor's event loop
+# takes a tenth of it under load.
+ANSWER_TIMEOUT_S = 0.5
+MAX_PENDING_FDS = 64  # file descriptors that may arrive ahead of their messages; with more a link is closed
 
 
 class LinkHandler(Protocol):
-    """Receives the messages and the end of a link."""
+    """Receives the messages of a link to another process, and is told of its end."""
 
     def message_received(self, link: Link, message: Message, sock: socket.socket | None) -> None:
-        """Handles one message, and the socket that came with it, if any."""
+        """Handles one message, and takes ownership of the socket that came with it, if any."""
         ...
 
     def link_closed(self, link: Link) -> None:
-        """Called once when the link has closed: the peer has ended or has sent an invalid message."""
+        """Called once when the link has closed, because the other process has ended or has sent an invalid
+        message, or because this process closed it.
+        """
         ...
 
 
 class Link:
-    """A connection between two processes that carries messages in order, some with a file descriptor."""
+    """A Unix socket connection between two processes of a gateway; it carries messages in order, some of them
+    with a file descriptor.
+    """
 
     def __init__(
         self, loop: Loop, sock: socket.socket, handler: LinkHandler, log: Callable[..., None]
@@ -48,15 +56,19 @@
         self._handler = handler
         self.open = True
         self._decoder = Decoder()
-        self._pending_fds: deque[int] = deque()  # received ahead of their messages
-        self._send_queue: deque[tuple[memoryview, int]] = deque()  # bytes, and a descriptor or -1
+        self._pending_fds: deque[int] = deque()  # file descriptors that arrived ahead of their messages
+        self._send_queue: deque[tuple[memoryview, int]] = deque()  # unsent bytes, and a descriptor or -1
         self._queued_bytes = 0
         self._mask = READ
         sock.setblocking(False)
         loop.watch(sock, READ, self._ready)
 
     def send(self, message: Message, fd: int = -1) -> None:
-        """Queues a message; takes ownership of `fd`, which is closed once it has been sent."""
+        """Sends a message, or queues what the socket does not take at once.
+
+        Takes ownership of the file descriptor `fd` (-1: none), which is closed here once it has been sent or
+        the link has closed.
+        """
         if not self.open:
             if fd >= 0:
                 os.close(fd)
@@ -92,7 +104,7 @@
         except (BlockingIOError, InterruptedError):
             pass
         except OSError as error:
-            # With ETOOMANYREFS the kernel has too many descriptors in flight; the rest is sent later.
+            # ETOOMANYREFS: too many file descriptors are sent and not yet received; the rest is sent later.
             if error.errno != errno.ETOOMANYREFS:
                 self.close(errno.errorcode.get(error.errno or 0, "error"))
                 return
@@ -108,7 +120,9 @@
             self.read()
 
     def read(self) -> None:
-        """Reads and dispatches what has arrived, up to a bounded number of reads."""
+        """Reads what has arrived, in up to MAX_READS_PER_TURN reads, and passes complete messages to the
+        handler. Closes the link if the peer has, or if a message is invalid.
+        """
         for _ in range(MAX_READS_PER_TURN):
             try:
                 data, fds, flags, _ = socket.recv_fds(self.sock, READ_BYTES, MAX_FDS_PER_READ)
@@ -142,7 +156,7 @@
             sock.close()
 
     def close(self, why: str) -> None:
-        """Closes the link and all descriptors that it still owns; logs the reason."""
+        """Closes the link and the file descriptors that it still owns, and tells the handler; logs `why`."""
         if not self.open:
             return
         self.open = False
@@ -157,7 +171,10 @@
 
 
 def _socket_from_fd(fd: int) -> socket.socket:
-    """Returns the socket of a received descriptor; closes any other file and raises BadMessage."""
+    """Returns the socket of a file descriptor that another process sent.
+
+    If it is no socket, closes the descriptor and raises BadMessage.
+    """
     try:
         return socket.socket(fileno=fd)
     except OSError:
@@ -166,16 +183,17 @@
 
 
 def _short_path(path: Path) -> tuple[int, str]:
-    """Returns a directory descriptor to close after use, and a short path through it for a Unix socket.
+    """Returns an open descriptor of `path`'s directory, and a short form of `path` that leads through it.
 
-    The real path may exceed the 107 bytes that a Unix socket address can hold.
+    The caller closes the descriptor after use. The short form is for a Unix socket address, which can hold
+    only 107 bytes.
     """
     folder = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     return folder, f"/proc/self/fd/{folder}/{path.name}"
 
 
 class HandoverListener:
-    """The listening socket on which a newly started process asks this one for a hand-over."""
+    """The Unix socket at `path` to which a newly started process connects to ask this one for a hand-over."""
 
     def __init__(self, loop: Loop, path: Path, handler: LinkHandler, log: Callable[..., None]) -> None:
         self._loop, self._handler, self._log = loop, handler, log
@@ -201,22 +219,24 @@
 
     @property
     def links(self) -> list[Link]:
-        """The open links to processes that have connected, oldest first."""
+        """The open links to processes that have connected to this socket, oldest first."""
         self._links = [link for link in self._links if link.open]
         return self._links
 
     def close(self) -> None:
-        """Stops listening; open links stay open."""
+        """Closes the listening socket; links that are open stay open."""
         self._loop.forget(self._sock)
         self._sock.close()
 
 
 def request_handover(path: Path) -> tuple[socket.socket, socket.socket | None, bytes]:
-    """Connects to the predecessor at the start of this process and blocks for its reply.
+    """Asks the predecessor, the running process whose Unix socket is at `path`, for a hand-over.
+
+    Called at the start of this process; blocks for the reply.
 
-    Returns the connected socket, the predecessor's listening socket if it shares one, and its encoded learned
-    state. Raises OSError or BadMessage if there is no valid reply within ANSWER_TIMEOUT_S; the process then
-    starts without a hand-over.
+    Returns the connected socket, the predecessor's listening socket for clients if it shares one, and its
+    encoded learned state. Raises OSError or BadMessage if there is no valid reply within ANSWER_TIMEOUT_S;
+    the process then starts without a hand-over.
     """
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
     listener, decoder, deadline_s = None, Decoder(), time.monotonic() + ANSWER_TIMEOUT_S
--- a/olivecourse/ops/handwire.py
+++ b/olivecourse/ops/handwire.py
@@ -1,8 +1,10 @@
-"""Encoding and decoding of the messages between the two processes of a hot restart. No I/O.
+"""Encoding and decoding of the messages between the two processes of a hot restart: the predecessor, which is
+being replaced, and its successor. No I/O.
 
-A message consists of its length (4 bytes), its kind (1 byte, with the top bit set if a descriptor accompanies
-it), the length of its head (4 bytes), the head in JSON, and raw bytes. Unknown kinds are ignored, so that
-either process may be of a later version. The required fields of a head are checked here.
+A message consists of its length (4 bytes, which are not counted in it), its kind (1 byte, with the top bit
+set if a file descriptor accompanies it), the length of its head (4 bytes), the head in JSON, and raw bytes.
+Unknown kinds are ignored, so that either process may be of a later version. The required fields of a head are
+checked here.
 """
 
 from __future__ import annotations
@@ -13,27 +15,34 @@
 from enum import IntEnum
 from typing import Any
 
-VERSION = 1
-MAX_MESSAGE_BYTES = 24 * 2**20  # bytes; the unread answers of a transferred client are at most 8 MB
-_FRAME_HEADER = struct.Struct(">IBI")
+VERSION = 1  # of these messages, sent in HELLO
+MAX_MESSAGE_BYTES = 24 * 2**20  # longest message; the unsent answers of a transferred client are at most 8 MB
+_FRAME_HEADER = struct.Struct(">IBI")  # the message's length, its kind, and the length of its head
 
 
 class Kind(IntEnum):
-    """Message kinds, with the sender if it is fixed, the fields of the head and the raw bytes."""
-
-    UNKNOWN = 0  # a kind of a later version
-    HELLO = 1  # from the successor: {"v"}
-    LISTENER = 2  # with a descriptor: the listening socket, if the first front has one to share
-    LEARNED = 3  # raw: the learned state of the Router
-    READY = 4  # from the successor: it is ready to serve
-    CLIENT = 5  # with a descriptor: {"conn", "last", "taken", "open", "in"}; raw: bytes read, bytes unsent
-    ANSWER = 6  # {"conn", "number"}; raw: the frame that answers the request of this number
-    FORGET = 7  # from the successor: {"conn", "number"}: the client has cancelled the request
-    GONE = 8  # from the successor: {"conn"}: the client has disconnected
+    """Message kinds: the sender, the fields of the JSON head in braces, and what the raw bytes hold.
+
+    `conn` is the sender's number for a transferred client connection, `number` a request's sequence number on
+    that connection. The fields of CLIENT are those of `Handed`; `in` is the length of the bytes read.
+    """
+
+    UNKNOWN = 0  # never sent; stands for a received kind that only a later version knows
+    HELLO = 1  # from the successor {"v"}: asks for a hand-over; `v` is its VERSION
+    LISTENER = 2  # from the predecessor, with a descriptor: the listening socket, if the first front has one
+    LEARNED = 3  # from the predecessor; raw: the Router's learned state, as `learned` encodes it
+    READY = 4  # from the successor: it is ready to serve and to receive client connections
+    # From the predecessor, with the descriptor of a client's connection; raw: the bytes read and not yet
+    # processed, then the unsent bytes of answers.
+    CLIENT = 5  # {"conn", "last", "taken", "open", "in"}
+    ANSWER = 6  # from the predecessor {"conn", "number"}; raw: the answer frame for the client to get
+    FORGET = 7  # from the successor {"conn", "number"}: the client has cancelled this request
+    GONE = 8  # from the successor {"conn"}: the client has disconnected
     LOOK = 9  # from either: a manual drain began or ended, so the drain records have to be read again
 
 
-WITH_SOCKET = 0x80
+WITH_SOCKET = 0x80  # the bit in the kind's byte that says that a file descriptor accompanies the message
+# The fields that the JSON head of each kind must have, all of them integers from 0 to 2**53 - 1.
 _REQUIRED_FIELDS: dict[Kind, tuple[str, ...]] = {
     Kind.HELLO: ("v",),
     Kind.CLIENT: ("conn", "last", "taken", "in"),
@@ -44,12 +53,14 @@
 
 
 class BadMessage(ValueError):
-    """Bytes that are not a valid message; the receiver closes the link."""
+    """Raised for received bytes that are not a valid message; the receiver then closes the link."""
 
 
 @dataclass(frozen=True)
 class Message:
-    """One message: its kind, JSON head, raw bytes, and whether a descriptor accompanies it."""
+    """One message: its kind, its decoded JSON head, raw bytes, and whether a file descriptor of a socket
+    accompanies it.
+    """
 
     kind: Kind
     head: dict[str, Any] = field(default_factory=dict)
@@ -57,25 +68,31 @@
     with_socket: bool = False
 
     def encode(self) -> bytes:
-        """Returns the message in its wire form."""
+        """Returns the message as the bytes to be sent, without the file descriptor."""
         head = json.dumps(self.head).encode() if self.head else b""
         kind = self.kind | (WITH_SOCKET if self.with_socket else 0)
         return _FRAME_HEADER.pack(5 + len(head) + len(self.raw), kind, len(head)) + head + self.raw
 
     def number(self, name: str) -> int:
-        """Returns an integer field of the head; `Decoder` has checked its type."""
+        """Returns the integer field `name` of the JSON head; `Decoder` has checked that it is there."""
         value: int = self.head[name]
         return value
 
 
 class Decoder:
-    """Splits a byte stream into messages; after it has raised BadMessage it must not be used again."""
+    """Splits the bytes received over a link into messages and checks them.
+
+    After it has raised BadMessage it must not be used again.
+    """
 
     def __init__(self) -> None:
         self._data = bytearray()
 
     def feed(self, data: bytes) -> list[Message]:
-        """Adds received bytes and returns the messages that are complete now; raises BadMessage."""
+        """Adds received bytes and returns the messages that are complete now, in order.
+
+        Raises BadMessage if one is invalid; the messages before it in `data` are then lost.
+        """
         self._data += data
         messages: list[Message] = []
         while len(self._data) >= _FRAME_HEADER.size:
--- a/olivecourse/ops/learned.py
+++ b/olivecourse/ops/learned.py
@@ -1,7 +1,8 @@
-"""The learned state of a Router as JSON, passed to the successor process in a hot restart.
+"""The learned state of a Router (the decision module) as JSON, passed to the successor process in a hot
+restart.
 
 The records, and how a new Router restores them, are those of `olivecourse.memory`, but without its files. The
-state is not aged, because the successor takes over at once.
+records age only by the time of the transfer, because the successor takes over at once.
 """
 
 from __future__ import annotations
@@ -16,27 +17,31 @@
 from olivecourse.memory.lessons import Snapshot, Stamp
 from olivecourse.memory.uptake import Uptake
 
-MAX_STATE_BYTES = 2**20
-AGEING_POLICY = Policy(DEFAULTS)
+MAX_STATE_BYTES = 2**20  # longest encoded state that `restore_state` accepts
+AGEING_POLICY = Policy(DEFAULTS)  # how much weight a record keeps by its age, as with snapshot files
 
 
 def encode_state(router: Router, watcher: Watcher, name: str, now: int, unix_ns: int) -> bytes:
-    """Encodes the whole state in one call.
+    """Returns the Router's whole learned state as JSON, encoded in one call.
 
     About 60 stores and a few hundred hot objects take a few milliseconds.
+
+    `watcher` holds the Router's ended counting intervals, `name` is the gateway's name, `now` the Router's
+    clock and `unix_ns` the Unix time, both in nanoseconds.
     """
     snapshot = Snapshot(name, Stamp(unix_ns), router.density)
     for lessons in collect(router, watcher, now):
         snapshot.file(lessons)
-    # JSON can't represent infinity.
+    # JSON can't represent infinity, which the popularity threshold T of an interval may be.
     snapshot.intervals = [replace(interval, t=min(interval.t, 1e300)) for interval in snapshot.intervals]
     return msgspec.json.encode(snapshot)
 
 
 def restore_state(router: Router, data: bytes, now: int, unix_ns: int) -> Uptake:
-    """Restores the state into a Router that has had no event yet.
+    """Restores the state that `encode_state` returned into a Router that has had no event yet.
 
-    Raises ValueError, and then leaves the Router unchanged.
+    Returns the Uptake, whose `settle` the caller calls once the Router knows its stores. Raises ValueError
+    for an invalid or too long state, and then leaves the Router unchanged.
     """
     if len(data) > MAX_STATE_BYTES:
         raise ValueError(f"{len(data)} bytes are too many")
--- a/olivecourse/ops/presence.py
+++ b/olivecourse/ops/presence.py
@@ -1,9 +1,11 @@
-"""Files in `$TMPDIR` that show which processes of a gateway are alive and that preserve manual drains.
+"""Files in a folder of `$TMPDIR` that show which processes of a gateway are alive and that preserve manual
+drains (stores that operators took out of service by hand).
 
 Each process owns three files there: `TOKEN.lock`, which it keeps locked while it lives; `TOKEN.json`, its
-record of manual drains, always replaced as a whole; and `TOKEN.sock`, the socket for hand-overs. Only the
-lock shows whether a process is alive: a killed process holds no lock, while its process id may be reused.
-The files need not survive a restart of the machine, so they are not synced to disk.
+record of manual drains, always replaced as a whole; and `TOKEN.sock`, the Unix socket for hand-overs. TOKEN
+consists of the process's start in Unix nanoseconds and its process id. Only the lock shows whether a process
+is alive: a killed process holds no lock, while its process id may be reused. The files need not survive a
+restart of the machine, so they are not synced to disk.
 """
 
 from __future__ import annotations
@@ -19,19 +21,24 @@
 
 from olivecourse.ops.bans import DrainRecord
 
-FOLDER = "olivecourse"
-LOCK_FILE_NAME = re.compile(r"(\d{20}-\d{1,10})\.lock")
-MAX_OTHER_PROCESSES = 16  # a scan reads at most this many other processes, the youngest ones
-MAX_RECORD_BYTES = 2**20
-DrainRecords = list[tuple[str, DrainRecord]]
+FOLDER = "olivecourse"  # the folder's name in `$TMPDIR` before the hyphen and the gateway's name
+LOCK_FILE_NAME = re.compile(r"(\d{20}-\d{1,10})\.lock")  # group 1 is the process's token
+MAX_OTHER_PROCESSES = 16  # a scan reads the files of at most this many other processes, the youngest ones
+MAX_RECORD_BYTES = 2**20  # longest file of manual drains that is read
+DrainRecords = list[tuple[str, DrainRecord]]  # manual drain records, each with its store id
 
 
 class FolderUnusable(OSError):
-    """`$TMPDIR` can't be used; the gateway runs without persistent manual drains and without hand-overs."""
+    """Raised if the folder in `$TMPDIR` can't be used; the gateway then runs without persistent manual drains
+    and without hand-overs.
+    """
 
 
 def parse_record(data: bytes) -> DrainRecords:
-    """Parses the drain records of a process record; raises ValueError. Unknown fields are ignored."""
+    """Returns the manual drain records in the content of a process's `TOKEN.json` file.
+
+    Unknown fields are ignored. Raises ValueError if the content is invalid.
+    """
     try:
         decoded = json.loads(data)
     except RecursionError:
@@ -51,7 +58,11 @@
     """The lock, record and socket files of this process, and a reader of those of the other processes."""
 
     def __init__(self, parent: str, name: str, log: Callable[..., None]) -> None:
-        """`parent` is `$TMPDIR` and `name` the gateway's name. Raises FolderUnusable."""
+        """Creates the folder if needed, and this process's lock file.
+
+        `parent` is `$TMPDIR` and `name` the gateway's name, which all its processes share. Raises
+        FolderUnusable, also if users other than this one can access the folder.
+        """
         self._log = log
         self.folder = Path(parent) / f"{FOLDER}-{re.sub('[^A-Za-z0-9_.-]', '_', name)[:64]}"
         self.token = f"{time.time_ns():020d}-{os.getpid()}"
@@ -61,8 +72,8 @@
             found = self.folder.lstat()
             if not stat.S_ISDIR(found.st_mode) or found.st_uid != os.geteuid() or found.st_mode & 0o077:
                 raise FolderUnusable(f"{self.folder} is not a folder that only this user can access")
-            # The file gets its final name only once it is locked, so that no other process takes a starting
-            # process for dead.
+            # The lock file gets its final name only once it is locked, so that no other process takes this
+            # starting process for dead.
             temporary = self.folder / f"{self.token}.new"
             self._lock = os.open(temporary, os.O_RDWR | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o600)
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -73,15 +84,17 @@
             raise FolderUnusable(f"{self.folder}: {error.strerror}") from None
 
     def path(self, kind: str, token: str = "") -> Path:
-        """Returns the file with suffix `kind` of the process `token`, by default of this process."""
+        """Returns the path of the file with the suffix `kind` ("lock", "json", "sock") of the process with
+        `token`, by default of this process.
+        """
         return self.folder / f"{token or self.token}.{kind}"
 
     def scan(self) -> tuple[list[str], DrainRecords, list[str]]:
-        """Scans the files of the other processes.
+        """Reads the files of this gateway's other processes, living and dead.
 
-        Returns the tokens of the living ones, the youngest last; the drain records of all of them that have
-        changed since the last scan; and the tokens of the dead ones, whose files are to be removed once their
-        drain records are in this process's own record.
+        Returns the tokens of the living ones, the youngest last; all manual drain records in the files that
+        have changed since the previous scan; and the tokens of the dead ones, whose files the caller removes
+        once it has written their drain records to this process's own file.
         """
         living, dead = list[str](), list[str]()
         records: DrainRecords = []
@@ -131,7 +144,7 @@
             os.close(fd)
 
     def write(self, records: DrainRecords) -> bool:
-        """Replaces this process's record atomically; returns whether that succeeded."""
+        """Replaces this process's file of manual drains atomically; returns whether that succeeded."""
         data = json.dumps(
             {"v": 1, "bans": [[store, record.stamp, record.out] for store, record in records]}
         ).encode()
@@ -150,7 +163,7 @@
             return False
 
     def remove_files(self, tokens: Iterable[str]) -> None:
-        """Removes the files of dead processes."""
+        """Removes all files of the dead processes with these tokens."""
         for token in tokens:
             self._last_read.pop(token, None)
             for kind in ("lock", "json", "json.new", "sock"):
@@ -160,9 +173,9 @@
                     self._log("presence_unusable", why=error.strerror)
 
     def release(self) -> None:
-        """Removes the socket file and releases the lock at an orderly end.
+        """Called when this process ends in an orderly way: removes its socket file and releases its lock.
 
-        The record stays, because the next process reads the manual drains from it.
+        Its file of manual drains stays, because the next process reads the drains from it.
         """
         self.path("sock").unlink(missing_ok=True)
         os.close(self._lock)
--- a/olivecourse/ops/succession.py
+++ b/olivecourse/ops/succession.py
@@ -1,6 +1,7 @@
-"""Hot restart of a gateway: finds other processes, shares manual drains, transfers client connections.
+"""Hot restart of a gateway: finds the gateway's other processes, shares manual drains (stores taken out of
+service by hand) with them, and transfers client connections to the successor.
 
-Connects `standing`, `presence`, `handover` and a front.
+Connects `standing`, `presence`, `handover` and a front, which serves the clients.
 `docs/design/daily.md`, section D, describes the whole procedure.
 """
 
@@ -24,43 +25,55 @@
 from olivecourse.ops.standing import ProcessLineage, TransferredConnections
 
 MS = 1_000_000  # nanoseconds per millisecond
-SCAN_INTERVAL_NS = 100 * MS  # between scans of other processes' records; their drains apply here within 1 s
-SCANS_PER_INTERVAL_CHECK = 10  # scans between two checks of the Router's counting intervals
+# Between scans of the other processes' files, so that manual drains set there apply here within 1 s.
+SCAN_INTERVAL_NS = 100 * MS
+SCANS_PER_INTERVAL_CHECK = 10  # scans between checks whether a counting interval of the Router has ended
 
 
 class DrainHolder(Protocol):
-    """The holder of the manual drains."""
+    """The holder of this process's manual drains, which GatewayDesk implements."""
 
     def merge_drains(self, records: DrainRecords) -> None:
-        """Merges drain records of another process."""
+        """Merges manual drain records of another process, and applies those that are newer."""
         ...
 
     def drain_records(self) -> DrainRecords:
-        """Returns the newest drain record of each id."""
+        """Returns the newest manual drain record of each store, with the store's id."""
         ...
 
 
 class RemoteConnection:
-    """The other process's side of one transferred client connection."""
+    """Sends messages about one transferred client connection to the process that sent or received it.
+
+    `conn` is the number that the sending process gave the connection.
+    """
 
     def __init__(self, link: Link, conn: int) -> None:
         self._link, self._conn = link, conn
 
     def answer(self, number: int, frame: bytes) -> None:
-        """Sends the answer to request `number`, for the process that holds the connection to write."""
+        """Sends the answer frame for the request with the sequence number `number` to the process that now
+        holds the connection, which writes it to the client.
+        """
         self._link.send(Message(Kind.ANSWER, {"conn": self._conn, "number": number}, frame))
 
     def forget(self, number: int) -> None:
-        """Reports that the client no longer waits for request `number`."""
+        """Tells the process that works on the request with the sequence number `number` that the client has
+        cancelled it.
+        """
         self._link.send(Message(Kind.FORGET, {"conn": self._conn, "number": number}))
 
     def gone(self) -> None:
-        """Reports that the client has disconnected."""
+        """Tells the process that handed the connection over that the client has disconnected."""
         self._link.send(Message(Kind.GONE, {"conn": self._conn}))
 
 
 class HotRestart:
-    """One process's part in hot restarts; the constructor raises FolderUnusable if `$TMPDIR` is unusable."""
+    """One process's part in hot restarts, as the successor of one process and the predecessor of others.
+
+    The constructor asks a living process of the gateway for a hand-over; it raises FolderUnusable if
+    `$TMPDIR` can't be used.
+    """
 
     def __init__(
         self,
@@ -71,7 +84,11 @@
         on_limits_shared: Callable[[bool], None],
         log: Callable[..., None],
     ) -> None:
-        """`on_limits_shared` is called with whether another process is alive, which shares all limits."""
+        """`folder` is `$TMPDIR`, `name` the gateway's name, and `drains` holds the manual drains.
+
+        `on_limits_shared` is called with True when another process begins to share the gateway's limits on
+        file descriptors, and, when a link to a process has closed, with whether one still shares them.
+        """
         self._loop, self._name, self._drains, self._on_limits_shared, self._log = (
             loop,
             name,
@@ -105,7 +122,9 @@
         self._lineage.add_predecessor(Link(self._loop, sock, self, self._log))
 
     def teach(self, router: Router) -> None:
-        """Restores the predecessor's learned state into `router`, which has had no event yet."""
+        """Restores the learned state that the predecessor sent, if any, into the Router `router`, which has
+        had no event yet.
+        """
         self._router = router
         if not self._warm_state:
             return
@@ -118,7 +137,10 @@
         self._warm_state = b""
 
     def start(self, front: Listener) -> None:
-        """Starts to accept hand-over requests from successors; `front` must be listening."""
+        """Starts to accept hand-over requests from successors, and to scan the other processes' files.
+
+        `front`, whose clients would be transferred, must be listening.
+        """
         self._front = front
         try:
             self._handover_listener = HandoverListener(
@@ -131,7 +153,9 @@
         self._loop.after(SCAN_INTERVAL_NS, self._tick)
 
     def serves(self) -> None:
-        """Notifies the predecessor that this process is ready to receive its client connections."""
+        """Called when this process is ready to serve: tells the predecessor, if any, that it can now receive
+        client connections.
+        """
         predecessor = self._lineage.take_ready_notification()
         if predecessor is not None:
             predecessor.send(Message(Kind.READY))
@@ -139,7 +163,9 @@
     # Manual drains ------------------------------------------------------------------------------------
 
     def say(self) -> None:
-        """Records a changed manual drain and asks the other processes to read the records again."""
+        """Called when an operator began or ended a drain in this process: writes its file of manual drains
+        and asks the other processes to read it.
+        """
         self._lineage.drains_changed()
         self._write_record()
         for link in self._links():
@@ -178,7 +204,10 @@
     # Transfer of client connections -------------------------------------------------------------------
 
     def retire(self) -> bool:
-        """Transfers the client connections to the ready successor on SIGTERM; False if there is none."""
+        """Called on SIGTERM: transfers the client connections to the ready successor.
+
+        Returns False, without a transfer, if there is none or the front is not one for Thrift.
+        """
         for link in () if self._handover_listener is None else self._handover_listener.links:
             link.read()  # its READY may have arrived in this turn
         successor, front = self._lineage.successor(), self._front
@@ -186,7 +215,8 @@
             return False
         front.no_more()
         for client in list(front.clients):
-            # Lingering and non-Thrift clients stay here, and so do all others once the link has closed.
+            # Not transferred: clients that do not use Thrift, connections that this process has begun to
+            # close (`lingers`), and all others once the link to the successor has closed.
             if not isinstance(client, ThriftClient) or client.lingers or not successor.open:
                 continue
             conn = self._transferred.next_number()
@@ -207,11 +237,16 @@
         return True
 
     def flushed(self) -> bool:
-        """Whether every answer for transferred clients, own or relayed, has been written to its link."""
+        """Whether every answer that a transferred client waits for, made here or by this process's
+        predecessor, has been sent to the process that holds the connection; a stop waits for this.
+        """
         return not self._transferred.has_unanswered() and all(link.flushed for link in self._links())
 
     def message_received(self, link: Link, message: Message, sock: socket.socket | None) -> None:
-        """Handles a message of another process; `Decoder` has checked its form."""
+        """Called by a link for each message of another process, whose fields `Decoder` has checked.
+
+        `sock` is the socket that accompanied it, if any.
+        """
         if message.kind is Kind.HELLO:
             self._answer_hello(link)
         elif message.kind is Kind.READY:
@@ -261,7 +296,10 @@
         self._transferred.add_received(link, conn, front.adopt(sock, handed, RemoteConnection(link, conn)))
 
     def link_closed(self, link: Link) -> None:
-        """Ends the transfers over a closed link and takes back the other process's share of the limits."""
+        """Called by a link that has closed: cancels the open requests of clients sent over it, fails those of
+        clients received over it that were open in the other process, and reports whether the limits on file
+        descriptors are still shared with a process.
+        """
         sent, received = self._transferred.link_closed(link)
         for client in sent:
             client.from_heir(None)
@@ -272,7 +310,7 @@
             self._on_limits_shared(self._lineage.limits_shared)
 
     def close(self) -> None:
-        """Closes all links and releases the files of this process."""
+        """Closes all links to other processes, removes the hand-over socket and releases the lock file."""
         self._stopped = True
         for link in self._links():
             link.close("this process is stopping")
@@ -289,7 +327,10 @@
     on_limits_shared: Callable[[bool], None],
     log: Callable[..., None],
 ) -> HotRestart | None:
-    """Returns a HotRestart, or None, with a log line, if `$TMPDIR` is unset or can't be used."""
+    """Returns a HotRestart for the gateway `name` with its files in `folder`, the value of `$TMPDIR`.
+
+    Logs the reason and returns None if `$TMPDIR` is unset or can't be used.
+    """
     try:
         if folder is None:
             raise FolderUnusable("TMPDIR is not set")
