--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -1,4 +1,6 @@
-"""The admin server, its metrics and manual drains, over loopback sockets."""
+"""Tests of a gateway's admin server, its metrics and manual drains (stores that operators take out of
+service), over loopback sockets.
+"""
 
 import json
 import re
@@ -39,7 +41,10 @@
 
 
 class Call:
-    """One call to the admin server; invoking it returns status, body and head, or None until complete."""
+    """One HTTP call to the gateway's admin server, sent in pieces of `cut` bytes if given.
+
+    Calling the object returns the reply's status, body and head, or None until the reply is complete.
+    """
 
     def __init__(self, stage, head, body=b"", cut=0):
         self.stage = stage
@@ -62,7 +67,7 @@
 
 
 def call(stage, head, body=b"", **more):
-    """Makes one call to the admin server and returns the status and body."""
+    """Makes one HTTP call to the gateway's admin server and returns the reply's status and body."""
     made = Call(stage, head, body, **more)
     try:
         return stage.until(made)[:2]
@@ -71,19 +76,23 @@
 
 
 def down(stage, name, action="down"):
-    """Calls the admin server to drain a store, or with "up" to end its drain; returns the status."""
+    """Calls the admin server to drain the store `name`, or with "up" to end its drain; returns the reply's
+    status.
+    """
     return call(stage, f"PUT /ops/stores/{action}", json.dumps({"id": name}).encode())[0]
 
 
 def figures(stage):
-    """Returns the gateway's metrics by name and labels."""
+    """Fetches the gateway's metrics; returns each value by the metric's name with its labels."""
     status, text = call(stage, "GET /ops/stats")
     assert status == 200
     return {name: float(value) for name, value in re.findall(r"^(app_\S+) (\S+)$", text.decode(), re.M)}
 
 
 def total(state, group="fichiers"):
-    """Returns the metric name of the requests of a class that ended in a state."""
+    """Returns the name and labels of the metric that counts the requests of the class `group` that ended as
+    `state`.
+    """
     return f'app_transactions_total{{group="{group}",state="{state}"}}'
 
 
@@ -124,7 +133,7 @@
     assert call(stage, "GET /ops/readiness")[0] == 200
     assert time.monotonic() - began < 0.5
     assert len(door.connections) <= MAX_CONNECTIONS
-    stage.until(lambda: not door.connections)  # every silent connection is closed within seconds
+    stage.until(lambda: not door.connections)  # those that send nothing are closed after CALL_TIMEOUT_NS
     for sock in silent:
         sock.close()
 
@@ -161,7 +170,7 @@
     (conn,) = stage.until(lambda: stage.cache.poll() and stage.cache.conns)
     assert stage.gateway.pool.sends == 1
     stream = stage.gateway.pool._stores[1][0]
-    stream.outbox.write(b"y")  # simulates a write that the system took only in part
+    stream.outbox.write(b"y")  # simulates an attempt that the socket has taken only in part
     stream._partly = True
     assert stage.gateway.pool.sends == 1
     stream.flush()
@@ -269,7 +278,7 @@
     for change in shuffled:
         two.merge([change])
     assert one.drained == two.drained and one.records == two.records
-    one.set_drained("a", "a" not in one.drained)  # a later call overrides all of these, whatever the clocks
+    one.set_drained("a", "a" not in one.drained)  # overrides all of these, even those with a later stamp
     two.merge(one.records.items())
     assert one.drained == two.drained
 
@@ -285,7 +294,9 @@
 
 
 def test_a_partial_list_at_the_start_does_not_remove_stores_that_it_does_not_name():
-    """A gateway started during a release once knew only the last store that it had been sent."""
+    """A gateway started during a release once knew only the store in the last partial server list that it had
+    been sent.
+    """
     stage = Stage()
     try:
         more = member("s-00000002", stage.cache.address)
@@ -333,7 +344,7 @@
         stage.cache.say(answer[at : at + 20_000])
         stage.turn()
     got = b""
-    while len(got) < 200_000:  # about 1 MB per second
+    while len(got) < 200_000:  # the client reads at about 1 MB per second
         part = receive_available(client.sock)
         got += part
         end = time.monotonic() + 0.01
@@ -403,7 +414,9 @@
 
 
 class Answers(list):
-    """A reply that records the kind of each answer: 0 served, 1 refused, 2 failed."""
+    """Stands in for a client that is to be answered: records the kind of each answer, 0 for served, 1 for
+    refused, 2 for failed.
+    """
 
     def served(self, *args):
         self.append(0)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,6 @@
-"""Relays over real sockets, as seen by gateways, by relays that poll them, and by hostile clients."""
+"""Tests of relays, which pass discovery events on to gateways, over real sockets: as seen by gateways, by
+relays that poll them, and by hostile clients.
+"""
 
 import json
 import os
@@ -43,7 +45,7 @@
 
 
 class Watcher:
-    """A stand-in for the polling connection of a gateway."""
+    """A client's connection to a relay, in place of the one over which a gateway polls it."""
 
     def __init__(self, port, receive_buffer=None):
         self.sock = socket.socket()
@@ -63,7 +65,7 @@
         self.get(poll_target(watch, linger, extra))
 
     def receive(self):
-        """Reads the available bytes; complete responses go to `answers` as (status, body)."""
+        """Reads the available bytes; appends each complete response to `answers` as (status, body)."""
         try:
             while part := self.sock.recv(1 << 20):
                 self.data += part
@@ -83,12 +85,14 @@
         return self.answers
 
     def take(self):
-        """Removes and returns the next answer, or None."""
+        """Removes and returns the oldest complete answer as (status, body), or None if there is none yet."""
         return self.receive().pop(0) if self.receive() else None
 
 
 class Stage:
-    """A notice board, and relays that poll it or each other, all in this process."""
+    """A notice board (the platform's discovery service), and relays that poll it or each other, all in this
+    process.
+    """
 
     def __init__(self):
         self.world = World([], lambda *asked: None)
@@ -134,7 +138,9 @@
         self.until(lambda: relay.history.revision >= self.board.rev)
 
     def answer(self, watcher):
-        """Returns the next answer's status and body; the body of a 200 is decoded."""
+        """Waits for the watcher's next answer; returns its status and body, which is decoded from JSON for a
+        200.
+        """
         status, body = self.until(watcher.take)
         return status, json.loads(body) if status == 200 else body.decode()
 
@@ -191,12 +197,14 @@
     watcher = stage.watcher(relay)
     watcher.poll(9, 9_000_000, "&more=1&lows")
     assert stage.answer(watcher) == (200, {"rev": 1, "notices": []})
-    watcher.get("/board/poll?linger=10&x=%20&watch=0")  # uses the general parser, on the same connection
+    watcher.get("/board/poll?linger=10&x=%20&watch=0")  # not the usual form, so the general parser reads it
     assert numbers(stage.answer(watcher)[1]) == [1]
 
 
 def test_watchers_at_the_same_number_share_one_encoding_and_are_answered_in_slices(stage, monkeypatch):
-    """With a slice length of 0 every watcher is answered in its own turn, and events arrive in between."""
+    """A SLICE_NS of 0 makes the relay answer each watcher in a turn of the event loop of its own, so that a
+    second event arrives between the answers.
+    """
     monkeypatch.setattr("olivecourse.relay.server.SLICE_NS", 0)
     relay = stage.relay()
     stage.wait_until_current(relay)
@@ -218,14 +226,16 @@
 
 
 def test_a_turn_reads_for_a_bounded_time_and_no_watcher_starves(stage, monkeypatch):
-    """With a read budget of 0 each turn reads one connection; a flooding client must not starve others."""
+    """A READ_BUDGET_NS of 0 makes each turn of the event loop read one connection; a client that sends all the
+    time must not starve the others.
+    """
     monkeypatch.setattr("olivecourse.relay.server.READ_BUDGET_NS", 0)
     relay = stage.relay()
     stage.wait_until_current(relay)
     flood = stage.watcher(relay)
     flood.poll(1, 5000)
     stage.until(lambda: relay.server.waiting)
-    flood.send(b"GET /")  # the rest follows byte by byte
+    flood.send(b"GET /")  # `flooded` sends the rest of this request's endless target, byte by byte
     watchers = [stage.watcher(relay) for _ in range(20)]
     for watcher in watchers:
         watcher.poll(1, 5000)
@@ -233,7 +243,7 @@
     def flooded():
         try:
             flood.send(b"a")
-        except OSError:  # the relay refuses the request in the end
+        except OSError:  # the relay has refused the request as too long and closed the connection
             pass
         return relay.server.waiting >= 20
 
@@ -316,7 +326,9 @@
 
 
 def test_without_descriptors_new_connections_wait_and_a_relay_can_stop_meanwhile(stage, monkeypatch):
-    """The relay stops watching the listening socket for a while, so that it does not keep the loop busy."""
+    """While `accept` fails for lack of file descriptors, the relay stops watching the listening socket for a
+    time, so that the socket does not keep the event loop busy.
+    """
     relay, other = stage.relay(), stage.relay()
     stage.wait_until_current(relay)
 
@@ -335,7 +347,7 @@
 
 
 def test_a_slow_reader_is_cut_off_with_a_logged_reason_while_others_are_served(stage):
-    """Two unread answers together exceed the bound, so the reader stuck for longest is cut off."""
+    """Two unread answers together exceed `most_unread_kb`, so the reader stuck for longest is cut off."""
     relay = stage.relay(most_unread_kb=2_048, history_kb=65_536, history_events=100_000)
     stage.wait_until_current(relay)
     slow = stage.watcher(relay, receive_buffer=4_096)
@@ -370,8 +382,8 @@
     slower.poll(0, 0)
     stage.until(
         lambda: relay.server.unread_bytes == len(body)
-    )  # an answer that both have not read counts once
-    stage.until(lambda: slow.take())  # this watcher reads its answer
+    )  # the same answer, which neither watcher has read completely, counts once
+    stage.until(lambda: slow.take())  # `slow` reads its answer, `slower` does not
     stage.until(lambda: relay.server.counters.cut_off)
     assert relay.server.unread_bytes == 0 and relay.server.counters.cut_off == 1 and not slow.closed
 
@@ -389,7 +401,7 @@
     stage.until(lambda: relay.server.waiting)
     stage.board.resume()
     assert numbers(stage.answer(held)[1]) == [1]
-    stage.board.refuse()  # known events are still served
+    stage.board.refuse()  # without its upstream the relay still serves the events that it knows
     stage.until(lambda: stage.names().count("discovery_disconnected") > 3)
     held.poll(0, 0)
     assert numbers(stage.answer(held)[1]) == [1]
@@ -415,13 +427,15 @@
     late = stage.watcher(relay)
     late.poll(3, 5000)
     assert numbers(stage.answer(late)[1]) == [4, 5]
-    stage.board.rev = 8  # event numbers may jump
+    stage.board.rev = 8  # the next event number is not the successor of the last, which is allowed
     stage.board.publish(flush={"collection": 9, "ms": 6})
     assert numbers(stage.answer(watcher)[1]) == [9]
 
 
 def test_after_an_hours_backlog_an_answer_holds_only_the_list_and_unsettled_purges(stage):
-    """60,000 purges, of which the last 500 are unsettled, and a store that left and returned."""
+    """The backlog has 60,000 purges, of which the last 500 are unsettled (a store may still hold an older
+    copy), and a store that left the server list and returned.
+    """
     relay = stage.relay(history_events=100, purge_retention_s=10)
     stage.wait_until_current(relay)
     now_ms = relay.loop.clock.now() // 1_000_000
@@ -483,7 +497,7 @@
     def passed():
         return (found := fetch_status())["passed"] and found
 
-    last = stage.until(passed)  # the lagging watcher's lease has expired
+    last = stage.until(passed)  # ends once the lease of the watcher that lacks event 2 has expired
     assert last["mark"] == 2 and last["watchers"]["counted"] == 1
     assert last["behind"][0] == {"watcher": name, "number": 1, "lapsed": True} | {
         "seconds": last["behind"][0]["seconds"]
@@ -491,7 +505,9 @@
 
 
 class Processes:
-    """Relays as separate processes that poll a notice board in this process; ended by their process ids."""
+    """Relays as separate processes, which poll a notice board (the discovery service) in this process; they
+    are ended by their process ids.
+    """
 
     def __init__(self, folder):
         self.folder, self.started = folder, []
@@ -631,7 +647,7 @@
 
 
 class RelayedGateway(gateways.Stage):
-    """A real gateway that polls a relay in place of the notice board."""
+    """A test stage whose gateway polls a relay in place of the notice board (the discovery service)."""
 
     def __init__(self, address):
         self.relay_address = address
@@ -672,7 +688,7 @@
         assert "newer=" in fetched(1, gateways.OBJECT) and "newer=" not in fetched(2, "00000000000000aa")
         now = top.loop.clock.now
         stage.until(turned(lambda: top.marks.mark(now()) == 2))
-        assert top.marks.counted(now()) == 1  # counts the gateway but not the relay in between
+        assert top.marks.counted(now()) == 1  # the gateway; the relay between it and `top` does not count
         assert middle.marks.counted(now()) == 1
         gateway.gateway.discovery.stop()  # the gateway is cut off; after its lease no gateway is counted
         stage.board.publish(flush={"collection": 3, "ms": 5})
@@ -695,7 +711,9 @@
         self.connections = []
 
     def receive(self):
-        """Serves pending connections; returns how many have been served so far."""
+        """Accepts a waiting connection, and answers and closes those that have sent a request; returns how
+        many have been served so far.
+        """
         try:
             self.connections.append(self.sock.accept()[0])
             self.connections[-1].setblocking(False)
@@ -724,7 +742,9 @@
 
 
 class Gateways:
-    """Many discovery clients, of the class that gateways use, on one loop; all prefer the first address."""
+    """Many discovery clients, of the class that gateways use, on one event loop; all prefer the first of the
+    same upstream addresses.
+    """
 
     def __init__(self, stage, count, *addresses, rev=1, grace_ms=250):
         self.stage, self.loop, self.logged = stage, Loop(), []
@@ -773,7 +793,7 @@
     monkeypatch.setattr(fleet.loop, "after", recorded)
     fleet.until(lambda: all(client.rev == 2 for client in fleet.clients))
     first_tries = sorted(delays_ms[:300])
-    assert first_tries[0] >= 20 and first_tries[-1] <= 125 + 40  # half of the grace plus the backoff
+    assert first_tries[0] >= 20 and first_tries[-1] <= 125 + 40  # half the grace period plus the backoff
     assert first_tries[-1] - first_tries[0] >= 80
     assert max(first_tries.count(delay_ms) for delay_ms in first_tries) <= 10
     assert all(numbers({"notices": taken}) == [2] for taken in fleet.taken)
@@ -782,7 +802,7 @@
 
 
 def test_a_gateway_that_changes_relays_within_an_answer_misses_nothing_and_applies_nothing_twice(stage):
-    """The second relay does not have the last 40 events yet."""
+    """The first relay's answer is cut off, and the second relay does not have the last 40 events yet."""
     first, second = stage.relay(history_events=64), stage.relay(history_events=500)
     stage.wait_until_current(second)
     now = second.loop.clock.now()
--- a/tests/test_relay_decisions.py
+++ b/tests/test_relay_decisions.py
@@ -1,4 +1,7 @@
-"""Decisions of relays and discovery clients, without I/O: history, folding, low-water marks and failover."""
+"""Tests of the parts of relays and discovery clients that do no I/O: parsing of events, the event history and
+its folding into a compact state, low-water marks (the event number that all watchers have taken), and
+failover to another upstream.
+"""
 
 import json
 import random
@@ -39,7 +42,9 @@
 
 
 class Client:
-    """A stand-in for a gateway: applies an answer event by event and may be cut off in the middle."""
+    """A stand-in for a gateway that polls a history: applies an answer event by event, at most the first
+    `cut_after` ones.
+    """
 
     def __init__(self):
         self.rev, self.stores, self.purges = 0, {}, {}
@@ -72,7 +77,7 @@
 
 
 def caught_up(upstream, client=None):
-    """Returns the client after a poll that leaves it with nothing more to get."""
+    """Lets `client`, or a new one, poll the history `upstream`; returns it, with no later events to get."""
     client = client or Client()
     client.poll(upstream)
     assert not client.poll(upstream)
@@ -124,7 +129,7 @@
 def test_answers_are_slices_shared_by_all_watchers_that_lack_the_same_events():
     made = history(pool(3, store("a"), complete=True), purge(7), purge(12, 17))
     assert json.loads(made.since(3, NOW)) == {"rev": 12, "notices": [purge(7), purge(12, 17)]}
-    assert made.since(7, NOW) is made.since(11, NOW)  # event numbers may jump
+    assert made.since(7, NOW) is made.since(11, NOW)  # both lack event 12; there are none from 8 to 11
     assert made.since(12, NOW) is None and made.since(40, NOW) is None
     assert json.loads(made.empty_answer()) == {"rev": 12, "notices": []}
     before = made.since(7, NOW)
@@ -246,7 +251,7 @@
     with pytest.raises(WatcherTooOld):
         made.since(5, NOW)
     assert [event["rev"] for event in json.loads(made.since(6, NOW))["notices"]] == [7, 8, 9, 10, 11]
-    later = NOW + 60 * S  # the evicted purges have settled
+    later = NOW + 60 * S  # no store can hold a copy older than the evicted purges any more
     assert json.loads(made.since(0, later))["rev"] == 11
     assert made.counters.watchers_too_old == 1
 
@@ -280,7 +285,9 @@
 
 
 def backlog(count, issued_over_s, most_events=4_096):
-    """Returns a history with `count` purges issued over `issued_over_s` seconds, and the CPU time it took."""
+    """Returns a history with `count` purges issued over the last `issued_over_s` seconds, and the CPU time in
+    seconds that appending them took.
+    """
     events = [pool(1, *(store(f"s-{i:08x}") for i in range(1_100)), complete=True)]
     step_ms = issued_over_s * 1_000 / count
     events += [purge(2 + i, f"{i:016x}", ms=NOW_MS - int((count - i) * step_ms)) for i in range(count)]
@@ -295,7 +302,7 @@
     small, small_time = backlog(135_000, 900)
     large, large_time = backlog(540_000, 3_600)
     assert large.revision == 540_001
-    assert large_time < 8 * small_time  # 4 if linear; 16 or more if each event caused a rebuild
+    assert large_time < 8 * small_time  # 4 if linear; 16 or more if each event rebuilt the history
     body = large.since(0, NOW)
     purge_times = [event["flush"]["ms"] for event in json.loads(body)["notices"] if "flush" in event]
     assert (
@@ -389,7 +396,9 @@
 
 
 def numbered(bodies, jumps):
-    """Returns a complete list followed by the bodies as events, each number above the last by a jump."""
+    """Returns a complete server list followed by the bodies as events; each event number is above the one
+    before by the next of `jumps`.
+    """
     rev, events = 1, [pool(1, store("a"), store("b"), complete=True)]
     for body, jump in zip(bodies, jumps, strict=True):
         rev += jump
@@ -414,7 +423,9 @@
 @settings(max_examples=300)
 @given(st.data())
 def test_an_answer_brings_a_watcher_from_any_number_to_the_newest_state(data):
-    """Checks a relay that got every event, and one that polls it and got folded and truncated answers."""
+    """Checks the answers of a relay that got every event, and of one that polls it and got answers that were
+    compacted or truncated.
+    """
     bodies = data.draw(st.lists(BODIES, min_size=1, max_size=30))
     events = numbered(bodies, [1 + i % 3 for i in range(len(bodies))])
     upper, lower = (EventHistory(HistoryLimits(most_events=data.draw(st.integers(1, 9)))) for _ in range(2))
@@ -437,7 +448,9 @@
 @settings(max_examples=300)
 @given(st.data())
 def test_a_client_that_changes_relays_ends_in_the_state_of_one_that_got_every_event(data):
-    """Two relays have different limits and paces, a third polls one of them, and answers are truncated."""
+    """Two relays with different limits get the events at different paces, a third polls either of them, and
+    answers are truncated.
+    """
     bodies = data.draw(st.lists(BODIES, min_size=1, max_size=40))
     count = len(bodies)
     jumps = data.draw(st.lists(st.sampled_from([1, 1, 1, 2, 7]), min_size=count, max_size=count))
@@ -471,7 +484,7 @@
 
 
 def feed_from(lower, upper, cut_after):
-    """Appends an answer of `upper`, truncated after `cut_after` events, to `lower`."""
+    """Lets the history `lower` poll `upper`; the answer is truncated after `cut_after` events (None: not)."""
     body = upper.since(lower.revision, NOW)
     if body is not None:
         lower.append(json.loads(body)["notices"][:cut_after], NOW)
@@ -488,7 +501,7 @@
     assert marks.mark(0) == 5 and marks.counted(0) == 3
     marks.report("a", 9, 1 * S)
     assert marks.mark(1 * S) == 7
-    marks.report("a", 3, 2 * S)  # the watcher has restarted from a lower number
+    marks.report("a", 3, 2 * S)  # a watcher may report a lower number after its restart
     assert marks.mark(2 * S) == 3
     assert marks.behind(8, 2 * S) == [
         LaggingWatcher("a", 3, 2 * S, False),
@@ -501,14 +514,14 @@
     marks = LowWaterMark(lease_ns=10 * S, lapsed_retention_ns=100 * S)
     marks.report("dead", 5, 0)
     marks.report("live", 9, 0)
-    marks.disconnected("dead", 4 * S)  # renews the lease, as the watcher may still serve
+    marks.disconnected("dead", 4 * S)  # renews the lease, as the watcher may still serve requests
     marks.disconnected("never seen", 4 * S)
     marks.report("live", 9, 13 * S)
     assert marks.mark(13 * S) == 5
     assert marks.mark(14 * S) == 9 and marks.counted(14 * S) == 1
     assert marks.behind(9, 14 * S) == [LaggingWatcher("dead", 5, 0, True)]
     assert marks.behind(5, 14 * S) == []
-    marks.report("dead", 6, 20 * S)  # the watcher has returned
+    marks.report("dead", 6, 20 * S)  # a lapsed watcher that polls again is live again
     assert marks.mark(20 * S) == 6 and marks.counters.returned == 1
     assert marks.mark(200 * S) is None
     assert marks.behind(10, 200 * S) == [] and marks.counters.lapsed_forgotten == 2
@@ -531,7 +544,7 @@
     assert marks.subtree_low(12, 109 * S) == 0
     assert marks.mark(110 * S) == 9
     assert marks.subtree_low(12, 110 * S) == 9 and marks.subtree_low(7, 110 * S) == 7
-    assert marks.subtree_low(12, 200 * S) == 12  # no watcher is left
+    assert marks.subtree_low(12, 200 * S) == 12  # all leases have expired: the relay's own number
 
 
 def test_the_numbers_of_live_and_lapsed_watchers_are_bounded():
@@ -575,7 +588,7 @@
             assert 20 * MS <= delay <= min(40 * MS * 2**failures, 320 * MS)
         selector.succeeded()
     late = [selector.failed().delay_ns for _ in range(300)]
-    assert min(late[8:]) < 50 * MS and max(late) > 290 * MS  # delays cover the whole range
+    assert min(late[8:]) < 50 * MS and max(late) > 290 * MS  # after many failures: from shortest to longest
     assert selector.current == ("a", 1)
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,5 @@
-"""Hot restarts of a gateway: hand-overs, shared manual drains, and the death of either process.
+"""Tests of hot restarts of a gateway: transfers of client connections to the successor, manual drains shared
+by both processes, and the death of either process.
 
 Both gateways run in this process, each with its own event loop. The predecessor's loop runs in a thread while
 the successor starts, because only then does one gateway block for the other.
@@ -26,7 +27,9 @@
 
 
 class Upgrade:
-    """A test stage with a chain of gateways, each the successor of the one before; all loops run in turn."""
+    """A test stage with a chain of gateways, each the successor of the one before; their event loops take
+    turns in one thread.
+    """
 
     def __init__(self, folder, **more):
         self.folder = str(folder)
@@ -109,8 +112,8 @@
     client.call(1, i=one)
     other.call(1, i=two)
     upgrade.until(lambda: upgrade.cache.poll().count(b"fetch ") == 2)
-    client.call(2, i=three)  # only a part of the next request arrives before the restart
-    whole = client.sock  # the next request is written to the socket directly
+    client.call(2, i=three)
+    whole = client.sock  # request `four` is written to it directly, one part before the transfer, one after
     new = upgrade.follow()
     upgrade.until(lambda: upgrade.cache.poll().count(b"fetch ") == 3)
     from olivecourse.fronts import codec
@@ -218,7 +221,7 @@
     new = upgrade.follow()
     assert not new.directory.ready(8), "the drain must hold before the first request"
     assert figures(upgrade)["app_cluster_unhealthy"] == 1
-    # These calls go to the successor.
+    # `down` now calls the successor; the predecessor must follow.
     assert down(upgrade, "s-00000008", "up") == down(upgrade, "s-00000001") == 200
     upgrade.until(lambda: old.directory.ready(8) and not old.directory.ready(1))
     upgrade.kill(old)
@@ -259,13 +262,13 @@
     "sent, kinds, ends",
     [
         ([Message(Kind.LOOK)], [Kind.LOOK], False),
-        # The first message has a kind of a later version.
+        # The first message has the unknown kind 0x7e, as a later version may send.
         ([b"\0\0\0\5\x7e\0\0\0\0", Message(Kind.LOOK)], [Kind.LOOK], False),
         ([b"\xff" * 32], [], True),
         ([b"\0\0\0\5\3\0\0\0\1"], [], True),
         ([Message(Kind.CLIENT, {"conn": 1, "last": 1, "taken": 1, "in": 9}, with_socket=True)], [], True),
         ([Message(Kind.ANSWER, {"conn": -1, "number": "x"})], [], True),
-        # The descriptor of this message is missing.
+        # The message says that a file descriptor accompanies it, but none does.
         ([Message(Kind.LISTENER, with_socket=True)], [], True),
     ],
 )
@@ -407,7 +410,7 @@
 
 
 class ClientOwed:
-    """A client that is owed `owed` answers."""
+    """A stand-in for a client connection on which `owed` requests are unanswered."""
 
     def __init__(self, owed):
         self.owed = owed
