--- a/olivecourse/ops/desk.py
+++ b/olivecourse/ops/desk.py
@@ -49,7 +49,7 @@
 
 
 class GatewayDesk:
-    """Implements the operators' calls and supplies the values of the metrics."""
+    """Carries out the operators' calls, holds the manual drains, and supplies the values of the metrics."""
 
     def __init__(
         self,
--- a/olivecourse/ops/door.py
+++ b/olivecourse/ops/door.py
@@ -18,7 +18,7 @@
 MS = 1_000_000  # nanoseconds per millisecond
 MAX_CONNECTIONS = 16  # concurrent connections; above it, a new connection closes the oldest
 CALL_TIMEOUT_NS = 2_000 * MS  # from the accept of a connection until its call must have arrived completely
-CLOSE_TIMEOUT_NS = 500 * MS  # for the client to read its reply and close
+CLOSE_TIMEOUT_NS = 500 * MS  # from the reply until the client must have read it and closed the connection
 SWEEP_INTERVAL_NS = 100 * MS  # between searches for connections that have passed one of these time-outs
 MAX_URL_BYTES = 1024  # longest accepted request target; a longer one is refused with 414
 MAX_LOGGED = 80  # most characters of a refused call's path, and bytes of its body, that are logged
@@ -117,7 +117,7 @@
         self, loop: Loop, address: Address, handlers: OperatorHandlers, log: Callable[..., None]
     ) -> None:
         self.loop, self.log, self._handlers = loop, log, handlers
-        self.connections: dict[OperatorConnection, None] = {}  # an ordered set, oldest first
+        self.connections: dict[OperatorConnection, None] = {}  # open ones, an ordered set, oldest first
         self._sock = listen(address)
         self.port: int = self._sock.getsockname()[1]
         self._closed = False
@@ -128,7 +128,7 @@
         """Returns the reply to a complete call, or a 500 if the code that carries it out raises."""
         try:
             return answer(self._handlers, method, path, body)
-        except Exception as error:  # an error in a handler must not stop the gateway
+        except Exception as error:  # an error in the code of one call must not stop the gateway
             self.log("ops_fault", path=path, error=repr(error))
             return BadCall(500, "internal error, see the log").reply
 
--- a/olivecourse/ops/handover.py
+++ b/olivecourse/ops/handover.py
@@ -83,7 +83,7 @@
 
     @property
     def flushed(self) -> bool:
-        """Whether every queued message has been written to the socket."""
+        """Whether every message given to `send` has been written to the socket."""
         return not self._send_queue
 
     def _flush(self) -> None:
--- a/olivecourse/ops/presence.py
+++ b/olivecourse/ops/presence.py
@@ -55,7 +55,9 @@
 
 
 class ProcessRecord:
-    """The lock, record and socket files of this process, and a reader of those of the other processes."""
+    """The three files of this process (lock, manual drains, socket for hand-overs), and a reader of the lock
+    and drain files of the gateway's other processes.
+    """
 
     def __init__(self, parent: str, name: str, log: Callable[..., None]) -> None:
         """Creates the folder if needed, and this process's lock file.
--- a/olivecourse/ops/succession.py
+++ b/olivecourse/ops/succession.py
@@ -209,7 +209,7 @@
         Returns False, without a transfer, if there is none or the front is not one for Thrift.
         """
         for link in () if self._handover_listener is None else self._handover_listener.links:
-            link.read()  # its READY may have arrived in this turn
+            link.read()  # a successor's READY message may have arrived since the last read of its link
         successor, front = self._lineage.successor(), self._front
         if successor is None or not isinstance(front, ThriftFront):
             return False
@@ -271,7 +271,7 @@
         if front is not None and isinstance(front, ThriftFront) and front.fileno() >= 0:
             try:
                 link.send(Message(Kind.LISTENER, with_socket=True), os.dup(front.fileno()))
-            except OSError as error:  # out of descriptors: the successor opens its own listening socket
+            except OSError as error:  # no file descriptor is free: the successor opens its own socket
                 self._log("handover_unusable", why=str(error))
         warm_state = (
             b""
--- a/olivecourse/relay/connection.py
+++ b/olivecourse/relay/connection.py
@@ -118,11 +118,11 @@
             self.refuse(HTTPStatus.BAD_REQUEST, "too many pipelined requests")
 
     def on_url(self, url: bytes) -> None:
-        """Parser callback: a part of the request target has arrived."""
+        """HTTP parser's callback: a part of the request target has arrived."""
         self._target += url
 
     def on_message_complete(self) -> None:
-        """Parser callback: a request is complete."""
+        """HTTP parser's callback: a whole request has arrived; queues it for `_next_request`."""
         target = self._target
         self._target = b""
         self._request_bytes = 0
@@ -230,7 +230,7 @@
             return
         try:
             self.sock.send(refusal(status, why))
-        except OSError:  # the peer has gone or reads nothing
+        except OSError:  # the peer has gone, or its socket takes no bytes because it reads nothing
             self.close(why)
             return
         self._begin_close(self.loop.clock.now())
@@ -249,7 +249,7 @@
         except OSError:  # the peer has already closed the connection
             self.close("done")
 
-    # Ends
+    # End of the connection
 
     def _deadline_passed(self, now: int) -> None:
         if not self.open:
--- a/olivecourse/relay/deadlines.py
+++ b/olivecourse/relay/deadlines.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Callable
 
-BUCKET_NS = 20_000_000  # width of a time bucket; deadlines are met this much late, which none here minds
+BUCKET_NS = 20_000_000  # width of a time bucket; a deadline may be met this late, which is exact enough
 
 
 class Deadline:
--- a/olivecourse/relay/events.py
+++ b/olivecourse/relay/events.py
@@ -29,7 +29,7 @@
 
 Relays write and read it; other readers ignore it like any unknown part."""
 
-UNUSABLE = (KeyError, TypeError, ValueError, OverflowError)
+UNUSABLE = (KeyError, TypeError, ValueError, OverflowError)  # raised when a purge with invalid fields is read
 
 
 class InvalidRelayEvent(ValueError):
--- a/olivecourse/relay/history.py
+++ b/olivecourse/relay/history.py
@@ -112,7 +112,9 @@
 
 
 class EventHistory:
-    """The newest events that a relay passes on, and the compacted state of the older ones."""
+    """The run of newest events that a relay passes on, the base made from older ones, and a cache of encoded
+    answers.
+    """
 
     def __init__(self, limits: HistoryLimits) -> None:
         self._limits = limits
@@ -120,7 +122,7 @@
         self._members = FoldedMembers(limits.most_members)
         self._purges = UnsettledPurges(limits.purge_retention_ns, limits.most_purges)
         self._folded_through = 0  # a watcher whose event number is below this needs events of the base
-        self._list_known = False  # whether a complete server list has been appended
+        self._list_known = False  # whether an event with a complete server list has been appended
         # `folded_through` of the newest complete list if an upstream relay made it from several events, until
         # the run has been folded up to that number; otherwise 0.
         self._list_through = 0
@@ -150,7 +152,7 @@
 
     @property
     def counters(self) -> HistoryCounters:
-        """A copy of all counters."""
+        """A copy of all counters since the relay's start."""
         return HistoryCounters(
             taken=self._taken,
             known=self._known,
@@ -182,7 +184,7 @@
                 continue
             try:
                 encoded = encode_json(event.raw)
-            except RecursionError:  # nested too deeply to be encoded
+            except RecursionError:  # the event's JSON is nested too deeply to be encoded
                 invalid += 1
                 continue
             self._append_event(event, encoded, now)
--- a/olivecourse/relay/unread.py
+++ b/olivecourse/relay/unread.py
@@ -35,7 +35,10 @@
             self._size += len(answer)
 
     def release(self, reader: int) -> None:
-        """Forgets `reader`, which has read its whole answer or has disconnected."""
+        """Forgets `reader`, which has read its whole answer or has disconnected; ignores unknown readers.
+
+        The answer's bytes stop counting once no other reader needs them.
+        """
         answer = self._readers.pop(reader, None)
         if answer is None:
             return
--- a/olivecourse/relay/watermarks.py
+++ b/olivecourse/relay/watermarks.py
@@ -95,7 +95,7 @@
         self._most_watchers = most_watchers
         self._most_lapsed = most_lapsed
         self._lapsed_retention_ns = lapsed_retention_ns
-        self._watchers: OrderedDict[str, _Watcher] = OrderedDict()  # in the order of their last reports
+        self._watchers: OrderedDict[str, _Watcher] = OrderedDict()  # live ones, by their last polls
         self._lapsed: OrderedDict[str, _Watcher] = OrderedDict()  # in the order in which they lapsed
         self._holders: dict[int, int] = {}  # count of live watchers by the event number that they have taken
         self._heap: list[int] = []
@@ -150,7 +150,9 @@
         return True
 
     def disconnected(self, watcher: str, now: int) -> None:
-        """Renews the lease of a disconnected watcher once, because the watcher may still serve requests."""
+        """Called when a watcher's connection has ended: renews its lease once more, because the watcher may
+        still serve requests.
+        """
         state = self._watchers.get(watcher)
         if state is not None:
             state.last_report_ns = now
@@ -182,7 +184,9 @@
         return revision if low is None else min(low, revision)
 
     def counted(self, now: int) -> int:
-        """Returns how many gateways the mark covers, including those behind relays that poll this one."""
+        """Returns how many gateways the low-water mark covers, including those behind relays that poll this
+        one.
+        """
         self._expire(now)
         return self._counted
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -226,8 +226,8 @@
 
 
 def test_a_turn_reads_for_a_bounded_time_and_no_watcher_starves(stage, monkeypatch):
-    """A READ_BUDGET_NS of 0 makes each turn of the event loop read one connection; a client that sends all the
-    time must not starve the others.
+    """A READ_BUDGET_NS of 0 makes each turn of the event loop read one connection; a client that sends all
+    the time must not starve the others.
     """
     monkeypatch.setattr("olivecourse.relay.server.READ_BUDGET_NS", 0)
     relay = stage.relay()
