--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -133,7 +133,7 @@
     assert call(stage, "GET /ops/readiness")[0] == 200
     assert time.monotonic() - began < 0.5
     assert len(door.connections) <= MAX_CONNECTIONS
-    stage.until(lambda: not door.connections)  # those that send nothing are closed after CALL_TIMEOUT_NS
+    stage.until(lambda: not door.connections)  # all lack a complete call by CALL_TIMEOUT_NS
     for sock in silent:
         sock.close()
 
@@ -278,7 +278,7 @@
     for change in shuffled:
         two.merge([change])
     assert one.drained == two.drained and one.records == two.records
-    one.set_drained("a", "a" not in one.drained)  # overrides all of these, even those with a later stamp
+    one.set_drained("a", "a" not in one.drained)  # overrides even stamps later than its clock
     two.merge(one.records.items())
     assert one.drained == two.drained
 
