--- a/benchmarks/_scale_relays.py
+++ b/benchmarks/_scale_relays.py
@@ -43,7 +43,7 @@
 
     @property
     def pid(self) -> int:
-        """The process id."""
+        """The process id of the relay."""
         return self.gateway.process.pid
 
     @property
--- a/benchmarks/_virtual_agreement.py
+++ b/benchmarks/_virtual_agreement.py
@@ -358,7 +358,11 @@
 
 
 def release_steer_cpu_ms(nodes: int) -> float:
-    """Measures `releases.through`, which the coordinator calls every 250 ms, with a complete wave."""
+    """Returns the mean processor time of one call of `releases.through` for a fleet of `nodes`, in ms.
+
+    The coordinator of a release calls it every 250 ms to see whether the current wave is complete. Here it is
+    (every gateway runs the new version and is warm), so that the call looks at all gateways of the wave.
+    """
     release, fleet = _release(), tuple(range(nodes))
     seen = dict.fromkeys(fleet, releases.Seen("v2", True))
     return _cpu_ms(lambda: releases.through(release, fleet, seen))
--- a/build_native.py
+++ b/build_native.py
@@ -16,8 +16,8 @@
 
 ROOT = Path(__file__).resolve().parent
 TARGET, WORK = ROOT / ".native", ROOT / ".native.new"
-# The modules that use the most CPU time. The other modules use little of it, or hold slotted dataclasses,
-# which mypyc does not compile.
+# Modules of the gateway that use the most CPU time, as paths below olivecourse/ without ".py". The others use
+# little CPU time, or hold slotted dataclasses, which mypyc does not compile.
 HOT = (
     "choice",
     "ring",
@@ -41,7 +41,7 @@
     "fronts/signed",
     "ops/door",
     "net/seam",
-)  # the last three modules subclass classes of compiled modules
+)  # fronts/signed, ops/door, net/seam: compiled because they subclass compiled classes
 RELAY = (
     "relay/event_log",
     "relay/history",
@@ -54,7 +54,7 @@
 
 
 def digest() -> str:
-    """A hash over the Python version, this script and all sources of the package."""
+    """The SHA-256 of the Python version, this script and all sources; a change of it requires a new build."""
     total = hashlib.sha256(sys.version.encode())
     for path in [Path(__file__), *sorted((ROOT / "olivecourse").rglob("*.py"))]:
         total.update(str(path.relative_to(ROOT)).encode() + path.read_bytes())
@@ -62,13 +62,17 @@
 
 
 def copy_sources() -> None:
-    """Copies the package into the work directory."""
+    """Replaces the work directory, .native.new, by an uncompiled copy of the package."""
     shutil.rmtree(WORK, ignore_errors=True)
     shutil.copytree(ROOT / "olivecourse", WORK / "olivecourse", ignore=shutil.ignore_patterns("__pycache__"))
 
 
 def compile_in_place() -> None:
-    """Compiles the modules in the current directory, .native.new, in a process of its own."""
+    """Compiles HOT and RELAY of the package copy in the process's current directory, beside their sources.
+
+    It starts no process itself: main() runs this script as a child process, with the argument `compile` and
+    .native.new as the current directory.
+    """
     from mypyc.build import mypycify
     from setuptools import setup
 
@@ -84,7 +88,10 @@
 
 
 def main() -> int:
-    """Builds .native/ if a source has changed; with the argument `compile`, only compiles in place."""
+    """Builds .native/ if a source has changed since the last build; returns 0 even if only copies remain.
+
+    With the command line argument `compile` it only compiles the package copy in the current directory.
+    """
     if sys.argv[1:] == ["compile"]:
         compile_in_place()
         return 0
@@ -92,7 +99,8 @@
     if stamp.exists() and stamp.read_text() == current_digest:
         return 0
     copy_sources()
-    # Each module's C file is compiled by itself, a few at a time, since a build machine may have few cores.
+    # Compiles in a child process, each module's C file by itself and a few at a time, since a build machine
+    # may have few cores.
     result = subprocess.run(
         [sys.executable, str(Path(__file__)), "compile"],
         cwd=WORK,
@@ -100,7 +108,7 @@
         text=True,
         env={**os.environ, "PYTHONPATH": str(WORK)},
     )
-    if not result.returncode:  # detects modules that compile and then fail to load
+    if not result.returncode:  # imports the result: a module may compile and still fail to load
         result = subprocess.run(
             [sys.executable, "-P", "-c", "import olivecourse.gateway, olivecourse.cli"],
             cwd=WORK,
--- a/build_wire.py
+++ b/build_wire.py
@@ -1,4 +1,4 @@
-"""Generates the protobuf code beside each .proto file; with --check, only tests that it is up to date."""
+"""Generates the protobuf Python code beside each .proto file; with --check, only tests that it is current."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 
 
 def generate(out: Path) -> list[Path]:
-    """Generates the code of every .proto file below `out`; returns the relative paths of the files."""
+    """Writes the code of every .proto file of olivecourse/ below the folder `out`.
+
+    Returns the paths of the generated files (_pb2.py and _pb2.pyi), relative to `out`.
+    """
     from grpc_tools import protoc  # a build dependency: the program itself needs only protobuf
 
     generated = []
@@ -23,7 +26,10 @@
 
 
 def main() -> int:
-    """Generates the code, or with --check returns 1 if a generated file is missing or differs."""
+    """Generates the code and returns 0.
+
+    With --check it changes no file, and returns 1 if a generated file is missing or out of date.
+    """
     if "--check" not in sys.argv[1:]:
         generate(ROOT)
         return 0
--- a/olivecourse/emulator/__init__.py
+++ b/olivecourse/emulator/__init__.py
@@ -1,4 +1,5 @@
-"""Emulated stores, clients and a discovery server on loopback sockets.
+"""Emulated cache servers, clients and a discovery server on loopback sockets, to test and measure gateways.
 
-The emulator shares no code with the decision module, because it would then share that module's faults.
+The emulator shares no code with the decision module (olivecourse/choice.py), because it would then share that
+module's faults.
 """
--- a/olivecourse/emulator/board.py
+++ b/olivecourse/emulator/board.py
@@ -1,4 +1,4 @@
-"""An emulated discovery server that publishes numbered events over HTTP/1.1 long polls."""
+"""An emulated discovery server: gateways get its numbered events by HTTP/1.1 long polls."""
 
 from __future__ import annotations
 
@@ -17,13 +17,16 @@
 
 
 class Board:
-    """Publishes numbered events to the clients that poll for them. After `refuse`, no client can connect."""
+    """The emulated discovery server; its clients are gateways.
+
+    `rev` is the number (revision) of the last published event, 0 before the first one.
+    """
 
     def __init__(self, world: World) -> None:
         self._world = world
         self.rev = 0
         self._events: list[dict[str, Any]] = []
-        self._open_polls: dict[socket.socket, int] = {}  # the last revision known to each polling client
+        self._open_polls: dict[socket.socket, int] = {}  # by connection, the last revision its gateway has
         self._connections: set[socket.socket] = set()
         self._sock = socket.create_server(("127.0.0.1", 0), backlog=64)
         self._port = self._sock.getsockname()[1]
@@ -31,7 +34,7 @@
 
     @property
     def address(self) -> str:
-        """The `HOST:PORT` on which the server listens."""
+        """The `HOST:PORT` on which the discovery server listens."""
         return f"127.0.0.1:{self._port}"
 
     def _listen(self) -> None:
@@ -39,7 +42,7 @@
         self._world.selector.register(self._sock, selectors.EVENT_READ, self._accept)
 
     def refuse(self) -> None:
-        """Closes all connections and the listening socket; connections are refused until `resume`."""
+        """Closes all connections and the listening socket, so that no gateway can connect until `resume`."""
         self._world.selector.unregister(self._sock)
         self._sock.close()
         for conn in list(self._connections):
@@ -51,7 +54,10 @@
         self._listen()
 
     def publish(self, **event_body: Any) -> float:
-        """Adds one event and answers all open polls; returns the time (time.monotonic) of the publication."""
+        """Adds one event with the next revision and answers all open polls.
+
+        Returns the time of publication on the time.monotonic clock, in seconds.
+        """
         self.rev += 1
         self._events.append({"rev": self.rev, **event_body})
         for conn in list(self._open_polls):
@@ -59,7 +65,7 @@
         return time.monotonic()
 
     def known(self) -> dict[str, Any]:
-        """The revision and all events so far, as a gateway receives them in its start configuration."""
+        """The last revision (`rev`) and all events (`notices`), as in a gateway's setting `known`."""
         return {"rev": self.rev, "notices": list(self._events)}
 
     def _accept(self) -> None:
@@ -115,7 +121,7 @@
             )
 
     def close(self) -> None:
-        """Closes the listening socket and all connections."""
+        """Closes the listening socket and all gateways' connections for good."""
         for conn in list(self._connections):
             self._drop(conn)
         with contextlib.suppress(KeyError, ValueError):
--- a/olivecourse/emulator/clients.py
+++ b/olivecourse/emulator/clients.py
@@ -1,4 +1,7 @@
-"""Emulated clients of a gateway: they send requests on an open-loop schedule and check each answer."""
+"""Emulated clients of a gateway, which check each answer.
+
+They are open-loop: they send requests at scheduled times, whether or not earlier ones have been answered.
+"""
 
 from __future__ import annotations
 
@@ -14,15 +17,16 @@
 from olivecourse.emulator.stores import World, content
 from olivecourse.fronts import codec
 
-ANSWER_TOLERANCE_S = 0.1  # an answer this long after the request's deadline still counts as in time
+ANSWER_TOLERANCE_S = 0.1  # a request is reported as unanswered only this long after its deadline
 
 
 @dataclass(frozen=True)
 class Sort:
     """A class of requests as the clients send it.
 
-    The fields are its name, its share of the traffic, the deadline of its requests, whether they carry a body
-    (`write`), and how many of ten requests state the expected size.
+    `share` is its weight relative to the other classes' shares, and `deadline_ms` the time from sending a
+    request to its deadline. With `write` its requests carry a body. `sized_per_ten` of ten requests, chosen
+    at random, state the expected size of the object.
     """
 
     name: str
@@ -33,11 +37,12 @@
 
 
 class Crowd:
-    """Open-loop load on one gateway, or on the first of several gateways that accepts a connection.
+    """Clients with `conns` connections, which together send `rate` requests a second on average.
 
-    `ends` counts answers by outcome: served, refused, failed, and nobody (no gateway could be reached). A
-    violation of the rule that each request gets exactly one final answer is reported to
-    `report_violation(rule, description)`.
+    With several ports each connection goes to the first gateway that accepts it. `ends` counts requests by
+    outcome: served, refused, failed, and nobody (no gateway could be reached). A request that does not get
+    exactly one answer in time, or gets wrong bytes, is reported to `report_violation(rule, description)`,
+    where the rule is "unanswered" or "answers".
     """
 
     def __init__(
@@ -57,8 +62,8 @@
         self._objects = objects
         self.ends: Counter[str] = Counter()
         self.outcomes_by_class: dict[str, Counter[str]] = {s.name: Counter() for s in sorts}
-        self.lost = 0  # requests open on a connection that ended, for example because the gateway was killed
-        self.latencies_s: list[float] = []  # latencies of the served requests
+        self.lost = 0  # requests without an answer when their connection ended, as when the gateway is killed
+        self.latencies_s: list[float] = []  # from sending to the answer, of served requests
         self.running = True
         self._open_requests: dict[tuple[int, int], tuple[float, Sort, bytes]] = {}
         self._last_numbers = [0] * conns
@@ -72,11 +77,11 @@
 
     @property
     def open(self) -> int:
-        """The number of requests without an answer so far."""
+        """The number of requests that were sent and are not answered, lost or reported as overdue."""
         return len(self._open_requests)
 
     def asset(self) -> str:
-        """Draws an object id from a Pareto distribution: low-numbered objects are requested most often."""
+        """Draws an object id of 16 hex digits from a Pareto distribution: low numbers are most frequent."""
         return f"{min(int(self.random.paretovariate(0.9)), self._objects):016x}"
 
     def _connect(self, i: int) -> None:
@@ -107,7 +112,8 @@
         now = time.monotonic()
         self._report_overdue(now)
         i = self.random.randrange(len(self._socks))
-        # With a probability of 0.1, an idle connection to a later port returns to the first port.
+        # A connection without open requests that fell back to a later port of `_ports` returns to the first
+        # port with a probability of 0.1.
         return_to_first = (
             self._port_indexes[i]
             and not any(key[0] == i for key in self._open_requests)
@@ -147,7 +153,7 @@
         self._world.at(self._next_send_at, self._send_next)
 
     def _report_overdue(self, now: float) -> None:
-        """Reports and removes the requests whose deadline has passed without an answer."""
+        """Reports and removes the requests unanswered for ANSWER_TOLERANCE_S beyond their deadline."""
         for key, (sent_at, request_class, _) in list(self._open_requests.items()):
             if now - sent_at > request_class.deadline_ms / 1000 + ANSWER_TOLERANCE_S:
                 del self._open_requests[key]
@@ -191,7 +197,7 @@
         self.outcomes_by_class[request_class.name][outcome] += 1
 
     def settle(self, seconds: float) -> None:
-        """Stops sending requests and runs the event loop until no request is open, for at most `seconds`."""
+        """Stops sending requests and runs the World until none is open, for at most `seconds`."""
         self.running = False
         end = time.monotonic() + seconds
         while self._open_requests and time.monotonic() < end:
@@ -199,7 +205,7 @@
             self._report_overdue(time.monotonic())
 
     def close(self) -> None:
-        """Stops sending requests and closes all connections."""
+        """Stops sending requests and closes all connections; requests still open count as lost."""
         self.running = False
         for i in range(len(self._socks)):
             self._drop(i)
@@ -215,7 +221,10 @@
 
 
 def well(port: int) -> bool:
-    """Whether the gateway on `port` answers `isWell` with true; waits at most one second for each step."""
+    """Whether the gateway at loopback port `port` answers the Thrift health call `isWell` with true.
+
+    It waits at most one second to connect, and one for the answer.
+    """
     try:
         with socket.create_connection(("127.0.0.1", port), timeout=1) as sock:
             sock.sendall(codec.encode("isWell", 1, 1, codec.IsWellArgs(unused=True)))
--- a/olivecourse/emulator/deployments.py
+++ b/olivecourse/emulator/deployments.py
@@ -1,6 +1,6 @@
-"""Random deployments: settings, stores and faults that the protocol allows, drawn from a seed.
+"""Random deployments for tests: gateway settings, stores and faults that the protocol allows.
 
-The same seed always gives the same deployment.
+All are drawn from a seed; the same seed always gives the same deployment.
 """
 
 from __future__ import annotations
@@ -26,20 +26,23 @@
     "k9",
 )
 REPORT_FIELDS = ("active", "cpu", "x0", "x1", "avg_ms", "rps", "waiting")
-REPORT_FIELD_ALIASES = {"active": "inflight", "cpu": "util"}  # other spellings that stores may use
+REPORT_FIELD_ALIASES = {"active": "inflight", "cpu": "util"}  # field names that stores may report instead
 DOORS = {"mgmt": "EDGE_MGMT", "admin": "EDGE_ADMIN"}
 FAULTS = ("none", "board refuses", "drain by hand", "file replaced", "file spoilt", "store resets")
 
 
 @dataclass(frozen=True)
 class Drawn:
-    """A deployment.
+    """A randomly drawn deployment of one gateway.
 
     `stores` holds the name, kind and zone of each store, `reports` the load report fields in their answers,
-    `once` the classes whose requests must not run twice, and `fresh_ms` the greatest age of
-    copies in ms by class. `doors` are the administration addresses in use, `troubles` the faults in their
-    order, and `replaced` the settings that a reload brings. `drain_s` and `purge_s` are grace periods in
-    seconds.
+    `once` the classes whose requests must not run twice, and `fresh_ms` by class the greatest age in ms of a
+    copy that may be served (0: any age). `doors` are the keys of DOORS whose administration ports are open,
+    `troubles` the faults of FAULTS to inject, in this order, and `replaced` the complete settings that a
+    configuration reload brings. `drain_s` is the time in seconds within which the gateway must stop sending
+    requests to a draining store, and `purge_s` that within which it must stop using purged copies. With
+    `changes_at_start` the first list of stores has only one, and a list of changes adds the others. `office`
+    is the edge zone of the gateway.
     """
 
     seed: int
@@ -59,7 +62,7 @@
 
 
 def draw(seed: int) -> Drawn:
-    """Draws the deployment of a seed."""
+    """Draws the deployment that belongs to a seed."""
     rng = random.Random(seed)
     hubs = rng.sample(HUB_ZONES, rng.randint(1, 5))
     offices = rng.sample(EDGE_ZONES, rng.randint(1, 2))
@@ -124,7 +127,7 @@
         settings["stats"] = {"how": "piggyback", "fields": list(fields)}
     if rng.random() < 0.5:
         settings["fees"] = {"origin": 0.045, "waste": 0.03, "probe": 0.013, "late_fail": 0.03}
-    if rng.random() < 0.4:  # settings that no specification mentions
+    if rng.random() < 0.4:  # settings unknown to the gateway, which it must ignore
         settings["extras"] = {"x_new": [1, {"b": None}], "note": "a, b=c"}
         settings["limits"]["x_limit"] = {"deep": [True, 1.5]}
     stores = [(f"s-{n:08x}", "small", offices[0]) for n in range(1, rng.randint(3, 4) + 1)]
@@ -135,7 +138,7 @@
     doors = tuple(rng.sample(sorted(DOORS), rng.choice([0, 1, 1, 2])))
     if not doors:
         troubles = tuple(t for t in troubles if t != "drain by hand")
-    settings["settings_of"] = seed  # a further unknown setting, which must be ignored
+    settings["settings_of"] = seed  # another setting unknown to the gateway, which it must ignore
     return Drawn(
         seed,
         settings,
@@ -158,7 +161,11 @@
 
 
 def _classes(rng: random.Random) -> tuple[list[Sort], list[dict[str, Any]], dict[str, list[Any]]]:
-    """Draws the classes: the client traffic, the profiles, and the settings that list one value per class."""
+    """Draws one to five request classes.
+
+    Returns the client traffic of each class, the `profiles` of the gateway's settings, and the `family_info`
+    settings that list one value per class, by name.
+    """
     names = rng.sample(CLASS_NAMES, rng.randint(1, 5))
     write_safety = rng.choice(["mixed", "mixed", "mixed", "all safe", "none safe"])
     sorts, profiles = [], []
@@ -202,7 +209,11 @@
 
 
 def _replacement_settings(rng: random.Random, settings: dict[str, Any]) -> dict[str, Any]:
-    """Settings for a reload: possibly one more class, another order and other attempt limits."""
+    """Returns the settings that a configuration reload brings.
+
+    Compared with `settings`, the classes are in another order, one may be added, and max_attempts is drawn
+    again.
+    """
     classes = [*settings["profiles"]]
     rng.shuffle(classes)
     order = [settings["profiles"].index(c) for c in classes]
--- a/olivecourse/emulator/faults.py
+++ b/olivecourse/emulator/faults.py
@@ -1,8 +1,8 @@
-"""Fault injection between processes, by a script drawn from a seed.
+"""Fault injection between processes, by a script (a list of timed faults) drawn from a seed.
 
-A proxy on loopback loses, duplicates, delays and reorders datagrams, delays streams, and cuts links in one or
-both directions. Processes are killed, stopped and continued by their process id. A script can be printed and
-played again.
+A proxy on loopback loses, duplicates, delays and reorders UDP datagrams, delays TCP streams, and cuts links
+in one or both directions. Processes are killed, stopped and continued by their process id. A script can be
+printed and played again.
 """
 
 from __future__ import annotations
@@ -20,16 +20,17 @@
 
 from olivecourse.emulator.stores import World
 
-MAX_READ_BYTES = 65536  # bytes of one datagram or read
-MAX_DELAYED_DATAGRAMS = 4096  # at a time; further datagrams are lost, as in a network with full queues
-Link = tuple[str, str]  # names of the sender and the receiver
+MAX_READ_BYTES = 65536  # read from a socket at once; also the longest datagram
+MAX_DELAYED_DATAGRAMS = 4096  # held by the proxy at once; further ones are lost, as with full network queues
+Link = tuple[str, str]  # names of the sending and of the receiving process
 
 
 @dataclass
 class LinkConditions:
-    """The quality of a link: the shares of lost and duplicated datagrams, and the greatest delay.
+    """The quality of links: the shares (0 to 1) of lost and duplicated datagrams, and the greatest delay.
 
-    Datagrams with different delays are reordered. Only the delay applies to streams.
+    Each datagram or piece of a TCP stream gets a random delay up to `max_delay_s`, so that datagrams are
+    reordered. Loss and duplication do not apply to streams.
     """
 
     loss: float = 0.0
@@ -39,10 +40,10 @@
 
 @dataclass
 class Network:
-    """All links between named processes, on the event loop of a World.
+    """A proxy for the links between named processes, run by the event loop of a World.
 
-    `weather` holds the conditions of every link and `cuts` the links that pass no data at present.
-    `passed` and `lost` count datagrams.
+    `weather` holds the conditions that apply to every link, and `cuts` the links that pass no data at
+    present. `passed` and `lost` count the datagrams that the proxy delivered and dropped.
     """
 
     world: World
@@ -60,7 +61,10 @@
     # Datagrams ----------------------------------------------------------------------------------------
 
     def datagrams(self, source: str, target: str, address: tuple[str, int]) -> str:
-        """Returns the address at which `source` sends datagrams to `target`, which listens at `address`."""
+        """Opens a proxy port for UDP datagrams from `source` to `target`, which listens at `address`.
+
+        Returns the proxy's `HOST:PORT`, to which `source` must send instead.
+        """
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.bind(("127.0.0.1", 0))
         sock.setblocking(False)
@@ -100,9 +104,10 @@
     # Streams ------------------------------------------------------------------------------------------
 
     def stream(self, source: str, target: str, address: tuple[str, int]) -> str:
-        """Returns the address at which `source` connects over TCP to `target`, which listens at `address`.
+        """Opens a proxy port for TCP connections from `source` to `target`, which listens at `address`.
 
-        While a link is cut, bytes wait on both sides, as in a real network, until the link heals.
+        Returns the proxy's `HOST:PORT`, to which `source` must connect instead. While a direction is cut, its
+        bytes wait in the kernel's buffers, as in a real network, until `heal`.
         """
         sock = socket.create_server(("127.0.0.1", 0), backlog=64)
         sock.setblocking(False)
@@ -133,7 +138,7 @@
                 )
 
     def _forward(self, source_sock: socket.socket, target_sock: socket.socket, direction: Link) -> None:
-        if direction in self.cuts:  # the bytes are not read and wait in the kernel's buffers
+        if direction in self.cuts:  # while the link is cut, its bytes stay unread in the kernel's buffers
             self.world.selector.unregister(source_sock)
             self._resume_after_heal(source_sock, target_sock, direction)
             return
@@ -177,22 +182,22 @@
     # Cuts ---------------------------------------------------------------------------------------------
 
     def partition(self, *groups: Sequence[str]) -> None:
-        """Cuts the links between the given groups of processes, in both directions."""
+        """Cuts all links between processes of different groups, in both directions."""
         for group in groups:
             for other in groups:
                 if group is not other:
                     self.cuts |= {(a, b) for a in group for b in other}
 
     def block_outgoing(self, source: str, targets: Sequence[str]) -> None:
-        """Cuts the links from `source` to `targets`; the opposite direction stays open."""
+        """Cuts the links from `source` to each of `targets`; data from them to `source` still passes."""
         self.cuts |= {(source, target) for target in targets}
 
     def heal(self) -> None:
-        """Opens all cut links."""
+        """Reopens every link cut by `partition` or `block_outgoing`."""
         self.cuts.clear()
 
     def close(self) -> None:
-        """Closes the sockets of all links."""
+        """Closes all sockets of the proxy."""
         for sock in self._socks:
             with contextlib.suppress(KeyError, ValueError):
                 self.world.selector.unregister(sock)
@@ -204,10 +209,14 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """An action at `at_s` seconds from the start of the script, on the processes `who`."""
+    """One step of a fault script: the action `what` on the processes `who`, `at_s` seconds after its start.
+
+    "part" cuts the processes off from all others, and "mute" cuts only the links from the first one.
+    "weather" sets the conditions of all links to `figures`: loss, duplicate share, greatest delay in seconds.
+    """
 
     at_s: float
-    what: str  # kill, start, stop, go on, part, mute, heal, weather (sets link conditions)
+    what: str  # kill, start, stop (SIGSTOP), go on (SIGCONT), part, mute, heal or weather
     who: tuple[str, ...] = ()
     figures: tuple[float, ...] = ()
 
@@ -218,7 +227,7 @@
 def draw(
     seed: int, names: Sequence[str], seconds: float, min_faults: int = 2, max_faults: int = 5
 ) -> list[Fault]:
-    """Draws a script for the named processes.
+    """Draws a fault script of `seconds` for the named processes, sorted by time.
 
     At its end every killed or stopped process runs again and every link is open and without faults.
     """
@@ -255,7 +264,7 @@
 
 
 def send_signal(pid: int, number: int) -> bool:
-    """Sends a signal to a process that the caller has started; returns whether the process exists."""
+    """Sends the signal `number` to a process that the caller has started; returns False if it has ended."""
     try:
         os.kill(pid, number)
         return True
@@ -264,10 +273,10 @@
 
 
 class Player:
-    """Plays a script on a network and on processes.
+    """Plays a fault script on the proxy `network` and on the processes `names`.
 
     `pid(name)` returns the id of a running process or None, `start(name)` starts one, and `on_killed(name)`
-    is called after a kill.
+    is called after SIGKILL was sent. `stopped` holds the names of the processes now stopped by SIGSTOP.
     """
 
     def __init__(
@@ -288,7 +297,7 @@
         self.stopped: set[str] = set()
 
     def apply(self, fault: Fault) -> None:
-        """Carries out one fault."""
+        """Carries out one step of a fault script now, whatever its `at_s`."""
         if fault.what == "weather":
             self._network.weather = LinkConditions(*fault.figures)
         elif fault.what == "heal":
@@ -313,7 +322,7 @@
                 self._start(name)
 
     def script(self, faults: Sequence[Fault]) -> None:
-        """Schedules every fault at its time from now; the caller must run the event loop meanwhile."""
+        """Schedules each fault `at_s` seconds from now on the network's World, which the caller must run."""
         started_at = time.monotonic()
         for fault in faults:
             self._network.world.at(started_at + fault.at_s, partial(self.apply, fault))
--- a/olivecourse/emulator/observer.py
+++ b/olivecourse/emulator/observer.py
@@ -1,6 +1,6 @@
-"""Checks the rules that a gateway or a fleet must keep, from what the stores and the discovery server see.
+"""Checks that gateways keep the rules on drains, purges and requests that must not run twice.
 
-The gateways' own logs are not used.
+It relies on what the emulated stores receive and the discovery server publishes, not on the gateways' logs.
 """
 
 from __future__ import annotations
@@ -11,19 +11,22 @@
 
 from olivecourse.emulator.stores import Store
 
-SOCKET_TOLERANCE_S = 0.05  # tolerance on every limit for delays on sockets
-OBSERVER_DELAY_S = 0.05  # tolerance for delays in this process
+SOCKET_TOLERANCE_S = 0.05  # added to each grace period, for delays on sockets
+OBSERVER_DELAY_S = 0.05  # also added to each grace period, for delays in this process
 
 
 class Observer:
-    """Counts violations of the rules on drains, purges and repeated requests in `broken`, by rule.
+    """Counts rule violations in `broken`, by rule: drain, purge, twice.
 
-    `asked` is the answer callback for a World.
-    The caller reports the events that the discovery server publishes.
+    `asked` must be given to the World of the stores as its `on_answer`. The caller reports the events that
+    the discovery server publishes by `drained`, `back` and `purged`. `asks` counts the requests by store.
     """
 
     def __init__(self, drain_s: float, purge_s: float, at_most_once_classes: frozenset[str]) -> None:
-        """Takes the grace periods of the settings and the classes whose requests must not run twice."""
+        """Takes the gateways' grace periods in seconds after a drain and after a purge was published.
+
+        Requests of `at_most_once_classes` must not run twice.
+        """
         self.drain_s, self.purge_s, self._at_most_once = drain_s, purge_s, at_most_once_classes
         self.broken: Counter[str] = Counter()
         self.told: list[str] = []  # descriptions of the first eight violations
@@ -33,25 +36,36 @@
         self.asks: Counter[str] = Counter()
 
     def drained(self, store: str, at: float) -> None:
-        """Records that the store counts as draining or gone from `at` (time.monotonic) on."""
+        """Records that discovery published at `at` (time.monotonic) that the store is draining or gone.
+
+        Once the grace period for drains is over, a request to the store is a violation.
+        """
         self._removed_at.setdefault(store, at)
 
     def back(self, store: str) -> None:
-        """Records that the store is ready again."""
+        """Records that the store is ready again, so that requests to it are allowed."""
         self._removed_at.pop(store, None)
 
     def purged(self, asset: str, at: float, unix_ms: int) -> None:
-        """Records that a purge made at `unix_ms` was published at `at` (time.monotonic)."""
+        """Records that a purge of the object `asset` was published at `at` (time.monotonic).
+
+        `unix_ms` is the Unix time of the purge; copies issued before it must not be used after the grace
+        period.
+        """
         self._purges[asset] = (at, unix_ms)
 
     def fault(self, rule: str, description: str) -> None:
-        """Counts a violation of a rule and keeps its description if it is among the first eight."""
+        """Counts a violation of a rule; `told` keeps the descriptions of the first eight violations."""
         self.broken[rule] += 1
         if len(self.told) < 8:
             self.told.append(f"{rule}: {description}")
 
     def asked(self, store: Store, request: str, word: str, fields: Mapping[str, str]) -> None:
-        """Checks a complete request at a store that answers it with `word` against all rules."""
+        """Checks one request, which a store has received completely, against all rules.
+
+        `word` is the first word of the store's answer, such as "data" or "absent"; `fields` are those of the
+        request and the answer.
+        """
         now = time.monotonic()
         self.asks[store.name] += 1
         for name in {store.name, fields.get("fetch", "")} & self._removed_at.keys():
--- a/olivecourse/emulator/settings.py
+++ b/olivecourse/emulator/settings.py
@@ -8,9 +8,9 @@
 
 
 def settings(classes: list[tuple[str, int, str, bool]], **limits: Any) -> dict[str, Any]:
-    """Returns settings with one class for each (name, deadline in ms, effect, whether it writes).
+    """Returns gateway settings with a class for each (name, deadline in ms, effect, whether it writes).
 
-    `limits` override the default limits.
+    The effect is "idempotent" or "at_most_once". `limits` override entries of the section `limits`.
     """
     count = len(classes)
     return {
--- a/olivecourse/emulator/stores.py
+++ b/olivecourse/emulator/stores.py
@@ -1,11 +1,14 @@
-"""Emulated caches, parent caches and an origin that speak the line protocol, all on one thread.
+"""Emulated caches, parent caches and an origin, all on one thread.
+
+They speak the line protocol between gateways and stores:
 
     fetch ID FIELDS LENGTH CR LF body CR LF    is answered by    ID WORD FIELDS LENGTH CR LF body CR LF
     abort ID                                   is not answered
 
-A cache or parent answers a hit after its own delay and a miss after the additional delay of a fill. It stores
-the copies that a request asks it to retain. It drops no copy at a purge, since a real store takes seconds to
-do so: only the greatest acceptable age in the gateway's request protects a client from a purged copy.
+A cache or parent answers a hit after `delay_s`, and a miss after `delay_s + fill_s`, as it first fetches the
+object from another store. It stores the copies that a request asks it to retain. It drops no copy at a purge,
+since a real store takes seconds to do so: only the greatest acceptable age of a copy, which the gateway
+states in its request, protects a client from a purged copy.
 """
 
 from __future__ import annotations
@@ -25,16 +28,17 @@
 
 @dataclass(eq=False)
 class Store:
-    """One emulated store.
+    """One emulated cache, parent cache or origin.
 
     `mode` is good, failing (answers an error at once) or silent (accepts requests and answers none).
-    `delay_s` is the time of the store's own work and `fill_s` the additional time of a fill.
+    An answer takes `delay_s`, and `fill_s` longer for a miss or a write.
     With `holds_all`, every read is a hit with a copy that the origin issued at this moment; otherwise the
-    store keeps at most `max_copies` copies. `asked` counts requests.
+    store keeps at most `max_copies` copies. `asked` counts the received requests, `open` those whose
+    answer has not been sent.
     `orders` counts the executions of each write by its body, as soon as the body is complete.
     `held` maps each copy to the Unix time in ms at which the origin issued it.
     `fresh_ms` is the greatest age of a class's copies for requests that state none (0: any age).
-    `reports` are the fields of the load reports in answers.
+    `reports` names the fields of the load report that each answer carries; without fields there is no report.
     """
 
     name: str
@@ -57,9 +61,9 @@
         return f"127.0.0.1:{self.sock.getsockname()[1]}"
 
     def lookup(self, key: str, oldest_ms: int) -> int | None:
-        """When the origin issued the held copy, or None if there is no copy that is young enough.
+        """The Unix time in ms at which the origin issued the held copy of `key` ("OBJECT/PART").
 
-        `oldest_ms` is the greatest acceptable age, 0 for any.
+        None if there is no copy, or if it is older than `oldest_ms` milliseconds (0: any age is accepted).
         """
         if self.holds_all:
             return unix_ms()
@@ -70,13 +74,16 @@
         return stamp
 
     def add_copy(self, key: str, stamp: int) -> None:
-        """Stores a copy issued at `stamp`; evicts the least recently used copy beyond `max_copies`."""
+        """Stores a copy of `key` that the origin issued at the Unix time `stamp` in ms.
+
+        If the store then holds more than `max_copies`, it evicts the least recently used copy.
+        """
         self.held[key] = stamp
         if len(self.held) > self.max_copies:
             self.held.popitem(last=False)
 
     def load(self) -> str:
-        """A load report in the form of the line protocol."""
+        """The load report answers carry in field `l`: NAME:VALUE for each of `reports`, joined by ";"."""
         values = {"inflight": self.open, "util": min(self.open / 16, 1.0)}
         return ";".join(f"{name}:{values.get(name, 0.5):g}" for name in self.reports)
 
@@ -90,14 +97,16 @@
 
 
 def content(asset: str, part: str) -> bytes:
-    """The bytes of one part of an object, the same at each call."""
+    """The body that every store serves for one part of an object; clients compare answers with it."""
     return f"calendar {asset} part {part}\n".encode() * 4
 
 
 class World:
     """An event loop with timers that runs the stores and whatever else is registered on its selector.
 
-    `on_answer(store, request, word, fields)` is called for each answer that a store decides on.
+    `on_answer(store, request, word, fields)` is called when a store has decided on its answer, before the
+    delay after which it sends it. `word` is the answer's first word, and `fields` are those of request and
+    answer.
     """
 
     def __init__(
@@ -106,7 +115,7 @@
         on_answer: AnswerCallback | None = None,
         writes: frozenset[str] = frozenset({"commande"}),
     ) -> None:
-        """`writes` are the classes whose requests run at the origin and are never stored."""
+        """`writes` names the request classes that are writes: they are counted as orders and never stored."""
         self.stores, self._on_answer, self._writes = stores, on_answer, writes
         self._stores_by_name = {store.name: store for store in stores}
         self.selector = selectors.DefaultSelector()
@@ -118,7 +127,7 @@
             self.selector.register(store.sock, selectors.EVENT_READ, lambda s=store: self._accept(s))
 
     def at(self, when: float, call: Callable[[], None]) -> None:
-        """Calls `call` at the time `when` of time.monotonic."""
+        """Schedules one call of `call` at `when`, a time of time.monotonic in seconds."""
         self._timer_count += 1
         heapq.heappush(self._timers, (when, self._timer_count, call))
 
@@ -185,7 +194,7 @@
 
         def send_answer() -> None:
             store.open -= 1
-            with contextlib.suppress(OSError):  # the gateway may have closed the connection
+            with contextlib.suppress(OSError):  # the gateway may have closed the connection before the answer
                 conn.sendall(line)
 
         self.at(time.monotonic() + delay, send_answer)
@@ -207,7 +216,8 @@
             note, delay = "MISS", delay + store.fill_s
             source = self._stores_by_name.get(fields["fetch"])
             stamp = unix_ms()
-            # A parent may hold a copy; otherwise the origin issues one now.
+            # If the store of the field `fetch` is a parent with a copy, the fill gets that one; otherwise the
+            # origin issues a new copy now.
             if source is not None and source is not store:
                 stamp = source.lookup(key, oldest_ms) or stamp
                 source.add_copy(key, stamp)
@@ -216,12 +226,12 @@
         return "data", {"version": "v1", "stamp": str(stamp), "n": note}, content(asset, part), delay
 
     def reset(self, store: Store) -> None:
-        """Closes the store's connections, as at the death of its process; new connections are accepted."""
+        """Closes the store's connections, as if its process had died; it accepts new connections at once."""
         for conn in [c for c, owner in self._connections.items() if owner is store]:
             self._drop(conn)
 
     def turn(self, until: float) -> None:
-        """Waits for a socket event or timer, at most until `until` (time.monotonic), and handles it."""
+        """Waits for socket events or a timer, at most until `until` (time.monotonic), and handles them."""
         now = time.monotonic()
         next_at = min(self._timers[0][0] if self._timers else until, until)
         for key, _ in self.selector.select(max(next_at - now, 0)):
@@ -231,7 +241,7 @@
             heapq.heappop(self._timers)[2]()
 
     def run(self, seconds: float) -> None:
-        """Handles events for `seconds`."""
+        """Runs the event loop, that is socket events and timers, for `seconds` of real time."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             self.turn(end)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A small set of stores, default settings, and a driver that feeds events to a Router."""
+"""Helpers for tests of the decision module's Router: default settings, stores, and a driver."""
 
 import hypothesis
 import pytest
@@ -16,7 +16,7 @@
 
 
 def make_settings(**overrides):
-    """Router settings of a small installation, with the given overrides."""
+    """Settings of a Router in a small installation; `overrides` replace single fields."""
     defaults = dict(
         seed=7,
         routers=3,
@@ -51,7 +51,7 @@
 
 
 def make_class(effect=w.Effect.IDEMPOTENT, **overrides):
-    """A request class of reads, with the given overrides."""
+    """The settings of a request class of reads; `overrides` replace single fields."""
     defaults = dict(
         name="read",
         aim_ns=500 * MS,
@@ -65,12 +65,12 @@
 
 
 def member(cache, kind=0, zone=1, ready_at_ns=0, state=w.State.READY, weight=8.0, cell=0):
-    """A ready store as a member of the discovery list."""
+    """A store, by default ready, as an entry of the list that discovery publishes; `cache` is its number."""
     return w.Member(cache, weight, ready_at_ns, zone, state, cell, kind)
 
 
 def fleet(caches=4):
-    """The members of a fleet: so many caches in zone 1, two parents and an origin in zone 0."""
+    """A discovery list: `caches` cache servers in zone 1, two parents and an origin in zone 0."""
     return (
         *(member(i) for i in range(1, caches + 1)),
         *(member(parent, 1, 0, weight=20.0) for parent in PARENTS),
@@ -79,7 +79,7 @@
 
 
 class Drive:
-    """A Router with a simulated clock, and short methods for the events of a test."""
+    """A Router with a simulated clock (`now`, in ns), and methods that pass it the events of a test."""
 
     def __init__(self, members=None, **settings):
         self.now = 100 * S
@@ -89,22 +89,29 @@
         self.list(members if members is not None else fleet(), w.ListKind.HELD)
 
     def event(self, event, after=0):
-        """Advances the clock by `after` and passes an event to the router; returns the actions."""
+        """Advances the clock by `after` ns and passes an event to the router; returns its actions."""
         self.now += after
         return self.router.handle(event, self.now)
 
     def list(self, members, kind=w.ListKind.CHANGES):
-        """Passes a list of members to the router."""
+        """Passes a discovery list to the router, by default as changes of the list it has."""
         return self.event(w.CacheList(1, kind, tuple(members)))
 
     def ask(self, key="a", after=0, cls=0, **fields):
-        """Passes a request with a new id to the router; the id is kept in `self.id`."""
+        """Passes a request for the object `key` to the router `after` ns later; returns its actions.
+
+        The request gets a new id, which is kept in `self.id`.
+        """
         self.count += 1
         self.id = f"{self.count:016x}"
         return self.event(w.Request(self.id, cls, object=key, **fields), after)
 
     def end(self, status, attempt=0, cache=None, request=None, after=1 * MS, closed=None, **fields):
-        """Ends an attempt: by default attempt 0 of the latest request, at the cache that the router chose."""
+        """Tells the router that a store's attempt ended with `status`; returns the router's actions.
+
+        By default it is attempt 0 of the latest request, at the cache that the router chose. `closed` tells
+        whether this closes the request, by default if it was served.
+        """
         request = request or self.id
         if cache is None:
             cache = self.router.attempts[(request, attempt)][2].member.cache
@@ -113,16 +120,16 @@
 
 
 def sends(actions):
-    """The actions that send an attempt to a store."""
+    """Those of a Router's actions that send an attempt to a store."""
     return [action for action in actions if isinstance(action, w.ReadThrough | w.Look)]
 
 
 def finals(actions):
-    """The actions that answer a request without an attempt."""
+    """Those of a Router's actions that refuse or fail a request, which is then answered without a store."""
     return [action for action in actions if isinstance(action, w.Refuse | w.Fail)]
 
 
 @pytest.fixture
 def drive():
-    """The `Drive` class, for tests that choose their own members and settings."""
+    """The `Drive` class itself, for tests that choose their own list of stores and settings."""
     return Drive
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -1,6 +1,6 @@
 """A gateway in the test process, with scripted stores, clients and a discovery server on loopback sockets.
 
-The tests do not depend on the speed of the machine: `until` runs the gateway's loop until a condition holds.
+Tests do not depend on the machine's speed: `until` runs the gateway's event loop until a condition holds.
 """
 
 import json
@@ -81,7 +81,7 @@
 
 
 class Peer:
-    """A scripted server: it accepts connections and collects the received bytes in `data`."""
+    """A scripted store or discovery server: the test writes its answers; `data` holds the received bytes."""
 
     def __init__(self, backlog=16):
         self.sock = socket.create_server(("127.0.0.1", 0), backlog=backlog)
@@ -90,7 +90,7 @@
         self.conns, self.data = [], bytearray()
 
     def poll(self):
-        """Accepts a waiting connection, reads all connections and returns all bytes so far."""
+        """Accepts a waiting connection, reads all connections, and returns `data` with the new bytes."""
         try:
             conn, _ = self.sock.accept()
             conn.setblocking(False)
@@ -102,7 +102,7 @@
         return bytes(self.data)
 
     def line(self):
-        """Removes and returns the next complete non-empty line, or returns None."""
+        """Removes the next complete non-empty line from `data` and returns it, or None without one."""
         self.poll()
         line, end, rest = bytes(self.data).partition(b"\r\n")
         if not end:
@@ -111,7 +111,7 @@
         return line.decode() or self.line()
 
     def say(self, data, conn=-1):
-        """Sends bytes on a connection, by default on the latest one."""
+        """Sends bytes on the connection with index `conn`, by default on the one accepted last."""
         self.conns[conn].sendall(data)
 
     def close(self):
@@ -121,7 +121,7 @@
 
 
 def drain(sock):
-    """Reads all bytes that are available on a non-blocking socket."""
+    """Reads and returns the bytes available on a non-blocking socket; ignores its errors."""
     data = b""
     try:
         while chunk := sock.recv(65536):
@@ -132,7 +132,7 @@
 
 
 class Client:
-    """A scripted client of the gateway; `data` holds all received bytes."""
+    """A scripted Thrift client of the gateway at `port`; `data` holds all received bytes."""
 
     def __init__(self, port):
         self.sock = socket.create_connection(("127.0.0.1", port))
@@ -140,7 +140,10 @@
         self.data, self.closed = b"", False
 
     def poll(self):
-        """Reads the available bytes and returns all bytes so far; sets `closed` at the connection's end."""
+        """Reads the available bytes and returns all bytes since the start.
+
+        Sets `closed` if the gateway has closed or reset the connection.
+        """
         try:
             while True:
                 chunk = self.sock.recv(65536)
@@ -155,7 +158,10 @@
             return self.data
 
     def call(self, number=1, method="serve", kind=1, args=None, body=b"", **fields):
-        """Sends a call, by default a `serve` call of a read whose fields can be overridden."""
+        """Sends a Thrift call with sequence number `number`, by default a `serve` call for a read.
+
+        `fields` override the fields of the request, for example `d`, the deadline in ms.
+        """
         fields = {
             "c": "fichiers",
             "i": REQUEST,
@@ -170,7 +176,10 @@
         self.sock.sendall(codec.encode(method, kind, number, args))
 
     def answers(self):
-        """The (number, kind of result, its fields, its body) of each complete frame so far."""
+        """Each answer received since the start, as (sequence number, kind of result, its fields, its body).
+
+        The kind is "success", "refused", "failed", or "fault" for a Thrift exception.
+        """
         data, answers = self.poll(), []
         while len(data) >= 4 and len(data) >= 4 + (size := int.from_bytes(data[:4], "big")):
             frame, data = data[4 : 4 + size], data[4 + size :]
@@ -186,7 +195,7 @@
 
 
 def member(name, address, kind="petit", zone="edge-1", phase="Ready", **overrides):
-    """A store as a member of a discovery list, in its JSON form."""
+    """A store as an entry of discovery's list of stores, in its JSON form."""
     return {
         "id": name,
         "host_port": address,
@@ -201,7 +210,11 @@
 
 
 class Stage:
-    """A gateway with one cache, one parent and the origin as scripted servers."""
+    """A gateway in the test process, with one cache, one parent and the origin as scripted servers.
+
+    With `board` the discovery server is a scripted server too. `overrides` replace entries of the gateway's
+    configuration.
+    """
 
     def __init__(self, board=False, env=None, **overrides):
         self.cache, self.parent, self.origin = Peer(), Peer(), Peer()
@@ -231,16 +244,19 @@
         self.clients = []
 
     def config(self, raw):
-        """Reads a configuration with the environment of this test."""
+        """Parses the gateway configuration `raw` with the environment variables of this test."""
         return read_config(raw, self.env)
 
     def turn(self):
-        """Runs one turn of the gateway's loop and its decisions."""
+        """Runs one turn of the gateway's event loop (waits up to 5 ms), and then its decisions."""
         self.gateway.loop.turn(5_000_000)
         self.gateway.decide()
 
     def until(self, condition, seconds=20):
-        """Runs the gateway until `condition()` returns a true value, and returns that value."""
+        """Runs the gateway until `condition()` returns a true value, and returns that value.
+
+        Raises AssertionError after `seconds`.
+        """
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             self.turn()
@@ -249,22 +265,22 @@
         raise AssertionError(f"the condition was not reached; logged: {self.logged}")
 
     def client(self):
-        """Connects a new client to the gateway."""
+        """Connects a new scripted client to the gateway and returns it."""
         self.clients.append(Client(self.gateway.front.port))
         return self.clients[-1]
 
     def tell(self, rev, **event_body):
-        """Answers the gateway's open poll with one event from the discovery server."""
+        """Answers the gateway's open poll as the discovery server, with one event of the revision `rev`."""
         body = json.dumps({"rev": rev, "notices": [{"rev": rev, **event_body}]}).encode()
         self.board.data.clear()
         self.board.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
     def names(self):
-        """The names of all logged events."""
+        """The names of the events that the gateway has logged since its start, in order."""
         return [event for event, _ in self.logged]
 
     def close(self):
-        """Closes all sockets and the gateway's loop."""
+        """Closes all sockets, stops the polls for discovery events, and closes the gateway's event loop."""
         self.gateway.front.close()
         for closable in (*self.peers, *(c.sock for c in self.clients)):
             closable.close()
@@ -274,5 +290,5 @@
 
 
 def outcome(stage, status):
-    """Whether an attempt has ended with `status` among the events that wait for the next decision."""
+    """Whether the gateway's events that wait for its next decision include an attempt ended with `status`."""
     return any(isinstance(event, w.AttemptEnded) and event.status is status for event in stage.gateway.batch)
