--- a/benchmarks/_capacity_memory.py
+++ b/benchmarks/_capacity_memory.py
@@ -1,4 +1,7 @@
-"""Memory and processor time of the object sketches, the server directory, and connections to stores."""
+"""Measures memory and processor time of three parts of a gateway, which `benchmarks.capacity` extrapolates.
+
+The parts are the Router's sketches of requested objects, the server directory, and connections to stores.
+"""
 
 from __future__ import annotations
 
@@ -21,33 +24,36 @@
 from olivecourse.sketch import HyperLogLog, LossyCounter
 
 MS = 1_000_000
-SKEW = 0.8  # the k-th object is requested in proportion to k ** -SKEW
+SKEW = 0.8  # Zipf exponent: the k-th most popular object is requested in proportion to k ** -SKEW
 CONNECT_TIMEOUT_S = 20.0
 KINDS = ["store", "parent", "origin"]
-STORE = 1  # number of the store that the connections lead to
+STORE = 1  # number of the store to which all measured connections are opened
 
 
 def zipf_names(objects: int, count: int, seed: int) -> list[str]:
-    """Draws the object names of `count` requests from a Zipf distribution over `objects`."""
+    """Draws the names of the objects of `count` requests, Zipf-distributed over `objects` different ones."""
     weights = list(accumulate(rank**-SKEW for rank in range(1, objects + 1)))
     return [f"{rank:016x}" for rank in Random(seed).choices(range(objects), cum_weights=weights, k=count)]
 
 
 class Sketches:
-    """The sketches that a Router keeps of the objects requested in a counting interval."""
+    """The sketches of requested objects that a Router keeps for a counting interval.
+
+    They are request counts by object, the number of distinct objects, and the durations of their answers.
+    """
 
     def __init__(self) -> None:
         self.counter, self.distinct, self.sizes = LossyCounter(COUNT_ERROR), HyperLogLog(HLL_BITS), Sizes()
 
     def add(self, name: str) -> None:
-        """Counts one request for an object."""
+        """Counts one request for the object `name` in all three sketches."""
         self.counter.add(name)
         self.distinct.add(name)
         self.sizes.saw(name, 1e6)
 
 
 def sketches_kb(names: list[str]) -> float:
-    """Measures the memory of the sketches after requests for `names`, with the names that they hold."""
+    """Measures the memory of new sketches in KB after a request for each of `names`, including held names."""
 
     def fill() -> Sketches:
         sketches = Sketches()
@@ -59,12 +65,12 @@
 
 
 def all_distinct(count: int, seed: int) -> list[str]:
-    """Draws the object names of `count` requests, each for a different object."""
+    """Returns the names of `count` objects, all of them different (the worst case for the sketches)."""
     return [f"{number:016x}" for number in Random(seed).sample(range(2**40), count)]
 
 
 def sketch_row(names: list[str]) -> dict[str, float]:
-    """Measures the sketches over one counting interval with requests for `names`."""
+    """Measures new sketches that count one request for each of `names`, as in one counting interval."""
     sketches, most, distinct = Sketches(), 0, len(set(names))
     began = time.process_time()
     for name in names:
@@ -85,7 +91,7 @@
 
 
 def counting_interval_s() -> float:
-    """Returns the length of the Router's counting interval in seconds."""
+    """Returns the seconds after which the Router starts new sketches (its counting interval)."""
     return INTERVAL_NS / 1e9
 
 
@@ -93,7 +99,7 @@
 
 
 def store_list(stores: int) -> dict[str, Any]:
-    """Returns a complete list of stores as discovery publishes it."""
+    """Returns a complete list of `stores` stores in the form in which the discovery service publishes it."""
     rows = [
         {
             "id": f"s-{number:08x}",
@@ -111,12 +117,12 @@
 
 
 def list_kb(stores: int) -> float:
-    """Returns the size of a complete list in discovery's JSON, in KB."""
+    """Returns the size in KB of the JSON in which discovery publishes a complete list of `stores` stores."""
     return len(json.dumps(store_list(stores), separators=(",", ":"))) / 1e3
 
 
 def directory(seed: int) -> ServerDirectory:
-    """Creates an empty server directory."""
+    """Creates a server directory (a gateway's table of the servers that discovery lists) without servers."""
     router_settings = settings(seed)
     return ServerDirectory(
         list(router_settings.zones), KINDS, router_settings, lambda ms: ms * MS, lambda: 100_000 * MS
@@ -124,7 +130,7 @@
 
 
 def directory_kb(stores: int, seed: int) -> float:
-    """Measures the memory of a server directory with a complete list."""
+    """Measures the memory in KB of a server directory that has read a complete list of `stores` stores."""
     event = store_list(stores)
 
     def fill() -> ServerDirectory:
@@ -136,7 +142,7 @@
 
 
 def directory_ms(stores: int, seed: int, count: int) -> float:
-    """Measures the processor time in ms in which a server directory reads a complete list."""
+    """Measures the mean processor time in ms for a server directory to read a list of `stores` stores."""
     event, created = store_list(stores), directory(seed)
     return mean_us(lambda: list(created.events(event)), count) / 1e3
 
@@ -149,7 +155,7 @@
 
 
 class Connections:
-    """Idle connections of one pool to a listening socket on loopback, which never accepts them."""
+    """A store connection pool with idle connections to a loopback socket that listens and never accepts."""
 
     def __init__(self, seed: int) -> None:
         self.loop = Loop()
@@ -161,7 +167,10 @@
         self._listening = socket.create_server(("127.0.0.1", 0), backlog=512)
 
     def add(self, count: int) -> list[StoreStream]:
-        """Opens connections to the store; raises RuntimeError if they take longer than CONNECT_TIMEOUT_S."""
+        """Opens `count` connections and returns them.
+
+        Raises RuntimeError if they are not all established within CONNECT_TIMEOUT_S.
+        """
         host, port = self._listening.getsockname()
         created = list[StoreStream]()
         for _ in range(count):
@@ -177,11 +186,11 @@
         return created
 
     def sweep(self) -> None:
-        """Runs the pool's periodic check of idle connections once."""
+        """Runs once the check of idle connections that the pool runs periodically in a gateway."""
         self.pool._sweep()
 
     def close(self) -> None:
-        """Closes the connections and the listening socket."""
+        """Closes all connections of the pool and the listening socket."""
         for stream in self.pool._stores.get(STORE, []):
             self.loop.forget(stream.sock)
             stream.sock.close()
@@ -190,7 +199,7 @@
 
 
 def connections_row(count: int, seed: int, sweeps: int) -> dict[str, float]:
-    """Measures the memory of `count` idle connections and the time of a sweep over them."""
+    """Measures the memory of `count` idle connections to a store, and the time of `Connections.sweep`."""
     created = Connections(seed)
     try:
         kb = traced_kb(lambda: created.add(count))
--- a/benchmarks/_capacity_page.py
+++ b/benchmarks/_capacity_page.py
@@ -1,4 +1,4 @@
-"""Writes the tables of `docs/CAPACITY.md` from the committed results.
+"""Writes the tables of `docs/CAPACITY.md` from the committed benchmark results (JSON files).
 
 Run as `python -m benchmarks._capacity_page` once a result has changed.
 """
@@ -27,12 +27,15 @@
     "carried by",
     "source",
 )
-RANKED = 12  # rows of the target in the ranking by share of the budget
+RANKED = 12  # number of rows of the target in the ranking by share of the budget
 WITHIN, OVER, UNKNOWN, FREE = "within", "over", "not measured", "no budget"
 
 
 def verdict(figure: Figure | None, budget: float | None) -> str:
-    """Compares the upper end of a figure's interval with the budget."""
+    """Returns WITHIN or OVER: whether the upper end of the figure's interval is at most the budget.
+
+    Without a figure it returns UNKNOWN, without a budget FREE.
+    """
     if figure is None:
         return UNKNOWN
     if budget is None:
@@ -41,7 +44,7 @@
 
 
 def share(figure: Figure | None, budget: float | None) -> float | None:
-    """Returns the interval's upper end over the budget, or None without a figure or a budget.
+    """Returns the upper end of the figure's interval divided by the budget; None without one of them.
 
     The share of a budget of zero is infinite, or zero if the figure is zero too.
     """
@@ -53,7 +56,7 @@
 
 
 def cells(row: Row, results: Mapping[str, Any]) -> list[str]:
-    """Returns the cells of a row in the order of COLUMNS."""
+    """Returns the texts of the table cells of a row, in the order of COLUMNS."""
     figure = row.figure(results)
     part, verdict_text = share(figure, row.budget), verdict(figure, row.budget)
     return [
@@ -88,7 +91,7 @@
 
 
 def render_table(rows: tuple[Row, ...], results: Mapping[str, Any]) -> str:
-    """Renders rows as a Markdown table."""
+    """Renders rows of the page as a Markdown table with the header COLUMNS."""
     lines = ["| " + " | ".join(COLUMNS) + " |", "|" + " --- |" * len(COLUMNS)]
     lines += ["| " + " | ".join(cells(row, results)) + " |" for row in rows]
     return "\n".join(lines)
@@ -118,7 +121,7 @@
 
 
 def missing(results: Mapping[str, Any]) -> str:
-    """Renders the list of rows without a figure."""
+    """Renders the list of the page's rows that no committed result has a figure for."""
     entries = [
         f"- {name}: {row.what}"
         for name, rows in TABLES.items()
@@ -129,7 +132,7 @@
 
 
 def sections(results: Mapping[str, Any]) -> dict[str, str]:
-    """Renders every generated section of the page, by its name."""
+    """Renders every generated section of the page; returns the Markdown texts by section name."""
     rendered = {name: render_table(rows, results) for name, rows in TABLES.items()}
     return rendered | {"ranking": ranking(results), "missing": missing(results)}
 
@@ -145,7 +148,7 @@
 
 
 def main() -> None:
-    """Updates the page in place."""
+    """Rewrites the generated sections of `docs/CAPACITY.md` from the committed results."""
     PAGE.write_text(written(PAGE.read_text("utf-8"), load_results()), "utf-8")
 
 
--- a/benchmarks/_capacity_router.py
+++ b/benchmarks/_capacity_router.py
@@ -1,4 +1,6 @@
-"""Costs of the decision module's Router, and of messages between forwarder and planner.
+"""Measures the decision module's Router, and the messages between forwarder and planner.
+
+The forwarder is the process that holds a gateway's connections, the planner the one that runs the Router.
 
 The Router is the program's own class, driven by events on a manual clock. A request is a complete one: it
 arrives, one attempt is sent and served as a hit, and the timer of its deadline fires without effect.
@@ -26,17 +28,21 @@
 HUB_ZONE = ZONES
 OWN_STORES = 24  # 1,100 stores in 46 zones
 GATEWAYS_A_ZONE = 163
-OBJECTS = 20_000  # objects that are requested
-STEP_NS = 1_190_000  # time between two requests, for 840 a second
+OBJECTS = 20_000  # number of different objects that random requests name
+STEP_NS = 1_190_000  # simulated time between two requests, for 840 requests a second
 TICK_NS = 100 * MS
-LATE_NS = 2 * S  # longer than the target time of every request
-WEIGHT = 1e5  # capacity of a store, enough for all requests of a run
+LATE_NS = 2 * S  # longer than every request's target time, after which it is late
+WEIGHT = 1e5  # requests that a store may handle at once; enough for all requests of a run
 Clock = Callable[[], float]
 
 
 @dataclass(frozen=True)
 class Shape:
-    """A distribution of servers: own zone's stores, parents, one origin, and the rest in other zones."""
+    """A distribution of servers over zones.
+
+    `own_zone` and `parents` return the number of stores in the gateway's zone, and of parents, for a total
+    number of servers. One server is the origin; the rest are stores in other zones.
+    """
 
     name: str
     own_zone: Callable[[int], int]
@@ -54,7 +60,7 @@
 
 
 def settings(seed: int) -> w.Settings:
-    """Returns settings with the target's zones, one hub, and one class of reads."""
+    """Returns Router settings with the zones of the target deployment, one hub, and one class of reads."""
     read = w.RequestClass(
         "read",
         aim_ns=500 * MS,
@@ -90,7 +96,7 @@
 
 
 def members(shape: Shape, stores: int) -> tuple[w.Member, ...]:
-    """Returns `stores` servers in a distribution, all of them ready and warm."""
+    """Returns a list of `stores` servers distributed as `shape` says, all of them ready and warm."""
     own_zone, parents = shape.own_zone(stores), shape.parents(stores)
 
     def member(number: int) -> w.Member:
@@ -106,7 +112,7 @@
 
 
 class Driver:
-    """A Router with a manual clock, and a source of random requests."""
+    """A Router whose clock (`now`, in ns) only its caller advances, and a source of random requests."""
 
     def __init__(self, members_listed: tuple[w.Member, ...], seed: int) -> None:
         self.now = 100 * S
@@ -117,13 +123,13 @@
         self.asked = 0
 
     def ask(self) -> w.Request:
-        """Creates a request for a random object."""
+        """Returns a new request for a random one of OBJECTS; the Router has not handled it yet."""
         self.asked += 1
         name = f"{self.random.randrange(OBJECTS):016x}"
         return w.Request(f"{self.asked:016x}", 0, object=name, size_kb=500.0)
 
     def request(self) -> None:
-        """Handles one request from its arrival to its deadline timer."""
+        """Advances the clock by STEP_NS and runs one complete request, up to its deadline timer."""
         self.now += STEP_NS
         ask, token = self.ask(), 0
         for action in self.router.handle(ask, self.now):
@@ -134,7 +140,7 @@
         self.router.handle(w.TimerFired(token), self.now)
 
     def leave_open(self, count: int) -> None:
-        """Adds `count` requests that remain without an answer."""
+        """Passes `count` new requests to the Router and ends none of them."""
         for _ in range(count):
             self.router.handle(self.ask(), self.now)
 
@@ -145,12 +151,12 @@
 
 
 def served(request: str, store: int) -> w.AttemptEnded:
-    """Returns the event of an attempt that a store served as a hit."""
+    """Returns the event that tells the Router that `store` served attempt 0 of a request as a hit."""
     return w.AttemptEnded(request, 0, store, w.Status.SERVED, 20 * MS, True, w.Note.HIT)
 
 
 def mean_us(call: Callable[[], object], count: int) -> float:
-    """Returns the mean processor time of a call, in microseconds, over `count` calls."""
+    """Calls `call` `count` times and returns the mean processor time of a call in microseconds."""
     began = time.process_time()
     for _ in range(count):
         call()
@@ -158,7 +164,7 @@
 
 
 def traced_kb(make: Callable[[], object]) -> float:
-    """Returns the memory in KB that the object made by `make` keeps allocated, by tracemalloc."""
+    """Returns the memory in KB that stays allocated for the result of `make()`, as tracemalloc counts it."""
     gc.collect()
     tracemalloc.start()
     try:
@@ -172,26 +178,32 @@
 
 
 def request_us(shape: Shape, stores: int, seed: int, count: int) -> float:
-    """Measures the Router's processor time for one complete request."""
+    """Measures the Router's mean processor time for a complete request, in us, over `count` requests."""
     driver = Driver(members(shape, stores), seed)
     mean_us(driver.request, 20)
     return mean_us(driver.request, count)
 
 
 def tick_us(shape: Shape, stores: int, seed: int, count: int) -> float:
-    """Measures the tick of every 100 ms without open requests; every fiftieth starts a counting interval."""
+    """Measures the mean processor time in us of the Router's tick every 100 ms, without open requests.
+
+    Every fiftieth tick also starts a counting interval of the sketches.
+    """
     return mean_us(Driver(members(shape, stores), seed).tick, count)
 
 
 def open_tick_us(open_: int, seed: int, count: int) -> float:
-    """Measures the tick with `open_` open requests, none of which is late."""
+    """Measures the mean processor time in us of the Router's tick with `open_` open requests, none late."""
     driver = Driver(members(SPREAD, 1100), seed)
     driver.leave_open(open_)
     return mean_us(lambda: driver.router.handle(w.TimerFired(0), driver.now), count)
 
 
 def silent_tick_us(open_: int, seed: int) -> float:
-    """Measures the one tick at which all of `open_` requests become late while their stores are silent."""
+    """Measures the processor time in us of the one Router tick at which all open requests become late.
+
+    There are `open_` of them, and no store has answered any.
+    """
     driver = Driver(members(SPREAD, 1100), seed)
     driver.leave_open(open_)
     driver.now += LATE_NS
@@ -199,7 +211,7 @@
 
 
 def change_ms(shape: Shape, stores: int, seed: int, count: int) -> float:
-    """Measures one change of the list: a store begins to drain, or is ready again."""
+    """Measures the Router's mean processor time in ms for a change: one store drains, or is ready again."""
     members_listed = members(shape, stores)
     driver, last_member = Driver(members_listed, seed), members_listed[-1]
     states = (w.State.DRAINING, w.State.READY)
@@ -222,7 +234,7 @@
 
 
 def whole_list_ms(stores: int, seed: int, count: int) -> float:
-    """Measures the processing of a complete list by the Router."""
+    """Measures the Router's mean processor time in ms for a complete list of `stores` servers."""
     members_listed = members(SPREAD, stores)
     driver = Driver(members_listed, seed)
     complete_list = w.CacheList(2, w.ListKind.FULL, members_listed)
@@ -230,13 +242,13 @@
 
 
 def router_kb(shape: Shape, stores: int, seed: int) -> float:
-    """Measures the memory of a Router without the list's members, which the server directory also holds."""
+    """Measures a Router's memory in KB, without the listed servers, which the server directory holds too."""
     members_listed = members(shape, stores)
     return traced_kb(lambda: Driver(members_listed, seed).router)
 
 
 def open_requests_kb(open_: int, seed: int) -> float:
-    """Measures the Router's memory for open requests: the request, its attempt and its timer's token."""
+    """Measures the Router's memory in KB for `open_` requests, their attempts and their timers' tokens."""
     driver = Driver(members(SPREAD, 1100), seed)
 
     def fill() -> Driver:
@@ -247,7 +259,7 @@
 
 
 def purges_kb(purges: int, seed: int) -> float:
-    """Measures the Router's memory for purges in force."""
+    """Measures the Router's memory in KB for `purges` purges in force."""
     driver = Driver(members(SPREAD, 70), seed)
 
     def fill() -> Driver:
@@ -263,17 +275,20 @@
 
 @dataclass(frozen=True)
 class Exchange:
-    """Costs of a batch of requests from a forwarder to its planner, the reply, and the batch of outcomes."""
+    """Mean costs of one batch of requests: bytes in KB, and processor times in us.
+
+    They include the batch from forwarder to planner, the reply, and both messages of the requests' outcomes.
+    """
 
     kb_to_planner: float
     kb_to_forwarder: float
     forwarder_us: float
     planner_us: float
-    decide_us: float  # part of `planner_us`
+    decide_us: float  # the part of `planner_us` that is not encoding or decoding
 
 
 def exchange(requests: int, seed: int, count: int) -> Exchange:
-    """Measures batches of `requests` complete requests with 1,100 stores, without sockets."""
+    """Measures `count` batches of `requests` requests each, with 1,100 servers and without sockets."""
     driver = Driver(members(SPREAD, 1100), seed)
     planner = Planner(driver.router.s, driver.now, lambda *words, **fields: None)
     planner.router = driver.router
@@ -295,14 +310,14 @@
 
 
 class _ExchangeCosts:
-    """Bytes and processor time of forwarder and planner, summed over batches."""
+    """Sums over all batches of the bytes sent and the processor time of forwarder and planner."""
 
     def __init__(self) -> None:
         self.out_bytes = self.back_bytes = 0
         self.forwarder_s = self.codec_s = self.decide_s = 0.0
 
     def batch(self, planner: Planner, events: list[w.Event], now: int) -> list[w.Action]:
-        """Sends events through encoding, planner and decoding, and returns the planner's actions."""
+        """Encodes events as the forwarder does, lets the planner decide, and returns its decoded actions."""
         began = time.process_time()
         line = write_batch(now, events)
         written = time.process_time()
--- a/benchmarks/_capacity_rows.py
+++ b/benchmarks/_capacity_rows.py
@@ -29,14 +29,14 @@
 )
 
 SCALE, VIRTUAL, CAPACITY = "scale.json", "scale-virtual.json", "capacity.json"
-# Measured when nodes that do not vote still polled the voting members every 240 ms.
+# Results of the build in which nodes that do not vote still polled the voting members every 240 ms.
 VIRTUAL_BEFORE = "scale-virtual-before.json"
 
-# Budgets given by the requirements.
+# Budgets of a gateway, given by the requirements; the units are in the names.
 CORE_PCT, MEMORY_MB, KB_PER_S = 2.2, 32.0, 23.0
 PURGE_MS, CONFIG_MS, CONFIG_S = 3_100.0, 6_000.0, 6.0
 MACHINES = 15.0
-# Goals of the current development, stricter than the budgets.
+# Goals of the current development, stricter than the budgets above; the units are in the names.
 AIM_PCT, AIM_KB_PER_S, AIM_MACHINES = 0.8, 12.0, 10.0
 AIM_BACKLOG_S, AIM_TURN_MS, AIM_OVER_IDLE_MB = 10.0, 100.0, 16.0
 AIM_HOLLOW = 1.15
@@ -102,7 +102,8 @@
     return Value(CAPACITY, f"arithmetic.{number}")
 
 
-# Hollow gateways that share a process find warm caches and cost less than real ones.
+# Processor cost of hollow gateways that share a process, over that of real ones; shared ones cost less,
+# because they find warm processor caches.
 SHARED = Value(SCALE, "hollow_shared_over_real")
 
 GATEWAY = (
--- a/benchmarks/_capacity_sources.py
+++ b/benchmarks/_capacity_sources.py
@@ -1,4 +1,4 @@
-"""Sources of the figures on the capacity page: keys of committed results, extrapolated to the target."""
+"""Sources of the figures on docs/CAPACITY.md: keys of committed results, extrapolated to the target."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 class MissingKey(Exception):
-    """A committed result lacks a key that the page names."""
+    """A committed result file lacks a key that a row of docs/CAPACITY.md names as its source."""
 
 
 @dataclass(frozen=True)
 class Figure:
-    """A figure for the target, with its interval.
+    """A figure for the target deployment, with its confidence interval from `low` to `high`.
 
     `form` is the fitted law, empty for a figure that is not extrapolated. `points` is the number of
     measurements, and `beyond` the target's size divided by the largest measured size.
@@ -34,7 +34,7 @@
     beyond: float = 0.0
 
     def times(self, factor: float) -> Figure:
-        """Returns the figure and its interval multiplied by a factor."""
+        """Returns a copy with the value and its interval multiplied by a factor, to convert the unit."""
         return Figure(
             self.value * factor,
             self.low * factor,
@@ -46,14 +46,14 @@
 
 
 class Source(Protocol):
-    """A source that takes a figure from the results."""
+    """The place of a row's figure in the committed results, and how it is worked out from there."""
 
     def names(self) -> list[str]:
-        """Returns the files and keys of the source, each as `file: key`."""
+        """Returns the result files and keys that the figure is taken from, each as `file: key`."""
         ...
 
     def figure(self, results: ResultMapping) -> Figure | None:
-        """Returns the figure, or None if it has not been measured.
+        """Returns the figure for the target, or None if there is no result file with it.
 
         Raises MissingKey if a result file exists but lacks the key.
         """
@@ -61,12 +61,12 @@
 
 
 def load_results(folder: Path = RESULTS) -> dict[str, Any]:
-    """Reads all committed JSON results, by file name."""
+    """Reads all JSON result files of a folder; returns their contents by file name."""
     return {path.name: json.loads(path.read_text("utf-8")) for path in sorted(folder.glob("*.json"))}
 
 
 def look_up(results: ResultMapping, file: str, key: str) -> Any:
-    """Returns the value at a dotted key, or None if there is no such file.
+    """Returns the value at a dotted key of a result file, or None if there is no such file.
 
     Raises MissingKey if the file exists but has no such key.
     """
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True)
 class Value:
-    """A figure that is taken unchanged from a result."""
+    """A source whose figure is taken unchanged from one key of a result file, without an interval."""
 
     file: str
     key: str
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True)
 class WorkedOut:
-    """A slope that the result itself extrapolates to the target, under the key `slopes`."""
+    """A source whose result file already has the extrapolation to the target, under the key `slopes`."""
 
     file: str
     name: str
@@ -116,7 +116,7 @@
 
 @dataclass(frozen=True)
 class Axis:
-    """A cost along an axis of the scale benchmark, extrapolated here from the measured points."""
+    """A cost that benchmarks.scale measured over several sizes, extrapolated here to the target."""
 
     axis: str
     cost: str
@@ -138,7 +138,7 @@
         if not points:
             raise MissingKey(self.names()[0])
         if self.cost not in axis["slopes"]:
-            return None  # too few sizes or repeats
+            return None  # no fit is possible: too few sizes or repeats
         estimate = fit(points).at(self.size)
         row = axis["slopes"][self.cost]
         return Figure(estimate.value, estimate.low, estimate.high, law(row), row["points"], estimate.beyond)
@@ -146,7 +146,7 @@
 
 @dataclass(frozen=True)
 class Sum:
-    """A sum of figures, each multiplied by a factor that converts it to the sum's unit."""
+    """A source that adds up figures, each multiplied by a factor that converts it to the sum's unit."""
 
     parts: Sequence[tuple[Source, float]]
 
@@ -172,7 +172,7 @@
 
 @dataclass(frozen=True)
 class Quotient:
-    """A figure divided by an unchanged one, such as the ratio of a hollow gateway's cost to a real one's."""
+    """A source that divides a figure by a Value, such as the cost of a hollow gateway over a real one's."""
 
     dividend: Source
     divisor: Value
@@ -191,7 +191,7 @@
 
 @dataclass(frozen=True)
 class NotMeasured:
-    """The source of a row that no benchmark measures."""
+    """The source of a row whose figure no benchmark measures; its figure is always None."""
 
     def names(self) -> list[str]:
         return []
@@ -201,7 +201,7 @@
 
 
 def law(row: ResultMapping) -> str:
-    """Formats a slope as `fixed + slope × size` in the result's unit, with the exponent if it is no line."""
+    """Formats a fitted slope as `fixed + slope × size`; if the points are no line, with the exponent."""
     line = f"{row['fixed']:.3g} + {row['slope']:.3g} × size"
     if row["is_line"]:
         return line
--- a/benchmarks/_capacity_target.py
+++ b/benchmarks/_capacity_target.py
@@ -1,4 +1,4 @@
-"""The sizes of the target deployment, and figures that follow from them by arithmetic."""
+"""The sizes of the target deployment (7,500 gateways), and figures that follow from them by arithmetic."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 CHANGES_PER_DAY = 11_000
 REPLACED_PER_DAY = 480
 HOUR_S, DAY_S = 3600, 86_400
-SETTLES_S = 6.0  # how long a purge is in force, by the settings
-RETUNE_S = 5.0  # interval of the Router's sketches, and of its checks for expired purges
+SETTLES_S = 6.0  # how long the settings keep a purge in force
+RETUNE_S = 5.0  # how often the Router starts new object sketches and checks for expired purges
 PARENT_SHARE = 0.1  # share of parents among the stores; an assumption, not given with the target
 ONE_CORE_PCT = 100.0
 SOCKETS = (512, 1024, 2048, 4096)
@@ -25,7 +25,7 @@
 
 
 def arithmetic() -> dict[str, float]:
-    """Returns the target's totals divided among gateways, stores and zones; each name contains its unit."""
+    """Returns the target's totals divided among its gateways, stores and zones, by name with unit."""
     return {
         "requests_s_gateway": REQUESTS_PER_S / GATEWAYS,
         "requests_s_store": REQUESTS_PER_S / STORES,
@@ -62,12 +62,15 @@
 
 
 def beat_period_s() -> float:
-    """Returns the seconds between two heartbeats of a gateway in the target's fleet."""
+    """Returns the seconds between two rollout heartbeats of one gateway, in a fleet of the target's size."""
     return Hearing(0, range(GATEWAYS), 0).period_ns / 1e9
 
 
 def least_sockets(connections: int) -> int:
-    """Returns the fewest descriptors that leave a gateway with a management port `connections` for stores."""
+    """Returns the least file descriptor limit at which a gateway may open `connections` store connections.
+
+    The gateway has a management port, which takes a part of the descriptors too.
+    """
     sockets = 2 * connections
     while descriptors.split(sockets, MANAGEMENT_PORTS).stores < connections:
         sockets += 1
@@ -75,7 +78,7 @@
 
 
 def divided() -> dict[str, dict[str, int]]:
-    """Returns how a gateway with a management port divides its descriptors, by their number."""
+    """Returns how a gateway with a management port divides its file descriptors, for each of SOCKETS."""
     division = {}
     for sockets in SOCKETS:
         descriptor_split = descriptors.split(sockets, MANAGEMENT_PORTS)
--- a/benchmarks/_capacity_traffic.py
+++ b/benchmarks/_capacity_traffic.py
@@ -22,16 +22,16 @@
 
 CLASSES = [("fichiers", 2500, "idempotent", False)]
 LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 384}
-CONNECTIONS = 8  # client connections, each with one request at a time
+CONNECTIONS = 8  # client connections to the gateway, each with at most one open request
 STORES = 4
 OBJECTS = 400
 TIMEOUT_S = 20.0
-SUCCESS = 2  # the message type of a reply frame
+SUCCESS = 2  # the Thrift message type of a reply
 WARM_S = 0.15
 
 
 class Stores:
-    """Stand-ins of all stores at one address; a thread per connection answers with `size` bytes."""
+    """A server that stands in for all stores; a thread per connection answers with `size` bytes."""
 
     def __init__(self) -> None:
         self.size = 0
@@ -59,7 +59,7 @@
                     connection.sendall(head.encode() + bytes(self.size) + b"\r\n")
 
     def close(self) -> None:
-        """Closes the listening socket and all connections."""
+        """Closes the listening socket and all connections of gateways."""
         self._listening.close()
         for connection in self._open:
             connection.close()
@@ -78,7 +78,7 @@
         self.running = True
 
     def run(self) -> None:
-        """Sends requests and reads their answers."""
+        """Sends requests one after the other and reads their answers, on this thread, until `stop`."""
         number = 0
         with contextlib.suppress(OSError), self._sock.makefile("rb") as answers:
             while self.running:
@@ -105,25 +105,25 @@
         return codec.encode("serve", 1, number, codec.ServeArgs(fields=fields, body=b""))
 
     def stop(self) -> None:
-        """Waits for the current request and closes the connection."""
+        """Lets the current request end, waits for the thread, and closes the connection."""
         self.running = False
         self.join(TIMEOUT_S)
         self._sock.close()
 
 
 def compiled() -> bool:
-    """Returns whether there is a compiled copy, which the gateway then runs."""
+    """Returns whether .native/ has compiled modules, which the measured gateway then runs."""
     return (ROOT / ".native" / "stamp").exists()
 
 
 def processor_s(pid: int) -> float:
-    """Returns the user and system time of a process in seconds."""
+    """Returns the user plus system processor time of a process since its start, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 class Traffic:
-    """A gateway process with its stores, on which all sizes of answers are measured."""
+    """A gateway process with stand-in stores; the same process is measured with all sizes of answers."""
 
     def __init__(self, folder: Path) -> None:
         self.stores = Stores()
@@ -162,8 +162,9 @@
         self.port = self.gateway.port()
 
     def row(self, kb: float, seconds: float, seed: int) -> dict[str, float]:
-        """Measures processor time per served request, and requests served per second.
+        """Measures the gateway with answers of `kb` KB for `seconds`.
 
+        Returns processor time in us per served request (`us`) and requests served per second (`per_s`).
         Raises RuntimeError if a request was not served.
         """
         self.stores.size = round(kb * 1e3)
--- a/benchmarks/_charts.py
+++ b/benchmarks/_charts.py
@@ -9,7 +9,11 @@
 
 
 def rollout(results: dict[str, Any], path: Path = ROOT / "docs" / "results" / "rollout.png") -> None:
-    """Draws service and reach of releases with and without coordination, and the idle cost per gateway."""
+    """Draws the chart of the rollout benchmark's `results` as a PNG file.
+
+    It compares releases with and without coordination (served share, share of gateways that got the version)
+    and shows the idle cost per gateway.
+    """
     import matplotlib
 
     matplotlib.use("Agg")
--- a/benchmarks/_deployment.py
+++ b/benchmarks/_deployment.py
@@ -1,4 +1,7 @@
-"""A fleet of hollow and real gateways, and the servers that answer their polls, as processes on loopback."""
+"""A fleet of gateways, and the servers that they poll for discovery events, as processes on loopback.
+
+Hollow gateways run only the control side of the program (`_hollow`), real ones the whole program.
+"""
 
 from __future__ import annotations
 
@@ -16,12 +19,13 @@
 
 CLASSES = [("fichiers", 2500, "idempotent", False), ("commande", 2500, "at_most_once", True)]
 SOCKETS = 1_024
-MAIN, CUT, REAL, IDLE, SERVED = "main", "cut", "real", "idle", "served"  # groups of gateways, one port each
+# Groups of gateways; each group polls a port of its own.
+MAIN, CUT, REAL, IDLE, SERVED = "main", "cut", "real", "idle", "served"
 SETTLE_S = 30.0
 
 
 def store_list(count: int) -> list[dict[str, Any]]:
-    """Returns `count` stores as discovery lists them.
+    """Returns `count` stores as the discovery service lists them.
 
     Nothing listens at their addresses, and gateways connect to a store only for a request.
     """
@@ -41,39 +45,39 @@
 
 
 class PollServers(Protocol):
-    """The servers that answer the polls of gateways: the discovery service or relays."""
+    """The servers that gateways poll for discovery events: the discovery service itself or relays."""
 
     def address(self, group: str) -> str:
-        """Returns the address that the gateways of a group poll."""
+        """Returns the `HOST:PORT` that the gateways of a group poll first."""
         ...
 
     def others(self, group: str) -> list[str]:
-        """Returns the addresses that the gateways of a group poll if the first one fails."""
+        """Returns the addresses that the gateways of a group poll if the one of `address` fails."""
         ...
 
     def pids(self) -> list[int]:
-        """Returns the ids of the processes that answer polls."""
+        """Returns the process ids of the servers that answer polls, to measure their processor time."""
         ...
 
     def kill(self) -> None:
-        """Kills one of the processes."""
+        """Kills one of the servers that answer polls."""
         ...
 
     def restart(self) -> None:
-        """Starts the process again that `kill` has ended."""
+        """Starts the server again that `kill` has killed, if this kind of poll server does so."""
         ...
 
     def traffic(self) -> dict[str, JsonObject]:
-        """Returns polls and bytes since the start by group: `polls`, `bytes_in`, `bytes_out`."""
+        """Returns `polls`, `bytes_in` and `bytes_out` since the servers' start, by group of gateways."""
         ...
 
     def close(self) -> None:
-        """Ends the processes."""
+        """Ends the servers' processes."""
         ...
 
 
 class Discovery:
-    """The stand-in discovery service as a process, restarted after a kill with its ports and events."""
+    """The stand-in discovery service as a process; after a kill it can restart with its ports and events."""
 
     def __init__(self, folder: Path) -> None:
         self._state = folder / "discovery-events"
@@ -85,7 +89,7 @@
         return JsonProcess("_standin_discovery", str(self._state), on_event=self.purged.append)
 
     def call(self, command: str, **more: Any) -> JsonObject:
-        """Sends a command to the process and returns its answer."""
+        """Sends a command to the discovery service's process and returns its answer."""
         return self._process.call(command, **more)
 
     def open(self, name: str, muted: bool = False) -> str:
@@ -99,26 +103,26 @@
         return f"127.0.0.1:{self._ports[name][0]}" if name in self._ports else self.open(name)
 
     def state(self) -> JsonObject:
-        """Returns the last revision, the number of purges and the traffic of each port."""
+        """Returns the last revision `rev`, the count `published` of purges, and traffic by port, `ports`."""
         return self.call("state")
 
     @property
     def pid(self) -> int:
-        """The id of the current process."""
+        """The process id of the discovery service, another one after each restart."""
         return self._process.pid
 
     def kill(self) -> None:
-        """Kills the process."""
+        """Kills the discovery service's process."""
         self._process.kill()
 
     def restart(self) -> None:
-        """Starts the process again with its events and ports; traffic counts restart at zero."""
+        """Starts the discovery service again with its events and ports; traffic counts restart at zero."""
         self._process = self._start()
         for name, (number, muted) in self._ports.items():
             self.call("port", name=name, number=number, muted=muted)
 
     def close(self) -> None:
-        """Kills the process for good."""
+        """Kills the discovery service's process for good."""
         self._process.kill()
 
 
@@ -153,7 +157,10 @@
 
 @dataclass(frozen=True)
 class PropagationTimes:
-    """Statistics over all gateways of the times from a publication until a gateway has applied it."""
+    """Statistics of the times from the publication of an event until a gateway has applied it.
+
+    `count` is the number of such times: one for each event and gateway.
+    """
 
     count: int
     median_ms: float
@@ -161,7 +168,7 @@
     longest_ms: float
 
     def row(self) -> JsonObject:
-        """Returns the statistics under their names in the results."""
+        """Returns the statistics under the names that they have in the benchmark's JSON results."""
         return {
             "count": self.count,
             "median_ms": self.median_ms,
@@ -171,7 +178,7 @@
 
 
 def merge_times(rows: list[JsonObject]) -> PropagationTimes:
-    """Merges the histograms of several processes; quantiles have a resolution of 1 ms."""
+    """Merges the propagation time histograms of hollow processes; quantiles have a resolution of 1 ms."""
     counts: dict[int, int] = {}
     for row in rows:
         for ms, count in row["counts"]:
@@ -192,22 +199,22 @@
 
 @dataclass
 class HollowProcess:
-    """A process of hollow gateways."""
+    """A process that runs `count` hollow gateways of one group."""
 
     process: JsonProcess
     group: str
     count: int
 
     def gateway_mb(self) -> float:
-        """Returns the resident memory per gateway beyond that of the process without gateways, in MB."""
+        """Returns the process's resident memory per gateway in MB, less its memory without gateways."""
         empty: float = self.process.wait_started()["empty_mb"]
         return (resident_mb(self.process.pid) - empty) / self.count
 
 
 class Deployment:
-    """All processes of a run: discovery service, poll servers and gateways.
+    """All processes of a benchmark run: discovery service, poll servers and gateways.
 
-    As a context manager it kills each of them, by its own id, at the end of the block.
+    Use it in a `with` statement: at the end of the block it kills each process, by its own id.
     """
 
     def __init__(self, folder: Path, stores: list[dict[str, Any]], seed: int = 1) -> None:
@@ -231,7 +238,7 @@
         self.close()
 
     def close(self) -> None:
-        """Kills all processes, also those that are stopped by SIGSTOP."""
+        """Kills all processes of the run, also real gateways that are stopped by SIGSTOP."""
         for gateway in self.reals:
             if gateway.process.poll() is None:
                 gateway.process.send_signal(signal.SIGCONT)
@@ -244,7 +251,11 @@
     # Gateways --------------------------------------------------------------------------------------
 
     def config(self, group: str, rev: int = 0, **more: Any) -> Path:
-        """Writes a configuration file that has the list of stores and counts events up to `rev` as known."""
+        """Writes a configuration file for gateways of a group and returns its path.
+
+        Gateways start with the list of stores and poll for events after the revision `rev`. `more` overrides
+        entries of the file.
+        """
         self._files += 1
         path = self.folder / f"config-{self._files}.json"
         pool = {"revision": 1, "complete": True, "members": self.stores}
@@ -263,7 +274,7 @@
         return path
 
     def hollow(self, count: int, group: str = MAIN, path: Path | None = None) -> HollowProcess:
-        """Starts a process of `count` hollow gateways; `process.wait_started` waits until they run."""
+        """Starts a process of `count` hollow gateways; its `process.wait_started` waits until they run."""
         path = path or self.config(group)
         fallback_addresses = self.poll_servers.others(group)
         arguments = {
@@ -279,7 +290,10 @@
         return made
 
     def real(self, path: Path, root: Path | None = None, **env: str) -> Gateway:
-        """Starts a real gateway; `root` is the folder of another build to run instead of this checkout."""
+        """Starts a real gateway with a configuration file and environment variables.
+
+        `root` is the folder of another build of the program to run instead of this checkout.
+        """
         options = ("--config", str(path))
         if root is None:
             made = Gateway(None, *options, native=native(), **env)
@@ -289,12 +303,12 @@
         return made
 
     def end(self, hollow: HollowProcess) -> None:
-        """Kills a process of hollow gateways."""
+        """Kills a process of hollow gateways and removes it from `hollows`."""
         hollow.process.kill()
         self.hollows.remove(hollow)
 
     def wait_connected(self) -> None:
-        """Waits until every hollow gateway, except for the idle ones, has received the last event."""
+        """Waits until every hollow gateway, except those of the group IDLE, has the last published event."""
         for hollow in self.hollows:
             hollow.process.wait_started()
         rev = self.discovery.state()["rev"]
@@ -305,7 +319,10 @@
     def wait_caught_up(
         self, hollow: HollowProcess, rev: int | None = None, seconds: float = SETTLE_S
     ) -> None:
-        """Waits until the gateways of a process have received the events up to `rev`, by default the last."""
+        """Waits until all gateways of a process have the events up to `rev`, by default the last published.
+
+        Raises TimeoutError if they do not within `seconds`.
+        """
         last = self.discovery.state()["rev"] if rev is None else rev
         wait_until(
             lambda: hollow.process.call("state")["lowest_rev"] >= last,
@@ -314,12 +331,12 @@
         )
 
     def clear(self) -> None:
-        """Discards the propagation times counted so far."""
+        """Discards the propagation times that the hollow gateways have counted so far."""
         for hollow in self.hollows:
             hollow.process.call("clear")
 
     def times(self, event_kind: str, group: str = MAIN) -> PropagationTimes:
-        """Returns the propagation times of a kind of event at the hollow gateways of a group.
+        """Returns the propagation times since `clear` of one kind of event at a group's hollow gateways.
 
         `event_kind` is `purges`, `changes` or `reloads`.
         """
@@ -329,13 +346,13 @@
     # Costs -----------------------------------------------------------------------------------------
 
     def measure(self, seconds: float) -> Span:
-        """Measures processor time of each process and traffic of each port for `seconds` from now."""
+        """Sleeps for `seconds` and returns processor time by process and traffic by port meanwhile."""
         before = self.snapshot()
         time.sleep(seconds)
         return self.since(before)
 
     def since(self, before: Snapshot) -> Span:
-        """Returns processor time and traffic since a snapshot; processes started later are left out."""
+        """Returns processor time and traffic since a snapshot; leaves out processes started after it."""
         after = self.snapshot()
         elapsed_s = after.at - before.at
         processor = {
@@ -353,7 +370,7 @@
         return Span(elapsed_s, processor, traffic)
 
     def snapshot(self) -> Snapshot:
-        """Returns the processor time of every process and the traffic of every port so far."""
+        """Returns the processor time of each process and the traffic of each port since their start."""
         traffic = self.poll_servers.traffic()
         excluded = {hollow.process.pid: hollow.process.call("state")["excluded_s"] for hollow in self.hollows}
         pids = {
@@ -371,7 +388,7 @@
 
 @dataclass(frozen=True)
 class Rates:
-    """Rates per second at one port; the direction of bytes is as the poll server sees it."""
+    """Polls and bytes per second at one port; `bytes_in` are those that the poll server receives."""
 
     polls: float
     bytes_in: float
@@ -379,13 +396,13 @@
 
     @property
     def kb(self) -> float:
-        """KB per second in both directions."""
+        """KB per second at the port, sum of both directions."""
         return (self.bytes_in + self.bytes_out) / 1_000
 
 
 @dataclass(frozen=True)
 class Snapshot:
-    """Processor seconds by process id and traffic by port, at the moment `at` of time.monotonic."""
+    """Processor seconds by process id and traffic counts by port, at the time `at` of time.monotonic."""
 
     at: float
     processor: dict[int, float]
@@ -394,12 +411,12 @@
 
 @dataclass(frozen=True)
 class Span:
-    """A measurement over `seconds`: shares of a core by process id, and traffic rates by port."""
+    """A measurement over `seconds`: shares of one core by process id, and traffic per second by port."""
 
     seconds: float
     processor: dict[int, float]
     traffic: dict[str, Rates]
 
     def share(self, *pids: int) -> float:
-        """Returns the share of one core that these processes use together."""
+        """Returns the share of one core (1.0: a whole core) that these processes used together."""
         return sum(self.processor[pid] for pid in pids)
--- a/benchmarks/_fleet.py
+++ b/benchmarks/_fleet.py
@@ -29,9 +29,9 @@
 
 CLASSES = [("fichiers", 2500, "idempotent", False), ("commande", 2500, "at_most_once", True)]
 SORTS = (Sort("fichiers", 0.95), Sort("commande", 0.05, write=True))
-COLD_S = 1.0  # how long a store is cold after its start
-WORK_S = 0.5  # how long a store is down for maintenance
-STORE_GROUP = "stores:praia"  # lease group of the edge stores
+COLD_S = 1.0  # how long an edge store counts as cold after it was restarted
+WORK_S = 0.5  # how long an edge store stays down after an operator has stopped it
+STORE_GROUP = "stores:praia"  # the group whose drain leases the edge stores need
 SAMPLE_S = 0.05
 FIRST_PORT, PORTS_PER_PROCESS, PORT_BLOCKS = 15_000, 256, 64
 _ports = itertools.count()
@@ -53,8 +53,8 @@
 class Fleet:
     """`count` gateway processes with stand-in stores, clients, operators and faults.
 
-    With `agree` the gateways coordinate drains and releases among themselves. Without it each `drain` call is
-    sent to the management port of every gateway separately, as operators' scripts do without coordination.
+    With `agree` the gateways coordinate drains and releases of program versions among themselves. Without it
+    each `drain` call goes to the management port of every gateway separately, as operators' scripts do.
     This object also plays the operators who take stores down for maintenance.
     """
 
@@ -86,12 +86,13 @@
         self._datagrams = {n: ("127.0.0.1", port()) for n in self.names}
         self.running: dict[str, Gateway] = {}
         self.started: dict[str, int] = dict.fromkeys(self.names, 0)
-        # Each edge store is "in", "down" or "cold".
+        # What each edge store really is: "in" (service), "down" or "cold".
         self.state = dict.fromkeys((edge_store.name for edge_store in self.edge_stores), "in")
         self.over_budget_samples, self.samples, self.max_stores_out = 0, 0, 0
         self.player = Player(self.network, self.names, self.pid, self.start, self.killed)
         self.sampling = True
-        self.replacing, self.faulty_version = False, ""  # the faulty version refuses all requests
+        # `faulty_version` is the program version that refuses all requests, "" for none.
+        self.replacing, self.faulty_version = False, ""
         self.reached: set[str] = set()
         self._leaving: set[str] = set()
         self.client_groups: dict[str, Crowd] = {}
@@ -180,7 +181,7 @@
     # Processes ----------------------------------------------------------------------------------------
 
     def start(self, name: str) -> None:
-        """Starts the process of a gateway in its current version."""
+        """Starts the process of the gateway `name` with the program version in `versions`."""
         self.started[name] += 1
         tmp = self.folder / f"tmp-{name}"
         tmp.mkdir(exist_ok=True)
@@ -198,18 +199,18 @@
         return gateway.process.pid if gateway is not None and gateway.process.poll() is None else None
 
     def killed(self, name: str) -> None:
-        """Waits until the killed process of a gateway has ended."""
+        """Waits for the end of the process of the gateway `name`, which has just been killed."""
         self.running[name].process.wait(10)
 
     def end(self, name: str) -> None:
-        """Kills a gateway's process if it runs, also one that is stopped by SIGSTOP."""
+        """Kills the process of the gateway `name` if it runs, even if it is stopped by SIGSTOP."""
         gateway = self.running.get(name)
         if gateway is not None and gateway.process.poll() is None:
             gateway.process.send_signal(signal.SIGCONT)
             gateway.kill()
 
     def call(self, name: str, method: str, path: str, body: Any = None) -> tuple[int, Any]:
-        """Calls the management port; returns the HTTP status and the JSON answer.
+        """Calls the management port of the gateway `name`; returns the HTTP status and the JSON answer.
 
         Returns (0, {}) if the gateway is not running or does not answer within 1 s.
         """
@@ -226,23 +227,23 @@
             connection.close()
 
     def status(self, name: str) -> dict[str, Any]:
-        """Returns the rollout status that a gateway reports; empty if it does not answer."""
+        """Returns the status of drains and releases that a gateway reports; {} if it does not answer."""
         return self.call(name, "GET", "/rollout/status")[1]
 
     def state_of(self, name: str) -> str:
-        """Returns the state of the release as this gateway knows it; empty if unknown."""
+        """Returns the release's state that a gateway reports, such as "running"; "" if unknown."""
         return str(self.status(name).get("release", {}).get("state", ""))
 
     def send_command(self, name: str, command: str, **more: Any) -> dict[str, Any]:
-        """Sends an operator's rollout command to a gateway and returns its immediate answer."""
+        """Sends an operator's rollout command to the gateway `name` and returns its immediate JSON answer."""
         return self.call(name, "POST", "/rollout/ask", {"do": command, **more})[1]
 
     def run_release_command(
         self, name: str, command: str, seconds: float = 4.0, **more: Any
     ) -> dict[str, Any]:
-        """Sends a release command to a gateway and waits for the majority's decision.
+        """Sends a release command to a gateway and waits until a majority of voting members has decided.
 
-        Returns {} if there is no decision within `seconds`.
+        Returns the decision, or {} if there is no decision within `seconds`.
         """
         ticket = self.send_command(name, command, **more).get("ticket")
         end = time.monotonic() + seconds
@@ -254,7 +255,7 @@
         return {}
 
     def until(self, condition: Any, seconds: float) -> bool:
-        """Runs the stand-ins until a condition holds; returns False if it does not within `seconds`."""
+        """Runs the World until `condition()` is true; returns False if it is not within `seconds`."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             if condition():
@@ -263,7 +264,10 @@
         return False
 
     def ready(self, seconds: float = 15.0) -> bool:
-        """Returns whether all gateways serve within `seconds` and, if they coordinate, hear each other."""
+        """Waits until all gateways serve and, with `agree`, receive each other's heartbeats.
+
+        Returns False if they do not within `seconds`.
+        """
 
         def heard(name: str) -> bool:
             if not self.agree:
@@ -276,7 +280,7 @@
         return self.until(lambda: all(map(heard, self.names)), seconds)
 
     def start_clients(self) -> None:
-        """Starts a group of clients for each gateway, which falls back to the other gateways."""
+        """Starts a group of clients for each gateway; they use other gateways while theirs is down."""
         for index, name in enumerate(self.names):
             ports = [self.ports[n] for n in self.names[index:] + self.names[:index]]
             self.client_groups[name] = Crowd(
@@ -293,7 +297,7 @@
     # Stores and their operators -----------------------------------------------------------------------
 
     def drain(self, name: str, store_name: str) -> None:
-        """Asks one gateway to drain a store; without coordination every gateway is asked."""
+        """Asks the gateway `name` to drain a store; without `agree` it asks every gateway."""
         if self.agree:
             self.send_command(name, "drain", item=store_name)
         else:
@@ -302,7 +306,7 @@
             self.world.at(time.monotonic() + 0.3, lambda: self.restart_store(name, store_name))
 
     def restart_store(self, name: str, store_name: str) -> None:
-        """Restarts a store, which is then cold for COLD_S, and ends its drain."""
+        """Takes a drained store down for WORK_S, restarts it (cold for COLD_S), and ends its drain."""
         if self.state[store_name] != "in":
             return
         store = next(edge_store for edge_store in self.edge_stores if edge_store.name == store_name)
@@ -327,7 +331,7 @@
         self.world.at(time.monotonic() + WORK_S, up)
 
     def _end_drain(self, name: str, store_name: str) -> None:
-        """Ends the drain of a store at the first gateway that answers, and checks later that the fleet knows.
+        """Ends a store's drain through the first gateway that accepts it; repeats this if it gets lost.
 
         The gateway that accepted the call may be killed before it has told the others.
         """
@@ -341,7 +345,7 @@
         self.world.at(time.monotonic() + 0.8, lambda: self._check_drain_ended(name, store_name))
 
     def _check_drain_ended(self, name: str, store_name: str) -> None:
-        # A gateway that has just started has an empty status.
+        # The status of a gateway that does not answer or has just started is empty and says nothing.
         found = [gateway_status for n in self.names if (gateway_status := self.status(n))]
         left = any(
             lease["item"] == store_name and lease["phase"] != "back"
@@ -352,9 +356,9 @@
             self._end_drain(name, store_name)
 
     def drain_and_restart(self, name: str, store_name: str, seconds: float) -> None:
-        """Plays an operator who drains a store through one gateway and restarts the store once it is out.
+        """Plays an operator who drains a store through the gateway `name` and restarts it once it is drained.
 
-        The operator gives up and ends the drain if the store is not out within `seconds`.
+        The operator gives up and ends the drain if the gateway does not report it within `seconds`.
         """
         end = time.monotonic() + seconds
         self.drain(name, store_name)
@@ -391,9 +395,9 @@
             self.world.at(time.monotonic() + SAMPLE_S, self._sample)
 
     def _replace(self) -> None:
-        """Plays the supervisors of the gateways; each sample checks one gateway in turn.
+        """Plays the supervisors of the gateways' processes; each call checks one gateway in turn.
 
-        A supervisor starts the version that its gateway reports as its replacement.
+        A supervisor starts the program version that its gateway reports as `replace_with`.
         """
         for name in self.names:
             if self.samples % len(self.names) != self.names.index(name):
@@ -403,7 +407,7 @@
                 self.replace(name, wanted)
 
     def replace(self, name: str, version: str) -> None:
-        """Sends SIGTERM to a gateway and starts the next version once the process has ended."""
+        """Sends SIGTERM to a gateway and, once it has ended, starts it with program version `version`."""
         self._leaving.add(name)
         process = self.running[name].process
         process.send_signal(signal.SIGTERM)
@@ -420,18 +424,18 @@
         ended()
 
     def schedule_faults(self, faults: list[Fault]) -> None:
-        """Schedules the faults of a script."""
+        """Schedules the faults of a script, counted from now, on the links and processes of the fleet."""
         self.player.script(faults)
 
     def outcome_counts(self) -> Counter[str]:
-        """Returns how the requests of all clients ended, by outcome."""
+        """Counts all clients' ended requests by outcome: served, refused, failed, nobody."""
         total: Counter[str] = Counter()
         for clients in self.client_groups.values():
             total.update(clients.ends)
         return total
 
     def close(self) -> None:
-        """Ends all clients, gateways and stand-ins."""
+        """Ends all clients, gateways, stand-in stores and the discovery server."""
         self.sampling = False
         for clients in self.client_groups.values():
             clients.close()
--- a/benchmarks/_hollow.py
+++ b/benchmarks/_hollow.py
@@ -37,9 +37,9 @@
     "fronts, connections to stores, requests and attempts, operators' doors, peers' datagrams, optional "
     "parts, logs on standard error, signals; hundreds share a process whose thread steps each one's own loop"
 )
-MOST_OPEN = 4_096  # open requests at most, as in a real gateway
-EVICTED_BYTES = 4 * 2**20  # more than the private caches of a core hold
-LONGEST_MS = 60_000  # longer propagation times are counted in the last bucket
+MOST_OPEN = 4_096  # most open requests of a gateway, as in a real one
+EVICTED_BYTES = 4 * 2**20  # bytes touched to evict a core's private caches, which hold less
+LONGEST_MS = 60_000  # the last bucket of a histogram, which also counts longer times
 
 
 OnApplied = Callable[["HollowGateway", w.Event, int], None]
@@ -64,13 +64,13 @@
         self.longest_us = max(self.longest_us, elapsed_us)
 
     def row(self) -> dict[str, Any]:
-        """Returns the non-empty buckets and the longest time as JSON, to be summed over processes."""
+        """Returns the non-empty buckets and the longest time as JSON, which `merge_times` sums up."""
         counts = [(ms, count) for ms, count in enumerate(self._counts) if count]
         return {"counts": counts, "longest_us": self.longest_us}
 
 
 class HollowGateway:
-    """The control side of one gateway.
+    """A gateway without a request path (see the module's text).
 
     `on_applied(gateway, event, now_us)` is called for each discovery event that the gateway has applied,
     except for those that it applied at its start.
@@ -79,7 +79,10 @@
     def __init__(
         self, path: str, name: str, on_applied: OnApplied, fallback_addresses: Sequence[str] = ()
     ) -> None:
-        """`fallback_addresses` are the alternative discovery addresses, as an operator's file names them."""
+        """`path` is the configuration file, `name` the gateway's name.
+
+        `fallback_addresses` are polled if the discovery address of the configuration fails.
+        """
         self._path, self._name, self._on_applied = path, name, on_applied
         self._fallback_addresses = tuple(parse_address(text) for text in fallback_addresses)
         self.config = self._read()
@@ -87,9 +90,9 @@
         self.loop.faulted = self._faulted
         self.batch: list[w.Event] = []
         self.logged: list[str] = []
-        self.events = 0  # discovery events applied since the start
+        self.events = 0  # number of discovery events applied since the gateway's start
         self.started_us = 0
-        self.bookkeeping_ns = 0  # thread time that the benchmark's own bookkeeping took
+        self.bookkeeping_ns = 0  # thread time of the benchmark's own work, to be subtracted from costs
         settings = self.config.settings
         self.tracker = Ledger(settings, LoopTimers(self.loop), self.batch.append, self.log, most=MOST_OPEN)
         self.control = ControlPlane(
@@ -107,7 +110,7 @@
         return replace(config, boards=self._fallback_addresses)
 
     def log(self, event: str, **fields: Any) -> None:
-        """Keeps the first 20 log lines for the benchmark's report."""
+        """The gateway's log function: keeps its first 20 records in `logged` for the benchmark's report."""
         if len(self.logged) < 20:
             self.logged.append(f"{event} {fields}")
 
@@ -115,7 +118,7 @@
         self.log("loop_fault", where=where, error=repr(error))
 
     def _server_terminated(self, server: int, when: int) -> None:
-        """A real gateway closes its connections to the server here; a hollow gateway has none."""
+        """Does nothing: a real gateway closes its connections to a removed server, a hollow one has none."""
 
     def _carry_out(self, actions: list[w.Action]) -> None:
         for action in actions:
@@ -126,7 +129,7 @@
         self.loop.after(action.delay_ns, lambda: self.batch.append(w.TimerFired(action.token)))
 
     def decide(self) -> None:
-        """Passes the collected events to the planner and carries out its actions, as a gateway does."""
+        """Passes the events collected in `batch` to the planner and sets the timers that it asks for."""
         while self.batch:
             events = self.batch[:]
             self.batch.clear()
@@ -144,24 +147,24 @@
         self.bookkeeping_ns += time.thread_time_ns() - began
 
     def step(self) -> int:
-        """Runs one turn of the loop without waiting; returns the nanoseconds until its next timer is due."""
+        """Runs one turn of the event loop without waiting; returns the ns until its next timer is due."""
         loop = self.loop
         loop.turn(0)
         self.decide()
-        loop.lag_ns = loop.clock.now() - loop._woke  # as in `Loop.run`; polls are paced by it
+        loop.lag_ns = loop.clock.now() - loop._woke  # set as in `Loop.run`, because polls are paced by it
         loop.longest_ns = max(loop.longest_ns, loop.lag_ns)
-        if loop._next:  # sliced work continues in the next turn
+        if loop._next:  # work that was cut into slices continues in the next turn
             return 0
         return loop.wheel.wait_ns(loop.clock.now())
 
     @property
     def rev(self) -> int:
-        """The revision of the last event received; -1 without a discovery client."""
+        """The revision of the last discovery event received; -1 without a discovery client."""
         discovery = self.control.discovery
         return -1 if discovery is None else discovery.rev
 
     def reload(self) -> None:
-        """Reads the configuration file again and applies it."""
+        """Reads the configuration file again and applies it, as a signal makes a real gateway do."""
         old, fresh = self.config, self._read()
         merged = merge(old.settings, fresh.settings)
         self.config = replace(old, board=fresh.board, boards=fresh.boards, settings=merged.settings)
@@ -170,7 +173,7 @@
         self.planner.settle(merged.settings)
 
     def stop(self) -> None:
-        """Stops polling and closes the loop."""
+        """Stops polling for discovery events and closes the event loop."""
         self.control.stop()
         self.loop.close()
 
@@ -188,29 +191,29 @@
         self.spent_ns = 0
 
     def evict(self) -> None:
-        """Fills the caches with a copy of EVICTED_BYTES and records the time taken."""
+        """Overwrites the caches by a copy that touches EVICTED_BYTES; adds the time to `spent_ns`."""
         began = time.thread_time_ns()
         self._target[:] = self._source
         self.spent_ns += time.thread_time_ns() - began
 
 
 class HollowFleet:
-    """Many hollow gateways on one thread; each is stepped when its selector is ready or a timer is due."""
+    """Hollow gateways on one thread; each runs a turn when its selector is ready or a timer is due."""
 
     def __init__(self, path: str, first: int, fallback_addresses: Sequence[str] = ()) -> None:
-        """`first` is the number in the first gateway's name; the others are numbered from there."""
+        """`first` is the number in the first gateway's name; the names of the others count up from it."""
         self._path, self._first, self._fallback_addresses = path, first, fallback_addresses
         self.gateways: list[HollowGateway] = []
         self.purges, self.changes, self.reloads = Times(), Times(), Times()
         self.eviction = CacheEviction()
-        self._ended_bookkeeping_ns = 0  # bookkeeping time of gateways that have been restarted since
+        self._ended_bookkeeping_ns = 0  # `bookkeeping_ns` of gateways that `restart` has replaced
         self._epoll = select.epoll()
         self._watched: dict[int, Callable[[], None]] = {}
         self._due_heap: list[tuple[int, int]] = []
         self._due: list[int] = []
 
     def add(self, count: int) -> None:
-        """Adds `count` gateways, each of which reads the configuration file itself."""
+        """Starts `count` more gateways, each of which reads the configuration file itself."""
         for index in range(len(self.gateways), len(self.gateways) + count):
             self.gateways.append(self._start(index))
             self._due.append(0)
@@ -237,17 +240,20 @@
             self._watch_gateway(index)
 
     def reload(self, written_us: int) -> None:
-        """Reloads every gateway's configuration file, which was written at `written_us` of time.monotonic."""
+        """Makes every gateway reload its configuration file and counts the time from its writing to that.
+
+        `written_us` is the microsecond of time.monotonic at which the file was written.
+        """
         for gateway in self.gateways:
             gateway.reload()
             self.reloads.add(written_us, time.monotonic_ns() // 1_000)
 
     def clear(self) -> None:
-        """Discards all propagation times counted so far."""
+        """Discards all propagation times of the fleet's gateways counted so far."""
         self.purges, self.changes, self.reloads = Times(), Times(), Times()
 
     def _on_applied(self, gateway: HollowGateway, event: w.Event, now_us: int) -> None:
-        """Counts the propagation time of an event that was published after the gateway's start."""
+        """Counts an event's propagation time, unless it was published before the gateway's start."""
         if isinstance(event, w.Purged):
             published_us = tagged_us(event.object or "0")
             times = self.purges
@@ -260,7 +266,7 @@
             times.add(published_us, now_us)
 
     def watch(self, descriptor: int, call: Callable[[], None]) -> None:
-        """Calls `call` whenever the descriptor is readable."""
+        """Calls `call` in `turn` whenever the file descriptor is readable."""
         self._watched[descriptor] = call
         self._epoll.register(descriptor, select.EPOLLIN)
 
@@ -271,7 +277,7 @@
         heapq.heappush(self._due_heap, (due, index))
 
     def turn(self, max_wait_ns: int) -> None:
-        """Waits up to `max_wait_ns` until a gateway is ready or due, and steps all gateways that are."""
+        """Waits up to `max_wait_ns` for gateways with ready sockets or a due timer, and steps those."""
         wait_ns = max_wait_ns
         if self._due_heap:
             wait_ns = min(max(self._due_heap[0][0] - time.monotonic_ns(), 0), max_wait_ns)
@@ -286,17 +292,17 @@
                 self._step(index)
 
     def run_alone(self) -> None:
-        """Runs the only gateway in its own loop, as a real one runs, until that loop is stopped."""
+        """Runs a fleet's only gateway in its own event loop, as a real one runs, until that loop stops."""
         (gateway,) = self.gateways
         gateway.loop.run(gateway.decide)
 
     def excluded_ns(self) -> int:
-        """Returns the thread time spent on eviction and bookkeeping, which is not a cost of the gateways."""
+        """Returns the thread time in ns of eviction and bookkeeping, to be subtracted from costs."""
         bookkeeping = sum(gateway.bookkeeping_ns for gateway in self.gateways)
         return self.eviction.spent_ns + bookkeeping + self._ended_bookkeeping_ns
 
     def close(self) -> None:
-        """Stops all gateways."""
+        """Stops all gateways of the fleet."""
         for gateway in self.gateways:
             gateway.stop()
         self._epoll.close()
--- a/benchmarks/_hollow_process.py
+++ b/benchmarks/_hollow_process.py
@@ -1,7 +1,8 @@
 """A process of hollow gateways, driven by JSON lines on standard input; each command is answered by one line.
 
-Its argument is a JSON object: `config` (a path), `first` and `count` of the gateways, `seed`, and `boards`,
-the alternative discovery addresses for when the one in the configuration fails.
+Its argument is a JSON object: `config` (path of the configuration file), `first` (number in the first
+gateway's name), `count` of gateways, `seed`, and `boards`, the addresses to poll if the
+discovery address of the configuration fails.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 class Commands:
-    """Carries out the commands that the benchmark writes to standard input."""
+    """Carries out the commands that the parent, a benchmark, writes to standard input as JSON lines."""
 
     def __init__(self, fleet: HollowFleet, seed: int) -> None:
         self.running = True
@@ -30,25 +31,25 @@
         self._buffer = b""
 
     def watch(self) -> None:
-        """Carries out commands on the gateways' own thread, between their turns."""
+        """Lets the fleet read commands on the thread of the gateways, between their turns."""
         os.set_blocking(0, False)
         self._fleet.watch(0, self._read_commands)
 
     def read(self) -> None:
-        """Carries out commands on the calling thread, while a single gateway waits in its own loop."""
+        """Reads commands on the calling thread until the input ends, while one gateway runs on another."""
         while self.running:
             self._read_commands()
         self._fleet.gateways[0].loop.running = False
 
     @staticmethod
     def write_message(message: dict[str, Any]) -> None:
-        """Writes one JSON line to standard output."""
+        """Writes a message as one JSON line to standard output, which the benchmark reads."""
         sys.stdout.write(json.dumps(message) + "\n")
         sys.stdout.flush()
 
     def _read_commands(self) -> None:
         data = os.read(0, 1 << 16)
-        if not data:  # the benchmark has ended
+        if not data:  # standard input is closed: the benchmark has ended
             self.running = False
         self._buffer += data
         *lines, self._buffer = self._buffer.split(b"\n")
@@ -97,7 +98,7 @@
     gc.collect()
     empty_mb = resident_mb()
     fleet.add(arguments["count"])
-    # The garbage collector is set as in a real gateway that has started.
+    # Sets the garbage collector as a real gateway does at its start, so that costs are comparable.
     gc.collect()
     gc.set_threshold(50_000, 20, 100)
     gc.freeze()
--- a/benchmarks/_load.py
+++ b/benchmarks/_load.py
@@ -1,4 +1,4 @@
-"""An open-loop client of the platform's protocol, for benchmarks."""
+"""Open-loop clients that send requests to a gateway by the platform's Thrift protocol, for benchmarks."""
 
 from __future__ import annotations
 
@@ -15,19 +15,24 @@
 
 @dataclass
 class Tally:
-    """Counts of requests by outcome, and of connection failures."""
+    """Counts of a load's requests by outcome, and of connection failures.
+
+    `asked` counts sent requests, `answered` those answered in any way, and `in_time` those served within the
+    target time.
+    """
 
     asked: int = 0
     in_time: int = 0
     answered: int = 0
     refused: int = 0
     closed_on: int = 0  # requests without an answer when the gateway closed their connection
-    reset: int = 0  # connections whose read failed, such as by a reset
+    reset: int = 0  # connections on which a read failed, for example after a TCP reset
     faults: int = 0  # answers whose sequence number belongs to no open request
 
 
 class Load:
-    """An open-loop load, which sends requests at scheduled times whether or not earlier ones are answered.
+    """An open-loop load on one gateway: requests are sent at scheduled times, whether or not earlier
+    ones are answered.
 
     The latency of a request counts from its scheduled time.
     """
@@ -44,7 +49,7 @@
         orders: float = 0.0,
         fresh: float = 0.0,
     ) -> None:
-        """Connects and schedules the first request.
+        """Connects to the gateway at `port` and schedules the first of `rate` requests a second.
 
         `orders` is the share of requests that are orders, each with its own body. `fresh` is the share of
         requests that use a new connection, which the client closes once the request is answered.
@@ -58,7 +63,7 @@
         self._sequence_numbers = [0] * conns
         self._socks: list[socket.socket] = []
         self._buffers = [bytearray() for _ in range(conns)]
-        self._single_use: set[int] = set()  # indexes of connections for one request only
+        self._single_use: set[int] = set()  # indexes of connections that are closed after one request
         for index in range(conns):
             self._connect(index)
         self._due = time.monotonic()
@@ -72,11 +77,11 @@
         self.world.selector.register(sock, selectors.EVENT_READ, lambda: self._read(index, sock))
 
     def _choose_connection(self) -> int:
-        """Returns the index of a connection for the next request, a new connection for the share `fresh`."""
+        """Returns the index of the connection for the next request; opens a new one for the share `fresh`."""
         usual = len(self._socks) - len(self._single_use)
         if self.random.random() >= self.fresh:
             return self.random.randrange(usual)
-        for index in sorted(self._single_use):  # reuses the index of a connection whose request is answered
+        for index in sorted(self._single_use):  # reuses the index of one whose request is answered
             if not any(connection == index for connection, _ in self._open):
                 self._close_connection(index)
                 self._connect(index)
@@ -93,7 +98,7 @@
         self._socks[index].close()
 
     def _on_closed(self, index: int, reset: bool) -> None:
-        """Counts the open requests of a connection that the gateway closed, and reconnects."""
+        """Counts the open requests of a connection that the gateway closed or reset, and opens a new one."""
         unanswered = [key for key in self._open if key[0] == index]
         for key in unanswered:
             del self._open[key]
@@ -106,7 +111,7 @@
 
     @property
     def open(self) -> int:
-        """The number of requests without an answer."""
+        """The number of requests that wait for an answer now."""
         return len(self._open)
 
     def _send_request(self) -> None:
@@ -114,7 +119,7 @@
             return
         index = self._choose_connection()
         self._sequence_numbers[index] += 1
-        rank = int(self.random.paretovariate(0.9)) % 4000  # few objects are requested often
+        rank = int(self.random.paretovariate(0.9)) % 4000  # an object number; low ones are requested often
         fields = {
             "c": "fichiers",
             "i": f"{self.random.getrandbits(64):016x}",
@@ -166,11 +171,11 @@
                 self.tally.in_time += time.monotonic() - scheduled_at <= self.aim
 
     def stop(self) -> None:
-        """Stops sending requests; answers are still read."""
+        """Stops sending requests; answers to earlier ones are still read and counted."""
         self.running = False
 
     def close(self) -> None:
-        """Closes all connections."""
+        """Closes all connections to the gateway."""
         for sock in self._socks:
             with contextlib.suppress(KeyError, ValueError):
                 self.world.selector.unregister(sock)
--- a/benchmarks/_observer.py
+++ b/benchmarks/_observer.py
@@ -1,4 +1,4 @@
-"""Checks at stand-in stores whether requests could still be answered from copies that were purged."""
+"""Checks at stand-in stores whether a gateway's reads after a purge still accept older copies."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from olivecourse.emulator.clients import Crowd, Sort
 from olivecourse.emulator.stores import Store, World, unix_ms
 
-SOCKETS_S = 0.05  # added to every time limit, because messages travel over sockets
-ROUNDING_MS = 1  # ages and times of purges are sent in whole milliseconds
+SOCKETS_S = 0.05  # added to the time allowed after a purge, for delays on sockets
+ROUNDING_MS = 1  # tolerated, because ages and times of purges are sent in whole ms
 POLL_INTERVAL_S = 0.02
 ORIGIN = "origin-1"
-HOT_OBJECTS = 20  # number of most requested objects
+HOT_OBJECTS = 20  # number of the most requested objects that `hot_names` returns
 REQUESTS_PER_S = 40.0
-MAX_WAIT_S = 3.0  # how long outstanding answers are waited for at the end
+MAX_WAIT_S = 3.0  # how long `stop` waits for answers to requests already sent
 
 
 @dataclass(frozen=True)
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class Ask:
-    """A read request at a store, which accepts copies up to `newer_ms` old, or any copy if None."""
+    """A read that a gateway sent to a store; it accepts copies up to `newer_ms` old, or any copy if None."""
 
     name: str
     at_s: float
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class Late:
-    """A read request after a purge that still accepted a copy from before the purge."""
+    """A read after a purge of its object whose age limit still admitted a copy from before the purge."""
 
     ask: Ask
     purge: Purge
@@ -53,9 +53,9 @@
 
 
 def old_copies(asks: Sequence[Ask], purges: Sequence[Purge], settles_s: float) -> list[Late]:
-    """Returns the reads that accepted a copy from before a purge while stores might still hold one.
+    """Returns the reads that accepted a copy from before a purge, up to `settles_s` after the purge.
 
-    `settles_s` after a purge the stores have dropped their copies, so that a read need not limit the age.
+    After that time stores have dropped such copies, so that a read need not limit the age.
     """
     by_name: dict[str, list[Purge]] = {}
     for purge in purges:
@@ -73,13 +73,16 @@
 
 
 def used_late(found: Sequence[Late], allowed_s: Callable[[Purge], float]) -> int:
-    """Counts the reads that came later than `allowed_s` of their purge, plus SOCKETS_S, after it."""
+    """Counts the reads among `found` that came too late after their purge.
+
+    That is later than `allowed_s(purge)` plus SOCKETS_S.
+    """
     return len({id(late.ask) for late in found if late.after_s > allowed_s(late.purge) + SOCKETS_S})
 
 
 @dataclass(eq=False)
 class StandinSite:
-    """Stand-in stores and clients of one real gateway, on a thread; records the reads at the stores."""
+    """Stand-in stores and clients of one real gateway, on a thread; `asks` are the reads at the stores."""
 
     asks: list[Ask] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)
@@ -95,7 +98,7 @@
         self._thread: threading.Thread | None = None
 
     def members(self) -> list[dict[str, Any]]:
-        """Returns the stores as the discovery service lists them."""
+        """Returns the stand-in stores in the form in which the discovery service lists stores."""
         return [
             {
                 "id": store.name,
@@ -111,7 +114,7 @@
         ]
 
     def _record_ask(self, store: Store, request: str, word: str, fields: Mapping[str, str]) -> None:
-        if store.name == ORIGIN:  # the origin never holds purged copies
+        if store.name == ORIGIN:  # reads at the origin need no check: it holds no purged copies
             return
         newer = fields.get("newer")
         self.asks.append(
@@ -127,7 +130,7 @@
         self.faults.append(f"{rule}: {words}")
 
     def serve(self, port: int, seed: int, rate: float = REQUESTS_PER_S) -> None:
-        """Lets clients send requests to the gateway at `port`, and stores answer, until `stop`."""
+        """Starts a thread that runs the stores, and clients of the gateway at `port`, until `stop`."""
         self.clients = Crowd(self.world, port, [Sort("fichiers")], rate, seed, self._record_fault)
         self._running = True
         self._thread = threading.Thread(target=self._run, daemon=True)
@@ -138,7 +141,7 @@
             self.world.run(POLL_INTERVAL_S)
 
     def stop(self) -> None:
-        """Stops the clients' requests and waits for outstanding answers."""
+        """Stops the clients' requests, waits up to MAX_WAIT_S for their answers, and ends the thread."""
         self._running = False
         if self._thread is not None:
             self._thread.join()
@@ -146,14 +149,14 @@
             self.clients.settle(MAX_WAIT_S)
 
     def ends(self) -> dict[str, int]:
-        """Counts requests by outcome: served, refused, failed, lost, unanswered."""
+        """Returns the counts of clients' requests by outcome: served, refused, failed, lost, unanswered."""
         if self.clients is None:
             return {}
         unanswered = sum(fault.startswith("unanswered") for fault in self.faults)
         return {**self.clients.ends, "lost": self.clients.lost, "unanswered": unanswered}
 
     def close(self) -> None:
-        """Ends clients and stores."""
+        """Ends the thread, and closes the connections of clients and stores."""
         if self._running:
             self.stop()
         if self.clients is not None:
@@ -162,12 +165,12 @@
 
 
 def hot_names() -> list[str]:
-    """Returns the names of the objects that clients request most often."""
+    """Returns the ids of the HOT_OBJECTS objects that the clients request most often."""
     return [f"{number:016x}" for number in range(1, HOT_OBJECTS + 1)]
 
 
 def served_share(before: Mapping[str, int], after: Mapping[str, int]) -> float | None:
-    """Returns the share of served requests among those that ended between two counts; None if none ended."""
+    """Returns the served share of the requests that ended between two results of `ends`; None without any."""
     ended = sum(after.values()) - sum(before.values())
     served = after.get("served", 0) - before.get("served", 0)
     return served / ended if ended else None
--- a/benchmarks/_processes.py
+++ b/benchmarks/_processes.py
@@ -1,4 +1,4 @@
-"""Processes that a benchmark drives by JSON lines, and the resource usage of any process."""
+"""Child processes that a benchmark drives by JSON lines, and processor time and memory of any process."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 @functools.cache
 def native() -> bool:
-    """Returns whether a compiled copy exists that was built from the current sources."""
+    """Returns whether .native/, the compiled copy of the program, was built from the current sources."""
     stamp = NATIVE / "stamp"
     return stamp.exists() and stamp.read_text() == digest()
 
 
 def native_path() -> str:
-    """Returns the PYTHONPATH of a child process: the compiled copy, if it is current, before the checkout."""
+    """Returns the PYTHONPATH for child processes: .native/, if it is current, and then the checkout."""
     return os.pathsep.join([str(NATIVE), str(ROOT)] if native() else [str(ROOT)])
 
 
@@ -39,12 +39,15 @@
 
 
 class JsonProcess:
-    """A module of `benchmarks` run as a process, which answers each command by a line with the key `done`."""
+    """A module of `benchmarks` run as a child process that reads commands from standard input.
+
+    Commands are JSON lines; it answers each by a JSON line with the key `done`.
+    """
 
     def __init__(
         self, module: str, *arguments: str, on_event: Callable[[JsonObject], None] | None = None
     ) -> None:
-        """`on_event` is called with every line that is not an answer, on a reader thread."""
+        """Starts the process; a reader thread calls `on_event` with each line that is not an answer."""
         self._on_event = on_event
         self._answers: queue.Queue[JsonObject | None] = queue.Queue()
         self.process = subprocess.Popen(
@@ -60,7 +63,7 @@
 
     @property
     def pid(self) -> int:
-        """The process id."""
+        """The id of the child process."""
         return self.process.pid
 
     def wait_started(self) -> JsonObject:
@@ -88,23 +91,23 @@
         return message
 
     def send(self, command: str, **more: Any) -> None:
-        """Writes a command; `receive_answer` returns its answer."""
+        """Writes a command to the process without waiting; `receive_answer` returns its answer."""
         assert self.process.stdin is not None
         self.process.stdin.write(json.dumps({"do": command, **more}).encode() + b"\n")
         self.process.stdin.flush()
 
     def receive_answer(self) -> JsonObject:
-        """Waits for the answer to the oldest command without one; raises ProcessLost."""
+        """Returns the answer to the oldest command not yet answered; raises ProcessLost if none comes."""
         return self._receive()
 
     def call(self, command: str, **more: Any) -> JsonObject:
-        """Writes a command and returns its answer; raises ProcessLost."""
+        """Writes a command, waits for its answer and returns that; raises ProcessLost if none comes."""
         self.wait_started()
         self.send(command, **more)
         return self._receive()
 
     def kill(self) -> None:
-        """Kills the process and closes its pipes."""
+        """Kills the child process, waits for its end and closes its pipes."""
         if self.process.poll() is None:
             self.process.kill()
         self.process.wait(30)
@@ -113,7 +116,7 @@
             if pipe is not None:
                 try:
                     pipe.close()
-                except OSError:  # buffered data cannot be written to the ended process
+                except OSError:  # closing flushes buffered data, which an ended process cannot take
                     pass
 
 
@@ -140,7 +143,10 @@
 def wait_until(
     condition: Callable[[], bool], seconds: float, description: str, interval_s: float = 0.05
 ) -> None:
-    """Waits until a condition holds; raises TimeoutError with `description` after `seconds`."""
+    """Polls `condition()` every `interval_s` until it is true; raises TimeoutError after `seconds`.
+
+    `description`, which says what did not happen, is the text of the error.
+    """
     end = time.monotonic() + seconds
     while not condition():
         if time.monotonic() > end:
--- a/benchmarks/_program.py
+++ b/benchmarks/_program.py
@@ -1,4 +1,4 @@
-"""A gateway as a process, for benchmarks and tests."""
+"""Runs a gateway as a child process and reads its log, for benchmarks and tests."""
 
 from __future__ import annotations
 
@@ -18,16 +18,17 @@
 class Gateway:
     """`python -m olivecourse serve` as a process; a thread reads its log.
 
-    The command line has an operator's file, or only `arguments` if `operator` is None.
+    `operator` is the path of an operator's configuration file; if it is None, the command line has only
+    `arguments`.
     """
 
     def __init__(
         self, operator: Path | None, *arguments: str, native: bool = False, root: Path = ROOT, **env: str
     ) -> None:
-        """Starts the process.
+        """Starts the gateway's process.
 
-        `native` selects the compiled copy, as on the platform, if it was built. `root` is the checkout to
-        run. `env` is added to the environment.
+        `native` selects the compiled modules in .native/, as on the platform, if they were built. `root` is
+        the checkout to run. `env` is added to the environment.
         """
         native = native and (ROOT / ".native" / "stamp").exists()
         command = [sys.executable, *(("-P",) if native else ()), "-m", "olivecourse", "serve"]
@@ -54,12 +55,12 @@
                 self._line_arrived.notify_all()
 
     def logged(self, event: str) -> list[dict[str, Any]]:
-        """Returns the records of an event logged so far."""
+        """Returns all log records of the event named `event` that the gateway has written so far."""
         with self._line_arrived:
             return [line for line in self.lines if line["event"] == event]
 
     def event(self, name: str, seconds: float = 20.0) -> dict[str, Any]:
-        """Waits for an event in the log and returns its first record.
+        """Waits until the gateway has logged an event and returns the first log record of it.
 
         Raises TimeoutError with the last records if the event is not logged within `seconds`.
         """
@@ -73,11 +74,11 @@
                     raise TimeoutError(f"{name} was not logged: {self.lines[-5:]}")
 
     def port(self) -> int:
-        """Waits until the gateway is ready and returns the port that it listens on."""
+        """Waits until the gateway is ready and returns the port on which it accepts clients."""
         return int(self.event("ready")["listen"].rpartition(":")[2])
 
     def resources(self) -> tuple[float, int]:
-        """Returns resident memory in MB and the number of open descriptors; zeros after the process's end."""
+        """Returns resident memory in MB and the number of open file descriptors; zeros after the end."""
         try:
             status = Path(f"/proc/{self.process.pid}/status").read_text()
             kb = next((int(line.split()[1]) for line in status.splitlines() if line.startswith("VmRSS")), 0)
@@ -86,11 +87,11 @@
             return 0.0, 0
 
     def kill(self) -> None:
-        """Ends the process by SIGKILL."""
+        """Kills the gateway's process by SIGKILL."""
         self.end(signal.SIGKILL)
 
     def end(self, number: int = signal.SIGTERM) -> int:
-        """Sends a signal if the process still runs, waits for its end and returns its exit code."""
+        """Sends a signal to the gateway if it still runs, waits for its end and returns the exit code."""
         if self.process.poll() is None:
             self.process.send_signal(number)
         code = self.process.wait(30)
--- a/benchmarks/_scale_axes.py
+++ b/benchmarks/_scale_axes.py
@@ -1,4 +1,7 @@
-"""Costs of gateways and of their poll servers as functions of sizes, with their slopes."""
+"""Measures costs of gateways and of the servers they poll as functions of a size, and fits slopes to them.
+
+The sizes are the numbers of gateways, stores, purges a second, missed events, and changes a minute.
+"""
 
 from __future__ import annotations
 
@@ -13,13 +16,17 @@
 from benchmarks._slopes import Slope, fit
 
 GATEWAYS_A_PROCESS = 128
-QUIET_S = 10.0  # how long the last events of a span may take to reach every gateway
+QUIET_S = 10.0  # how long after a measured span its last events may take to reach all gateways
 Progress = Callable[[str], None]
 
 
 @dataclass(frozen=True)
 class Effort:
-    """Length of a measured span and of the idle span before it, and the number of spans per size."""
+    """How long and how often each size is measured.
+
+    `span_s` is the length of a measured span, `calm_s` that of the idle span before, `repeats` the number of
+    measured spans per size.
+    """
 
     span_s: float
     calm_s: float
@@ -28,7 +35,7 @@
 
 @dataclass
 class Point:
-    """One measurement at one size, with costs by name; None is a cost that was not measured."""
+    """One measurement at one size: the costs by name, None for one that was not measured."""
 
     size: float
     costs: dict[str, float | None]
@@ -36,14 +43,14 @@
 
 @dataclass
 class Axis:
-    """Measurements in which only one size varies."""
+    """Repeated measurements in which only the size `name` varies."""
 
     name: str
-    fixed: dict[str, float]  # sizes that are the same at all points
+    fixed: dict[str, float]  # the other sizes by name, which are the same at all points
     points: list[Point] = field(default_factory=list)
 
     def slope(self, cost: str) -> Slope | None:
-        """Fits a cost as a function of the size.
+        """Fits the cost named `cost` as a function of the size.
 
         Returns None if there are too few measurements, or if all measured costs are equal, which gives no
         confidence interval.
@@ -58,7 +65,7 @@
             return None
 
     def row(self) -> dict[str, Any]:
-        """Returns points and slopes under their names in the results."""
+        """Returns the fixed sizes, points and slopes in the form of the benchmark's JSON results."""
         names = list(dict.fromkeys(name for point in self.points for name in point.costs))
         slopes = {name: slope.row() for name in names if (slope := self.slope(name)) is not None}
         return {
@@ -73,7 +80,10 @@
 
 
 def start_hollows(fleet: Deployment, count: int) -> list[HollowProcess]:
-    """Starts `count` more gateways at the same time, up to GATEWAYS_A_PROCESS in each process."""
+    """Starts `count` more hollow gateways and waits until they have the last event; returns their processes.
+
+    Each process runs up to GATEWAYS_A_PROCESS of them.
+    """
     path = fleet.config(MAIN)
     sizes = [GATEWAYS_A_PROCESS] * (count // GATEWAYS_A_PROCESS)
     if count % GATEWAYS_A_PROCESS:
@@ -84,9 +94,10 @@
 
 
 def costs_of(fleet: Deployment, span: Span, calm: Span) -> dict[str, float | None]:
-    """Returns processor time, memory, bytes and polls of each role.
+    """Returns costs by name, for one gateway, for the poll servers ("answerer") and for discovery.
 
-    The processor time of a gateway is that of the span less that of the idle span `calm`.
+    They are processor time in percent of a core, memory, bytes and polls. The processor time of a gateway
+    is that of the measured `span` less that of the idle span `calm`.
     """
     hollows = fleet.hollows
     count = sum(hollow.count for hollow in hollows)
@@ -111,7 +122,7 @@
 
 
 def purge_point(fleet: Deployment, size: float, rate: float, seconds: float, calm: Span) -> Point:
-    """Measures costs while purges are published at a rate, and the times until every gateway applied them."""
+    """Measures costs at one size while `rate` purges a second are published, and their propagation times."""
     before = fleet.discovery.state()["published"]
     fleet.clear()
     fleet.discovery.call("purges", rate=rate, seconds=seconds + 1.0)
@@ -144,7 +155,7 @@
 ) -> Axis:
     """Measures costs as a function of the number of gateways, adding more gateways for each size.
 
-    `prepare` may put other poll servers in front of them before the first gateway starts.
+    `prepare` is called before the first gateway starts and may replace the poll servers of the deployment.
     """
     axis = Axis("gateways", {"purges_s": rate, "stores": 70})
     with Deployment(folder, store_list(70), seed) as fleet:
@@ -169,7 +180,7 @@
     effort: Effort,
     report: Progress,
 ) -> Axis:
-    """Measures costs as a function of the number of stores in the list."""
+    """Measures costs as a function of the number of stores that discovery lists, for a fixed fleet."""
     axis = Axis("stores", {"purges_s": rate, "gateways": gateways})
     for size in sizes:
         with Deployment(folder / f"stores-{size}", store_list(size), seed) as fleet:
@@ -193,7 +204,7 @@
     effort: Effort,
     report: Progress,
 ) -> Axis:
-    """Measures costs as a function of the purges per second."""
+    """Measures costs as a function of the purges published per second, for a fixed fleet."""
     axis = Axis("purges", {"gateways": gateways, "stores": 70})
     with Deployment(folder, store_list(70), seed) as fleet:
         start_hollows(fleet, gateways)
@@ -258,8 +269,8 @@
 ) -> Axis:
     """Measures costs as a function of the configuration changes per minute.
 
-    Half of the changes are changes of a store through discovery. The other half make every gateway reload its
-    configuration file.
+    Half of the changes are changes of a store, published by discovery. The other half make every gateway
+    reload its configuration file.
     """
     axis = Axis("changes", {"gateways": gateways, "stores": stores})
     with Deployment(folder, store_list(stores), seed) as fleet:
@@ -296,7 +307,7 @@
 
 
 def reload_all(fleet: Deployment) -> None:
-    """Makes every hollow gateway reload its configuration file, in all processes at the same time."""
+    """Makes every hollow gateway reload its configuration file, in all processes at once."""
     written_us = time.monotonic_ns() // 1_000
     for hollow in fleet.hollows:
         hollow.process.send("reload", written_us=written_us)
--- a/benchmarks/_scale_backlog.py
+++ b/benchmarks/_scale_backlog.py
@@ -1,4 +1,7 @@
-"""The cost of a backlog of purges for a real gateway, while it serves requests and while it is idle."""
+"""Measures what a backlog of purges costs a real gateway, while it serves requests and while it is idle.
+
+A backlog is a number of purges that the gateway receives at once, as after a disconnection.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +26,7 @@
 
 
 def longest_turn_ms(management_port: int) -> float | None:
-    """Returns the longest turn of a gateway's event loop since its start, from its management port.
+    """Returns the longest turn of a gateway's event loop since its start, from its metrics, in ms.
 
     Returns None if the management port does not answer.
     """
@@ -41,7 +44,11 @@
 
 @dataclass
 class BulkResult:
-    """The cost of receiving a bulk of events; `seconds` is None if the gateway did not finish in time."""
+    """What it cost a gateway to receive many events at once.
+
+    `seconds` is the time until it polled for later events, None if it did not in time. `processor_s` is its
+    processor time meanwhile, `peak_mb` its largest resident memory.
+    """
 
     seconds: float | None
     processor_s: float
@@ -53,7 +60,8 @@
 ) -> BulkResult:
     """Publishes `count` purges at once and waits until the gateway polls with the revision of the last one.
 
-    The purges carry the current time, or with `per_s` times at that rate up to now.
+    The purges carry the current time or, if `per_s` is above 0, times at that rate up to now. The gateway
+    must be the only one of its group.
     """
     processor_before_s = processor_s(gateway.process.pid)
     began = time.monotonic_ns()
@@ -70,10 +78,10 @@
 
 
 def run_backlog(folder: Path, seed: int, count: int, per_s: float) -> dict[str, Any]:
-    """Lets a gateway receive a backlog of purges under a light load of requests.
+    """Lets a real gateway receive `count` purges at once under a light load of requests; returns results.
 
     The purges carry times at the rate `per_s` up to now, as if made while the gateway was disconnected.
-    With 0.0 all were made just now, so that all of them are still in force.
+    With a `per_s` of 0.0 all carry the current time, so that all of them are in force.
     """
     site = StandinSite()
     try:
@@ -87,7 +95,7 @@
             idle_mb, before_ms = resident_mb(gateway.process.pid), longest_turn_ms(management_port)
             before = site.ends()
             result = measure_bulk(fleet, gateway, REAL, count, TIMEOUT_S, per_s)
-            site.stop()  # open requests are answered or exceed their deadline
+            site.stop()  # afterwards every request has been answered or is past its deadline
             after_ms = longest_turn_ms(management_port)
             disconnected = len(gateway.logged("discovery_disconnected"))
             return {
@@ -108,9 +116,9 @@
 
 
 def run_bulks(folder: Path, seed: int, bulks: tuple[int, ...], repeats: int) -> dict[str, Any]:
-    """Measures the processor time of bulks of two sizes, less that of the idle gateway.
+    """Measures an idle gateway's processor time for `bulks` purges at once, less its processor time at rest.
 
-    Each bulk is received by a new gateway.
+    Each of these numbers of purges is received by a new gateway, `repeats` times.
     """
     processor_times: dict[int, list[float]] = {size: [] for size in bulks}
     for size in bulks:
--- a/benchmarks/_scale_capacity.py
+++ b/benchmarks/_scale_capacity.py
@@ -1,4 +1,4 @@
-"""The number of machines that answer polls at the target size, extrapolated from measured slopes."""
+"""Extrapolates the number of machines that must answer the polls of the target's gateways."""
 
 from __future__ import annotations
 
@@ -7,19 +7,21 @@
 from benchmarks._scale_axes import Axis
 
 GATEWAYS = 7_500
-CORES = 8  # cores of a machine
-LOAD = 0.5  # share of the cores in normal use; the rest is a reserve for failures of other machines
-SPARE = 1 / 3  # share of the provided machines that must remain unused
+CORES = 8  # processor cores of a machine that answers polls
+LOAD = 0.5  # share of its cores that is used normally; the rest is reserved for failures of others
+SPARE = 1 / 3  # share of the MACHINES provided that must remain unused
 MACHINES = 15
 
 
 def machines(processor_pct: float) -> float:
-    """Returns the number of machines for a processor use in percent of one core, at the load LOAD."""
+    """Returns the machines needed for a processor use given in percent of one core, at the load LOAD."""
     return processor_pct / 100 / (CORES * LOAD)
 
 
 def high_at(axis: Axis, cost: str) -> float | None:
-    """Returns an upper bound of a cost for the target's number of gateways; None without a slope.
+    """Returns an upper bound of the cost named `cost` at the target's number of gateways.
+
+    Returns None if the axis has no slope for it.
 
     If the points are a line or bend upwards, it is the upper end of the slope's interval at the target. If
     the points bend downwards, it scales the highest cost at the largest measured size in proportion to the
@@ -35,7 +37,7 @@
 
 
 def at_target(axis: Axis) -> dict[str, Any] | None:
-    """Returns the cores, bandwidth and machines for the polls of the target's gateways, at the upper bound.
+    """Returns upper bounds of the cores, bandwidth and machines for the polls of the target's gateways.
 
     Returns None without slopes.
     """
--- a/benchmarks/_scale_cost.py
+++ b/benchmarks/_scale_cost.py
@@ -1,4 +1,4 @@
-"""The control cost of a real gateway, compared in the same run with that of hollow gateways."""
+"""Compares in one run what discovery and purges cost a real gateway and hollow ones (`_hollow`)."""
 
 from __future__ import annotations
 
@@ -18,22 +18,24 @@
     "those that share one find its code warm and seldom sleep. Turns of shared ones begin with an eviction "
     "of the caches, which is left out of the cost and closes a part of the gap"
 )
-WARM_S = 1.0  # seconds of purges before the first measurement
+WARM_S = 1.0  # how long purges are published before the first measurement
 
 
 def per_gateway(loaded: float, idle: float, count: int) -> float:
-    """Returns the cost per gateway of `count` loaded gateways, less that of as many idle ones."""
+    """Returns the cost per gateway: that of `count` loaded gateways less that of `count` idle ones."""
     return (loaded - idle) / count
 
 
 def run_cost(
     folder: Path, seed: int, count: int, processes: int, stores: int, seconds: float, repeats: int
 ) -> dict[str, Any]:
-    """Measures real and hollow gateways at the target's rate of purges, less as many that receive no events.
+    """Measures the cost of real and of hollow gateways at the target's rate of purges.
+
+    The cost of as many gateways that receive no events is subtracted.
 
     `count` hollow gateways share a process. For comparison there are `processes` real gateways and as many
-    hollow ones with a process each. Those find cold caches and wake up as real ones do, and their comparison
-    shows that the classes cost the same.
+    hollow ones with a process each. These hollow ones find cold processor caches and wake up as real ones do;
+    comparing them with the real ones shows whether a hollow gateway's code costs the same.
     """
     with Deployment(folder, store_list(stores), seed) as fleet:
         reals = [fleet.real(fleet.config(REAL)) for _ in range(processes)]
@@ -106,7 +108,7 @@
 
 
 def _spread(values: list[float]) -> dict[str, float]:
-    """Returns the median, the least and the greatest value."""
+    """Returns the median, the least and the greatest of repeated measurements, by name."""
     return {
         "median": round(statistics.median(values), 4),
         "least": round(min(values), 4),
--- a/benchmarks/_scale_faults.py
+++ b/benchmarks/_scale_faults.py
@@ -1,6 +1,7 @@
-"""Faults while purges are published: restarts, a killed poll server, late answers, a cut with a backlog.
+"""Injects faults into a fleet that receives purges: restarts, late answers, a killed poll server, a cut.
 
-Meanwhile a real gateway serves requests, and stand-in stores check whether purged copies are used too late.
+Meanwhile a real gateway serves requests, and stand-in stores record whether it accepts purged copies
+too late. Gateways that are cut off from discovery receive the missed purges when they join again.
 """
 
 from __future__ import annotations
@@ -14,37 +15,36 @@
 from benchmarks._deployment import CUT, MAIN, SERVED, Deployment
 from benchmarks._observer import Purge, StandinSite, hot_names, old_copies, used_late
 
-GRACE_S, SETTLES_S = 0.3, 6.0  # the purge times of the settings
-EVERYWHERE_S = 3.1  # a purge must reach every gateway in this time, even if answers are late or missing
-DOWN_S = 0.5  # how long the poll server is dead
-LATE_SHARE, LATE_S = 0.5, 1.0  # the share of answers that are late, and their delay
-BACK_S = 1.0  # how long polls may take to resume after a fault
+GRACE_S, SETTLES_S = 0.3, 6.0  # purge_grace_ns and purge_settles_ns of the settings, in s
+EVERYWHERE_S = 3.1  # time limit for a purge to reach all gateways, even if polls are answered late
+DOWN_S = 0.5  # how long the killed poll server is down
+LATE_SHARE, LATE_S = 0.5, 1.0  # share of poll answers that are sent late, and their delay
+BACK_S = 1.0  # how long gateways may take to poll again after a fault
 HOT_EVERY = 10  # one in this many purges names an object that clients request
-CALM = "calm"  # the stage without a fault
-RESTARTED = 0.1  # the share of hollow gateways that restart
+CALM = "calm"  # name of the stage without a fault in the results
+RESTARTED = 0.1  # share of hollow gateways that restart in the restart stage
 
 
 @dataclass
 class FaultScript:
-    """Injects the faults of the run, and records them with their times."""
+    """Injects the faults of the run; `occurrences` lists them with seconds since `began`."""
 
     fleet: Deployment
     report: Callable[[str], None]
     began: float = field(default_factory=time.monotonic)
-    # Time spans in which events could not be announced in time.
+    # Spans of time.monotonic in which a published event may have been announced late because of a fault.
     disturbances: list[tuple[float, float]] = field(default_factory=list)
     occurrences: list[str] = field(default_factory=list)
 
     def record(self, occurrence: str) -> None:
-        """Records and reports an occurrence with the seconds since the start."""
+        """Adds a text to `occurrences`, with the seconds since the start, and reports it as progress."""
         self.occurrences.append(f"{time.monotonic() - self.began:.2f} {occurrence}")
         self.report(occurrence)
 
     def allowed_s(self, purge: Purge) -> float:
         """Returns how long after a purge a request may still accept an older copy.
 
-        This is the grace period, or the time for the whole fleet if the script made the answer that announces
-        the purge late or missing.
+        This is GRACE_S, or EVERYWHERE_S if a fault may have delayed the purge's announcement.
         """
         slow = any(start <= purge.at_s <= end for start, end in self.disturbances)
         return EVERYWHERE_S if slow else GRACE_S
@@ -59,7 +59,7 @@
             hollow.process.receive_answer()
 
     def late_answers(self, seconds: float) -> None:
-        """Delays half of the answers by 1 s for `seconds`."""
+        """Makes the discovery service delay half of its poll answers by 1 s, for `seconds`."""
         self.record("half of the answers are late by 1 s")
         start = time.monotonic() - GRACE_S
         self.fleet.discovery.call("late", share=LATE_SHARE, seconds=LATE_S)
@@ -69,20 +69,20 @@
         self.disturbances.append((start, time.monotonic() + LATE_S + BACK_S))
 
     def kill_poll_server(self, rate: float, seconds: float) -> None:
-        """Kills the poll server, restarts it after DOWN_S, and resumes the purges."""
+        """Kills the poll server, restarts it after DOWN_S, and publishes purges again for `seconds`."""
         self.record("the poll server is killed")
         start = time.monotonic() - GRACE_S
         self.fleet.poll_servers.kill()
         time.sleep(DOWN_S)
         self.fleet.poll_servers.restart()
         self.record("the poll server is back")
-        # Events published just before the kill are announced late.
+        # The span begins before the kill, since events published just before it are announced late too.
         self.disturbances.append((start, time.monotonic() + BACK_S))
         publish_purges(self.fleet, rate, seconds)
 
 
 def publish_purges(fleet: Deployment, rate: float, seconds: float) -> None:
-    """Starts purges at a rate, of which one in HOT_EVERY names an object that clients request."""
+    """Starts publishing `rate` purges a second; one in HOT_EVERY is of an object that clients request."""
     fleet.discovery.call("purges", rate=rate, seconds=seconds, names=hot_names(), every=HOT_EVERY)
 
 
@@ -96,7 +96,10 @@
     seconds: float,
     report: Callable[[str], None],
 ) -> dict[str, Any]:
-    """Runs all stages, each of which lasts `seconds`, and returns the results."""
+    """Runs the stages (calm and one for each fault), `seconds` each, and returns the results.
+
+    `backlog` purges are published while `cut_gateways` are cut off from discovery.
+    """
     site = StandinSite()
     try:
         with Deployment(folder, site.members(), seed) as fleet:
@@ -171,7 +174,7 @@
             "answerer killed": killed,
             "cut part joined": last,
         },
-        "all_up_to_date": True,  # wait_caught_up raises for a gateway that misses the last event
+        "all_up_to_date": True,  # otherwise wait_caught_up above has raised an exception
         "rejoined_s": round(rejoined_s, 2),
         "used_late": used_late(old, script.allowed_s),
         "used_late_by_grace_alone": used_late(old, lambda purge: GRACE_S),
@@ -184,7 +187,7 @@
 
 
 def _take_stage_times(fleet: Deployment) -> dict[str, Any]:
-    """Returns the propagation times of the stage that ends, and resets the counts for the next stage."""
+    """Returns the propagation times of purges in the stage that ends, and clears them for the next one."""
     found = fleet.times("purges").row()
     fleet.clear()
     return found
--- a/benchmarks/_scale_previous.py
+++ b/benchmarks/_scale_previous.py
@@ -1,4 +1,4 @@
-"""The build before the scale work, for comparison: the cost of its polls, and its longest turn."""
+"""Measures an earlier build of the program for comparison: the cost of its polls, its longest loop turn."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 from benchmarks._scale_backlog import measure_bulk
 
 COMMIT = "789e946"
-COMPILED_FOLDER = ROOT / ".native.previous"  # folder in which its compiled copy remains for the next run
+COMPILED_FOLDER = ROOT / ".native.previous"  # its compiled copy, which remains for the next run
 BUILD_S = 400.0
 BULK_TIMEOUT_S = 60.0
-LOGGED_WITHIN_S = 1.0  # a long turn is logged within this time of its end
+LOGGED_WITHIN_S = 1.0  # how long to wait for the log record of a long event loop turn
 
 
 @dataclass
 class PreviousBuild:
-    """The files of the earlier commit in their own folder, optionally compiled there."""
+    """The sources of the earlier commit in a folder of their own, optionally compiled there."""
 
     folder: Path
     compiled: bool = False
@@ -37,11 +37,11 @@
 
     @property
     def root(self) -> Path:
-        """The folder from which the build is imported."""
+        """The folder from which processes import the earlier build."""
         return self.folder / ".native" if self.compiled else self.folder
 
     def start_compiling(self) -> None:
-        """Starts compilation in the background, since it takes a minute of a core."""
+        """Starts compiling the build in a background process, since it takes a minute of a core."""
         if self.compiled:
             return
         self._builder = subprocess.Popen(
@@ -49,27 +49,27 @@
             cwd=self.folder,
             stdout=subprocess.DEVNULL,
             stderr=subprocess.DEVNULL,
-            start_new_session=True,  # so that `close` ends its children too, by the process group
+            start_new_session=True,  # a process group, so that `close` also kills the compiler processes
         )
 
     def wait_compiled(self) -> None:
-        """Waits for the compilation and sets `compiled` if it succeeded."""
+        """Waits for the background compilation and sets `compiled` if it succeeded."""
         if self._builder is None:
             return
         with contextlib.suppress(subprocess.TimeoutExpired):
             self.compiled = self._builder.wait(BUILD_S) == 0 and (self.folder / ".native" / "stamp").exists()
 
     def close(self) -> None:
-        """Kills a compilation that still runs."""
+        """Kills the background compilation if it still runs."""
         if self._builder is not None and self._builder.poll() is None:
             os.killpg(self._builder.pid, 9)
             self._builder.wait()
 
 
 def check_out(folder: Path) -> PreviousBuild | None:
-    """Extracts the earlier build's sources; returns None if the repository does not have that commit.
+    """Extracts the earlier build's sources into `folder`; returns None if the repository lacks its commit.
 
-    A compiled copy that is already in the folder is used again.
+    A compiled copy that an earlier run has left is used again.
     """
     if (folder / ".native" / "stamp").exists():
         return PreviousBuild(folder, compiled=True)
@@ -93,12 +93,12 @@
     effort: Effort,
     report: Callable[[str], None],
 ) -> Axis:
-    """Measures the cost of answering polls of real gateways of that build as a function of their number."""
+    """Measures the cost of answering polls of real gateways of `build` as a function of their number."""
     axis = Axis("gateways", {"purges_s": rate, "stores": 70})
     with Deployment(folder, store_list(70), seed) as fleet:
         running = list[Gateway]()
         for size in sizes:
-            # New gateways know all events so far; receiving them would add to the idle cost.
+            # New gateways start with all events so far; otherwise receiving them would add to the idle cost.
             path = fleet.config(MAIN, fleet.discovery.state()["rev"])
             added = [fleet.real(path, build.root) for _ in range(size - len(running))]
             for gateway in added:
@@ -132,16 +132,16 @@
 
 
 def longest_turn(folder: Path, seed: int, build: PreviousBuild | None, purges: int) -> dict[str, Any]:
-    """Measures how long a gateway takes to receive purges in one answer, and its longest logged turn.
+    """Measures how long a gateway takes to receive `purges` in one answer, and its longest logged loop turn.
 
-    `build` is the earlier build, or None for this one.
+    `build` is the earlier build, or None for the present one.
     """
     with Deployment(folder, store_list(70), seed) as fleet:
         gateway = fleet.real(fleet.config(REAL), None if build is None else build.root)
         gateway.port()
         processor_before_s = processor_s(gateway.process.pid)
         result = measure_bulk(fleet, gateway, REAL, purges, BULK_TIMEOUT_S)
-        # The turn is logged after the poll that shows that the purges were received.
+        # `measure_bulk` ends with a poll, and the gateway logs the long loop turn only after that.
         with contextlib.suppress(TimeoutError):
             gateway.event("loop_stalled", LOGGED_WITHIN_S)
         stalls = [line["ms"] for line in gateway.logged("loop_stalled")]
@@ -150,6 +150,6 @@
             "compiled": native() if build is None else build.compiled,
             "seconds": None if result.seconds is None else round(result.seconds, 3),
             "processor_s": round(processor_s(gateway.process.pid) - processor_before_s, 3),
-            # Turns under 600 ms are not logged.
+            # None if no turn of the event loop took 600 ms, as shorter ones are not logged.
             "longest_logged_turn_ms": max(stalls, default=None),
         }
--- a/benchmarks/_scale_relays.py
+++ b/benchmarks/_scale_relays.py
@@ -1,4 +1,7 @@
-"""Relays between the stand-in discovery service and hollow gateways: costs, a kill, two levels, a backlog."""
+"""Measures relays, which poll the discovery service and answer the polls of gateways in its place.
+
+Measured are their cost, a killed relay, two levels of relays, and a backlog of purges, with hollow gateways.
+"""
 
 from __future__ import annotations
 
@@ -18,20 +21,24 @@
 from benchmarks._scale_capacity import CORES, GATEWAYS, LOAD, at_target
 from olivecourse.relay.responses import answer_head
 
-UPSTREAM_GROUP = "relay upstream"  # the group name of the port at which relays poll the discovery service
+UPSTREAM_GROUP = "relay upstream"  # name of the discovery service's port that relays poll
 READY_TIMEOUT_S = 20.0
 BACKLOG_TIMEOUT_S = 120.0
-KILL_AFTER_S = 1.0  # seconds of purges before the kill
-STARTUP_EVENTS = ("ready", "relay_list_known")  # events that every relay logs at its start
-REGIONS = 23  # regions of the target
-RELAYS_A_REGION = 2  # so that gateways have another relay if one fails
+KILL_AFTER_S = 1.0  # how long purges are published before a relay is killed
+STARTUP_EVENTS = ("ready", "relay_list_known")  # log events of every relay's start, left out of the results
+REGIONS = 23  # number of regions in the target deployment
+RELAYS_A_REGION = 2  # two, so that gateways have another relay if one fails
 
 
 class Relay:
     """`olivecourse serve --role relay` as a process."""
 
     def __init__(self, folder: Path, name: str, upstreams: Sequence[str], reports: bool) -> None:
-        """Starts the process; with `reports` its upstreams are relays, which get its low-water mark."""
+        """Starts the relay; it polls `upstreams`, the addresses of discovery or of relays.
+
+        With `reports` these are relays, to which it reports its low-water mark: the
+        highest event number that all gateways polling it have received.
+        """
         path = folder / f"{name}.yaml"
         section = {
             "listen": "127.0.0.1:0",
@@ -48,7 +55,7 @@
 
     @property
     def alive(self) -> bool:
-        """Whether the process runs."""
+        """Whether the relay's process still runs."""
         return self.gateway.process.poll() is None
 
     def address(self) -> str:
@@ -56,14 +63,14 @@
         return f"127.0.0.1:{self.gateway.port()}"
 
     def status(self) -> JsonObject:
-        """Returns the status that the relay reports over HTTP."""
+        """Returns the JSON status (counters, waiting polls and more) that the relay reports over HTTP."""
         with urllib.request.urlopen(f"http://{self.address()}/relay/status?behind=0", timeout=20) as answer:
             found: JsonObject = json.load(answer)
         return found
 
 
 class Relays:
-    """Relays as the poll servers of gateways, which poll the first relay and the others if it fails."""
+    """Relays that gateways poll: the first of `relays` and, if it fails, the others."""
 
     def __init__(
         self,
@@ -73,7 +80,7 @@
         upstream_relays: Sequence[Relay] = (),
         name: str = "relay",
     ) -> None:
-        """Starts `count` relays, which poll the relays of `upstream_relays` or else the discovery service."""
+        """Starts `count` relays; they poll `upstream_relays` or, without any, the discovery service."""
         self._discovery, self.upstream_relays = discovery, list(upstream_relays)
         upstreams = [relay.address() for relay in upstream_relays] or [discovery.address(UPSTREAM_GROUP)]
         self.relays = [
@@ -90,17 +97,18 @@
         return [relay.pid for relay in (*self.upstream_relays, *self.relays) if relay.alive]
 
     def kill(self) -> None:
-        """Kills the first relay, which half of the gateways or all of them poll."""
+        """Kills the first of `relays`, which half of the gateways or all of them poll."""
         self.relays[0].gateway.kill()
 
     def restart(self) -> None:
         """Does nothing: a killed relay stays dead, because gateways have another one."""
 
     def traffic(self) -> dict[str, JsonObject]:
-        """Returns polls and bytes at the relays and at their upstream port, partly by calculation.
+        """Returns polls and bytes at the relays (MAIN) and at the port that they poll (UPSTREAM_GROUP).
 
-        Relays count polls, answers and the bytes of bodies. Response heads are added by their length. The
-        size of a gateway's request is taken from the relays' own polls, which differ only in the revision.
+        Relays count polls, answers and the bytes of answers' bodies; the bytes of response heads and of polls
+        are calculated. A gateway's poll is taken to be as long as the relays' own polls, which differ from it
+        only in the revision.
         """
         upstream: JsonObject = self._discovery.state()["ports"][UPSTREAM_GROUP]
         counters = [relay.status()["counters"] for relay in self.relays if relay.alive]
@@ -125,7 +133,7 @@
     """
     added = Relays(fleet.folder, fleet.discovery, count, name="upper" if levels == 2 else "relay")
     if levels == 2:
-        fleet.poll_servers = added  # so that the deployment ends them after an exception
+        fleet.poll_servers = added  # so that the deployment also ends these relays if an exception follows
         added = Relays(fleet.folder, fleet.discovery, count, added.relays, "lower")
     fleet.poll_servers = added
     for relay in added.relays:
@@ -147,11 +155,11 @@
 def run_relay_killed(
     folder: Path, seed: int, gateways: int, rate: float, seconds: float, levels: int
 ) -> dict[str, Any]:
-    """Publishes purges through two relays per level, without a fault and then while a relay is killed."""
+    """Measures purges through two relays on each of `levels`, without a fault and with a killed relay."""
     with Deployment(folder, store_list(70), seed) as fleet:
         relays = add_relays(fleet, 2, levels)
         first = fleet.hollow(gateways // 2)
-        relays.relays.reverse()  # the other half prefers the other relay
+        relays.relays.reverse()  # so that the other half of the gateways polls the other relay first
         fleet.hollow(gateways - first.count)
         fleet.wait_connected()
         calm = _stage(fleet, rate, seconds)
@@ -182,12 +190,12 @@
 
 
 def _logged(fleet: Deployment) -> list[str]:
-    """Returns the first lines that hollow gateways logged."""
+    """Returns the first eight log lines of the deployment's hollow gateways."""
     return [line for hollow in fleet.hollows for line in hollow.process.call("state")["logged"]][:8]
 
 
 def wait_until_counted(relay: Relay, gateways: int) -> int:
-    """Waits until all gateways poll the relay, and returns the number of polls that wait there."""
+    """Waits until `gateways` polls wait at the relay for new events, and returns their number."""
     wait_until(
         lambda: relay.status()["watchers"]["waiting"] >= gateways,
         READY_TIMEOUT_S,
@@ -200,7 +208,10 @@
 def _stage(
     fleet: Deployment, rate: float, seconds: float, killed_relays: Relays | None = None
 ) -> dict[str, Any]:
-    """Publishes purges for `seconds`, kills a relay of `kill` meanwhile, and waits for all gateways."""
+    """Publishes purges for `seconds` and returns their propagation times once all gateways have them.
+
+    With `killed_relays` the first of these relays is killed meanwhile.
+    """
     published = fleet.discovery.state()["published"]
     fleet.clear()
     fleet.discovery.call("purges", rate=rate, seconds=seconds)
@@ -210,7 +221,7 @@
         time.sleep(seconds - min(KILL_AFTER_S, seconds / 2))
     else:
         time.sleep(seconds)
-    time.sleep(0.2)  # the last purge has been published by then
+    time.sleep(0.2)  # after this time the last purge has been published
     published = fleet.discovery.state()["published"] - published
     for hollow in fleet.hollows:
         fleet.wait_caught_up(hollow)
@@ -220,7 +231,10 @@
 
 
 def run_relay_backlog(folder: Path, seed: int, count: int, per_s: float, repeats: int) -> dict[str, Any]:
-    """Measures a relay that receives a backlog, and gateways that connect later with only the first event."""
+    """Measures a relay that receives `count` purges at once, and gateways that start afterwards.
+
+    These gateways have only the first event, so that the relay's answer to each holds the whole backlog.
+    """
     with Deployment(folder, store_list(70), seed) as fleet:
         (relay,) = add_relays(fleet, 1).relays
         fleet.hollow(1).process.wait_started()  # as in operation, a poll waits at the relay
@@ -260,7 +274,7 @@
     took_ms = 1_000 * (time.monotonic() - began)
     after = relay.status()["counters"]
     return {
-        "bytes": after["bytes"] - before["bytes"],  # the other gateway has received its answer before
+        "bytes": after["bytes"] - before["bytes"],  # the answers to the new gateway
         "until_ms": round(took_ms, 1),
         "relay_processor_ms": round(1_000 * (processor_s(relay.pid) - processor_before_s), 2),
     }
@@ -268,15 +282,15 @@
 
 @dataclass(frozen=True)
 class Regions:
-    """The relays of the target if each region has its own."""
+    """The relays of the target deployment if each of its REGIONS has RELAYS_A_REGION of its own."""
 
-    gateways: int  # gateways of a region, all of which poll one relay while the other is dead
-    pct_high: float  # use of that relay in percent of a core, upper bound
+    gateways: int  # gateways of a region; all poll one relay while the other is down
+    pct_high: float  # upper bound of that relay's processor use, in percent of a core
     processes: int
     cores_high: float
 
     def row(self) -> dict[str, Any]:
-        """Returns the figures under their names in the results."""
+        """Returns the figures under the names that they have in the benchmark's JSON results."""
         return {
             "regions": REGIONS,
             "gateways_a_region": self.gateways,
@@ -289,9 +303,9 @@
 
 
 def by_regions(axis: Axis) -> Regions | None:
-    """Returns the cost of two relays per region for the target's gateways, at the upper end of the slope.
+    """Returns an upper bound of what two relays per region cost for the target's gateways.
 
-    Returns None without a slope.
+    It uses the upper end of the slope's interval; returns None if `axis` has no slope.
     """
     slope = axis.slope("answerer_pct")
     if slope is None:
@@ -315,7 +329,8 @@
 ) -> dict[str, Any]:
     """Runs all relay measurements.
 
-    Empty `sizes` leave out the axis; a `backlog` of 0 leaves out the backlog and the two levels of relays.
+    `sizes` are the numbers of gateways behind one relay; if empty, `relay_axis` is left out. A `backlog` of 0
+    leaves out the backlog of purges and the two levels of relays.
     """
     axis = relay_axis(folder / "relay-axis", seed, sizes, rate, effort, report) if sizes else None
     killed = list[dict[str, Any]]()
--- a/benchmarks/_slopes.py
+++ b/benchmarks/_slopes.py
@@ -14,14 +14,14 @@
 from numpy.typing import NDArray
 from scipy import stats
 
-MIN_SIZES = 4  # different sizes
-MIN_SIZE_FACTOR = 16.0  # between the smallest and the largest size
-MIN_REPEATS = 3  # measurements at each size
+MIN_SIZES = 4  # fewest different sizes that may be fitted
+MIN_SIZE_FACTOR = 16.0  # least ratio of the largest to the smallest size
+MIN_REPEATS = 3  # fewest measurements at each size
 CONFIDENCE = 0.95  # level of every confidence interval
-SIGNIFICANCE = 0.05  # level of the test of the quadratic term
-MAX_BEND = 0.05  # share of the largest cost; a smaller distance between line and parabola counts as a line
-MAX_RESIDUAL = 0.25  # share of a measured cost by which a point may differ from the line
-MIN_COST_SHARE = 0.01  # share of the mean cost; the residual of a smaller cost is related to this much
+SIGNIFICANCE = 0.05  # significance level at which a quadratic term counts as present
+MAX_BEND = 0.05  # a fitted parabola closer to the line, as a share of the largest cost, counts as a line
+MAX_RESIDUAL = 0.25  # a point that differs more from the line, as a share of its cost, means: no line
+MIN_COST_SHARE = 0.01  # residuals are divided by the cost, but at least by this share of the mean cost
 
 Points = Sequence[tuple[float, float]]
 Values = NDArray[numpy.float64]
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Estimate:
-    """An estimated cost at a size, with the 95 % interval of its mean.
+    """An estimated cost at a size, with the 95 % confidence interval of its mean (`low` to `high`).
 
     `beyond` is the size divided by the largest measured size.
     """
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """An ordinary least-squares line through the points' centroid, with half-widths of its intervals."""
+    """An ordinary least-squares line, with the half-widths of its 95 % confidence intervals."""
 
     mean_x: float
     mean_y: float
@@ -92,7 +92,7 @@
         return Estimate(math.exp(height), math.exp(height - half), math.exp(height + half), beyond)
 
     def row(self) -> dict[str, float | int | bool | None]:
-        """Returns the slope under the names that it has in the results."""
+        """Returns the fit under the names that it has in the benchmarks' JSON results."""
         return {
             "fixed": rounded(self.fixed),
             "slope": rounded(self.slope),
@@ -180,12 +180,12 @@
 def _residual_share(costs: Values, fitted: Values) -> float:
     min_cost = MIN_COST_SHARE * float(numpy.abs(costs).mean())
     if min_cost == 0.0:
-        return 0.0  # all costs are zero
+        return 0.0  # all costs are zero, and the line fits them exactly
     return float((numpy.abs(costs - fitted) / numpy.maximum(numpy.abs(costs), min_cost)).max())
 
 
 def _bends(sizes: Values, costs: Values, line: Line) -> bool:
-    """Returns whether a quadratic term is significant and bends the line by more than MAX_BEND."""
+    """Returns whether the points are bent: a fitted quadratic term is significant and exceeds MAX_BEND."""
     scaled = sizes / sizes.max()
     columns = numpy.vander(scaled, 3)
     terms, *_ = numpy.linalg.lstsq(columns, costs, rcond=None)
--- a/benchmarks/_staff.py
+++ b/benchmarks/_staff.py
@@ -1,4 +1,4 @@
-"""One site with stand-in stores and a gateway that has a management port, for benchmarks."""
+"""A site for benchmarks: stand-in stores and one gateway with a management port, on loopback."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 
 def free_port() -> int:
-    """Returns a loopback port that is free at the moment."""
+    """Returns the number of a loopback TCP port that no process listens on at the moment."""
     with socket.create_server(("127.0.0.1", 0)) as sock:
         return int(sock.getsockname()[1])
 
 
 class GatewaySite:
-    """Four edge stores, a parent and an origin, with one gateway that may run as several processes."""
+    """Four edge stores, a parent and an origin, and the processes of one gateway (two during an upgrade)."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.port = folder, free_port()
@@ -63,9 +63,9 @@
         )
 
     def start(self, tmpdir: str = "tmp") -> Gateway:
-        """Starts a process and sets its attribute `management_port`.
+        """Starts a gateway process and sets its attribute `management_port`.
 
-        Processes with the same `tmpdir` are one gateway.
+        Processes with the same `tmpdir` (their `$TMPDIR`) are one gateway, and hand over to the next one.
         """
         (self.folder / tmpdir).mkdir(exist_ok=True)
         management_port = free_port()
@@ -83,7 +83,7 @@
     def call(
         self, gateway: Gateway, method: str, path: str, body: str | None = None
     ) -> tuple[int, str, float]:
-        """Calls the management port; returns HTTP status, body and the seconds taken.
+        """Calls the management port of `gateway`; returns HTTP status, body and the seconds taken.
 
         The status is 0 if there is no answer within 2 s. The stand-ins do not run during the call.
         """
@@ -99,7 +99,7 @@
             connection.close()
 
     def wait_ready(self, gateway: Gateway, seconds: float = 10.0) -> float:
-        """Runs the stand-ins until the process reports ready; returns the seconds it took.
+        """Runs the stand-in stores until the gateway process reports ready; returns the seconds it took.
 
         Raises TimeoutError if it does not within `seconds`.
         """
@@ -113,7 +113,7 @@
 
 @contextmanager
 def killed_at_exit(gateways: list[Gateway]):
-    """Kills the gateways of the list at the end of the block, also after an exception."""
+    """A context manager that kills the listed gateways at the end of its block, also after an exception."""
     try:
         yield gateways
     finally:
--- a/olivecourse/emulator/clients.py
+++ b/olivecourse/emulator/clients.py
@@ -81,7 +81,7 @@
         return len(self._open_requests)
 
     def asset(self) -> str:
-        """Draws an object id of 16 hex digits from a Pareto distribution: low numbers are most frequent."""
+        """Draws an object id (16 hex digits), Pareto-distributed: low numbers are the most frequent."""
         return f"{min(int(self.random.paretovariate(0.9)), self._objects):016x}"
 
     def _connect(self, i: int) -> None:
--- a/olivecourse/emulator/stores.py
+++ b/olivecourse/emulator/stores.py
@@ -83,7 +83,7 @@
             self.held.popitem(last=False)
 
     def load(self) -> str:
-        """The load report answers carry in field `l`: NAME:VALUE for each of `reports`, joined by ";"."""
+        """The load report in field `l` of answers: NAME:VALUE for each of `reports`, joined by ";"."""
         values = {"inflight": self.open, "util": min(self.open / 16, 1.0)}
         return ";".join(f"{name}:{values.get(name, 0.5):g}" for name in self.reports)
 
