--- a/benchmarks/_standin_discovery.py
+++ b/benchmarks/_standin_discovery.py
@@ -1,9 +1,9 @@
-"""A stand-in of the platform's discovery service for benchmarks: numbered events over HTTP/1.1 long polls.
+"""A stand-in of the platform's discovery service: gateways get numbered events by HTTP/1.1 long polls.
 
-Run as `python -m benchmarks._standin_discovery STATE`, it is driven by JSON lines on standard input, and
-answers each by one line on standard output. It is one process with one epoll; an answer is encoded once for
-all polls that wait at the same revision. Every event is appended to the file STATE before it is announced,
-and the file is read at the next start, so that revisions continue after a kill.
+Run as `python -m benchmarks._standin_discovery STATE`, it is driven by commands, JSON lines on standard
+input, and answers each by one line on standard output. It is one process with one epoll; an answer is encoded
+once for all polls that wait at the same revision. Every event is appended to the file STATE before it is
+announced, and the file is read at the next start, so that revisions continue after a kill.
 """
 
 from __future__ import annotations
@@ -27,35 +27,38 @@
 MAX_HEAD_BYTES = 8_192
 BACKLOG = 4_096
 READ, WRITE = select.EPOLLIN, select.EPOLLOUT
-TAG_BITS = 48  # bits of a purged object's name that hold the microsecond of time.monotonic of its publication
+TAG_BITS = 48  # bits of a purged object's name that hold its publication time: time.monotonic in us
 SERIAL_BITS = 16
 MAX_CACHED_BYTES = 1 << 16  # answers up to this length are cached for other polls at the same revision
 
 
 def tag(monotonic_ns: int, serial: int) -> str:
-    """Returns an object's name that encodes when its purge is published."""
+    """Returns a name for a purged object that encodes when its purge is published, and a serial number."""
     stamp = monotonic_ns // 1_000 % (1 << TAG_BITS)
     return f"{stamp:012x}{serial % (1 << SERIAL_BITS):04x}"
 
 
 def tagged_us(name: str) -> int:
-    """Returns the microsecond of time.monotonic that `tag` encoded in a name."""
+    """Returns the time of publication, in microseconds of time.monotonic, that `tag` encoded in a name."""
     return int(name[:12], 16)
 
 
 def purge(name: str, age_ms: int = 0) -> bytes:
-    """Encodes the part of an event that purges an object, with the Unix time of `age_ms` ago."""
+    """Encodes the body of an event that purges the object `name`, as if purged `age_ms` ago (Unix time)."""
     return b'"flush":{"asset":"%s","ms":%d}' % (name.encode(), time.time_ns() // 1_000_000 - age_ms)
 
 
 def pool_change(member: dict[str, Any]) -> bytes:
-    """Encodes the part of an event that changes one store; its revision is the time of publication in us."""
+    """Encodes the body of an event that changes one store of the list.
+
+    The list's revision in it is the time of publication, in us of time.monotonic, to measure propagation.
+    """
     pool = {"revision": time.monotonic_ns() // 1_000, "complete": False, "members": [member]}
     return b'"pool":' + json.dumps(pool, separators=(",", ":")).encode()
 
 
 class History:
-    """The numbered events, each encoded once, and appended to a file if a path is given."""
+    """All numbered events since revision 1, each encoded once; with a path they are also kept in a file."""
 
     def __init__(self, path: str | None = None) -> None:
         self.events: list[bytes] = []
@@ -63,7 +66,7 @@
         self._cached: dict[int, bytes] = {}
         if path is not None:
             with contextlib.suppress(FileNotFoundError), open(path, "rb") as file:
-                # A line without a line end was being written when the process died, and was not announced.
+                # An event without a line end was never announced: the process died while writing it.
                 self.events = [line[:-1] for line in file if line.endswith(b"\n")]
             self._file = os.open(path, os.O_WRONLY | os.O_CREAT)
             os.ftruncate(self._file, sum(len(event) + 1 for event in self.events))
@@ -75,7 +78,7 @@
         return len(self.events)
 
     def append(self, parts: Sequence[bytes]) -> None:
-        """Numbers encoded events and appends them."""
+        """Appends events, whose bodies are given encoded, with the next revisions."""
         first = self.rev + 1
         encoded_events = [b'{"rev":%d,%s}' % (first + offset, part) for offset, part in enumerate(parts)]
         if self._file >= 0:
@@ -84,7 +87,7 @@
         self._cached.clear()
 
     def answer(self, watch: int) -> bytes:
-        """Returns the complete HTTP response for a poll that has all events up to `watch`."""
+        """Returns the complete HTTP response to a poll of a gateway that has all events up to `watch`."""
         cached = self._cached.get(watch)
         if cached is not None:
             return cached
@@ -96,27 +99,30 @@
         return response
 
     def close(self) -> None:
-        """Closes the file."""
+        """Closes the file of events, if there is one."""
         if self._file >= 0:
             os.close(self._file)
 
 
 @dataclass(slots=True)
 class Traffic:
-    """Counts of polls, answers, bytes and connections at one port."""
+    """Counts since the start of polls, answers, bytes and connections at one port of the service."""
 
     polls: int = 0
     answers: int = 0
     bytes_in: int = 0
     bytes_out: int = 0
     connections: int = 0
-    watch: int = -1  # the highest revision that a poll has sent; `watch_at_ns` is when it was first sent
+    watch: int = -1  # highest revision in a poll so far, first received at `watch_at_ns`
     watch_at_ns: int = 0
 
 
 @dataclass(eq=False, slots=True)
 class Port:
-    """An address that gateways poll; a muted port announces no events, a cut port accepts no connections."""
+    """A port of the service that gateways poll.
+
+    A muted port answers polls without events; a cut port accepts no connections.
+    """
 
     name: str
     muted: bool
@@ -128,19 +134,19 @@
 
 @dataclass(eq=False, slots=True)
 class Connection:
-    """A gateway's connection, with the state of its poll and of the answer that is being sent."""
+    """A gateway's connection: bytes received of the next poll, and bytes of an answer still to be sent."""
 
     port: Port
     sock: socket.socket
     inbox: bytes = b""
-    waits_at: int = -1  # the revision that the last poll has, or -1 before the first poll
-    poll: int = 0  # number of polls received
-    late: bool = False  # meant for an answer that is held back; never set
+    waits_at: int = -1  # the revision in the last poll, -1 before the first poll
+    poll: int = 0  # number of polls received on the connection
+    late: bool = False  # unused: meant for a connection whose answer is held back
     outbox: memoryview | None = None
 
 
 class DiscoveryService:
-    """An HTTP server that answers polls on any number of ports from one history of events."""
+    """The stand-in's HTTP server: answers polls on any number of ports from one history of events."""
 
     def __init__(self, history: History, seed: int = 1) -> None:
         self.history = history
@@ -158,7 +164,7 @@
     # Ports -----------------------------------------------------------------------------------------
 
     def open_port(self, name: str, number: int = 0, muted: bool = False) -> int:
-        """Listens on a loopback port, or on any free one if `number` is 0, and returns its number."""
+        """Listens on loopback port `number` (0: any free one) for the group `name`; returns its number."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind(("127.0.0.1", number))
@@ -173,7 +179,7 @@
         self.watch(port.sock.fileno(), READ, lambda mask: self._accept(port))
 
     def cut(self, name: str) -> None:
-        """Closes a port and its connections; new ones are refused until `join`."""
+        """Closes the port `name` and its connections, so that new ones are refused until `join`."""
         port = self.ports[name]
         if port.cut:
             return
@@ -184,7 +190,7 @@
             self._close_connection(connection)
 
     def join(self, name: str) -> None:
-        """Opens a port again that was cut."""
+        """Opens the port `name` again, on the same number, after `cut`."""
         port = self.ports[name]
         if not port.cut:
             return
@@ -197,7 +203,7 @@
     # Events ----------------------------------------------------------------------------------------
 
     def publish(self, parts: Sequence[bytes]) -> None:
-        """Appends events to the history and answers all waiting polls of ports that are not muted."""
+        """Appends events (encoded bodies) to the history, and answers waiting polls on ports not muted."""
         self.history.append(parts)
         for connection in [c for c in self._waiting if not c.port.muted]:
             self._answer(connection)
@@ -205,17 +211,17 @@
     # The loop --------------------------------------------------------------------------------------
 
     def at(self, when: float, call: Callable[[], None]) -> None:
-        """Schedules a call at a moment of time.monotonic."""
+        """Schedules one call of `call` at `when`, a time of time.monotonic in seconds."""
         self._timer_serial += 1
         heapq.heappush(self._timers, (when, self._timer_serial, call))
 
     def watch(self, descriptor: int, mask: int, call: Callable[[int], None]) -> None:
-        """Calls `call` with the ready events whenever the descriptor is ready for any of `mask`."""
+        """Calls `call` with the ready epoll events whenever the descriptor is ready for one in `mask`."""
         self._watched[descriptor] = call
         self._epoll.register(descriptor, mask)
 
     def forget(self, descriptor: int) -> None:
-        """Stops watching a descriptor."""
+        """Stops watching a file descriptor."""
         self._watched.pop(descriptor, None)
         with contextlib.suppress(OSError):
             self._epoll.unregister(descriptor)
@@ -236,7 +242,7 @@
             heapq.heappop(self._timers)[2]()
 
     def close(self) -> None:
-        """Closes all connections, ports and the history."""
+        """Closes all connections and ports, and the file of the history."""
         for connection in list(self._connections.values()):
             self._close_connection(connection)
         for port in self.ports.values():
@@ -348,7 +354,7 @@
 
 
 class PurgeSource:
-    """Publishes purges at an even rate, some of them of objects that clients request."""
+    """Publishes purges at a constant rate: most of unique names by `tag`, some of requested objects."""
 
     def __init__(self, service: DiscoveryService, on_named_purge: Callable[[str, int, int], None]) -> None:
         """`on_named_purge(name, monotonic ns, Unix ms)` is called for each purge of a requested object."""
@@ -360,7 +366,10 @@
         self.published = 0
 
     def start(self, rate: float, seconds: float, names: Sequence[str] = (), every: int = 0) -> None:
-        """Publishes `rate` purges a second for `seconds`; each `every`-th purges one of `names`, in turn."""
+        """Publishes `rate` purges a second for `seconds`, instead of any earlier ones.
+
+        Each `every`-th purge is of one of `names`, in turn, which are objects that clients request.
+        """
         self._rate, self._names, self._every = rate, list(names), every
         self._due = time.monotonic()
         self._until = self._due + seconds
@@ -369,7 +378,7 @@
         self._service.at(self._due, lambda: self._next(run))
 
     def stop(self) -> None:
-        """Stops publishing."""
+        """Stops publishing purges."""
         self._run += 1
 
     def _next(self, run: int) -> None:
@@ -397,7 +406,7 @@
 
 
 class Commands:
-    """Carries out the commands that the benchmark writes to standard input, one JSON object a line."""
+    """Carries out the commands that the parent, a benchmark, writes to standard input as JSON lines."""
 
     def __init__(self, service: DiscoveryService) -> None:
         self._service = service
@@ -416,7 +425,7 @@
 
     def _ready(self, mask: int) -> None:
         data = os.read(0, 1 << 20)
-        if not data:  # the benchmark has ended
+        if not data:  # standard input is closed: the benchmark has ended
             self._service.running = False
         self._buffer += data
         *lines, self._buffer = self._buffer.split(b"\n")
@@ -449,7 +458,10 @@
         return self._state()
 
     def _backlog(self, count: int, per_s: float) -> None:
-        """Publishes purges at once, as if made at the rate `per_s` up to now; with 0.0 all are made now."""
+        """Publishes `count` purges at once, with times as if made at the rate `per_s` up to now.
+
+        With a `per_s` of 0.0 all carry the current time.
+        """
         now = time.monotonic_ns()
         gap_ms = 1_000 / per_s if per_s else 0.0
         self._service.publish(
@@ -470,7 +482,7 @@
 
 
 def main(path: str | None) -> None:
-    """Runs the service until standard input is closed; `path` is the file of events."""
+    """Runs the service until standard input is closed; `path` is the file that keeps the events."""
     service = DiscoveryService(History(path))
     Commands(service)
     Commands._write_message({"started": True, "rev": service.history.rev})
--- a/benchmarks/_virtual_agreement.py
+++ b/benchmarks/_virtual_agreement.py
@@ -1,4 +1,6 @@
-"""The load of each role in the rollout agreement, for a fleet of any size, in virtual time and without I/O.
+"""Simulates the rollout agreement of a fleet of any size, in virtual time and without I/O.
+
+It measures the load of a node of each role: coordinator, other voting member, node that does not vote.
 
 Every node runs the program's own `Member`, `Agent` and `Wire`; messages are encoded and signed as on the
 network. Left out entirely: sockets, the disk, and `RolloutPart`, which connects them to the gateway
@@ -33,33 +35,33 @@
 from olivecourse.rollout.wire import Keys, Wire
 
 MS, S = 1_000_000, 1_000_000_000
-TICK_NS = 20 * MS  # as in rollout/part.py
+TICK_NS = 20 * MS  # interval of the nodes' ticks, as in rollout/part.py
 EPOCH_NS = 1_700_000_000 * S
-MAX_DELIVERY_NS = 15 * MS  # longest delivery time of a datagram
+MAX_DELIVERY_NS = 15 * MS  # longest simulated delivery time of a datagram
 POLL_NS = 4 * AGAIN_NS  # interval of the polls of a node that does not vote, see `Register._rejoin`
-SAMPLE = 12  # ordinary nodes that run every tick and are measured
+SAMPLE = 12  # number of nodes without a vote that run every tick and are measured
 SITE_GATEWAYS = 16  # 7,500 gateways at 470 sites
 STORES, FIRST_STORE, ZONE_STORES = "stores:zone", 100_000, 24  # 1,100 stores in 46 zones
 VERSION, LIFE = "v1", 1
-CHECK_INTERVAL_NS = 100 * MS  # interval of the checks of which nodes know a change
-MAX_PERIODS = 4  # heartbeat periods within which all nodes must know a change
+CHECK_INTERVAL_NS = 100 * MS  # how often `spread` checks which nodes know the change
+MAX_PERIODS = 4  # `spread` waits so many heartbeat periods until all nodes know the change
 
 
 @dataclass
 class Meter:
-    """Processor time and datagrams of one node since the last reset."""
+    """Processor time and datagrams of one node since its measurement began."""
 
     cpu_ns: int = 0
     sent: int = 0
     sent_bytes: int = 0
     received: int = 0
     received_bytes: int = 0
-    recalls: int = 0  # received datagrams that are polls
+    recalls: int = 0  # received datagrams that are polls by nodes without a vote
 
 
 @dataclass
 class Node:
-    """One gateway of the fleet, with the datagrams that it has not handled yet."""
+    """One simulated gateway; `inbox` holds the datagrams delivered to it since its last tick."""
 
     number: int
     member: Member
@@ -71,7 +73,7 @@
 
 @dataclass(frozen=True)
 class Load:
-    """The load per second of one node of a role: datagrams, KB and milliseconds of processor time.
+    """The load per second of one node, the mean of a role: datagrams, KB and ms of processor time.
 
     `recalls_in` counts the received datagrams that are polls by nodes that do not vote.
     """
@@ -86,10 +88,11 @@
 
 @dataclass(frozen=True)
 class Spread:
-    """The propagation of one change through the fleet.
+    """The propagation of one change (the drain of a store) through the fleet.
 
-    `granted_s` is the time from the request to the majority's decision. The other times are from the
-    decision until nodes know it; `max_s` is None if some node does not within four heartbeat periods.
+    `granted_s` is the time from the request to the decision of the voting members' majority. The other times
+    are from the decision until nodes know it; `max_s` is None if some node does not within four heartbeat
+    periods.
     `datagrams` counts those that all nodes sent, `member_datagrams` those that a voting member sent on
     average.
     """
@@ -103,9 +106,9 @@
 
 
 class Fleet:
-    """A simulated fleet, of which the first `members` nodes vote.
+    """A simulated fleet of `nodes` gateways, of which the first `members` vote.
 
-    `registers` is the number of groups whose lease tables every node knows from the start.
+    `registers` is the number of groups (sites) whose lease tables every node knows from the start.
     """
 
     def __init__(self, nodes: int, members: int, seed: int, registers: int = 0) -> None:
@@ -136,7 +139,8 @@
         random = Random(self.random.getrandbits(32))
         period_ns = Member(setup, LIFE, VERSION, {}, random, self.now).hearing.period_ns if not number else 0
         self.period_ns = self.period_ns or period_ns
-        # Nodes start at random times. Voting members start now, because the first of them is the coordinator.
+        # Nodes without a vote start at random times within a heartbeat period. Voting members start now,
+        # because the first of them must be the coordinator.
         started_at = self.now if votes else self.now + int(self.random.random() * self.period_ns)
         member = Member(setup, LIFE, VERSION, slots, random, started_at)
         for key, value in self._learned.items():
@@ -152,7 +156,7 @@
     # Time -------------------------------------------------------------------------------------------
 
     def turn(self) -> None:
-        """Advances the virtual time by one tick of 20 ms and runs the nodes that are due."""
+        """Advances the virtual time by one tick of 20 ms and runs the tick of each node that is due."""
         self.now += TICK_NS
         due_nodes = set(self.ticked_nodes)
         while self._in_flight and self._in_flight[0][0] <= self.now:
@@ -171,19 +175,22 @@
             self._run_tick(self.nodes[number])
 
     def run(self, seconds: float) -> None:
-        """Runs ticks for `seconds` of virtual time."""
+        """Advances the virtual time by `seconds`, tick by tick."""
         end = self.now + int(seconds * S)
         while self.now < end:
             self.turn()
 
     def poll_all(self, enabled: bool) -> None:
-        """Sets whether all nodes run as often as they may poll the members, each with its own phase."""
+        """Sets whether the nodes that do not run every tick run every POLL_NS, with random phases.
+
+        That is the interval at which a node without a vote may poll the members.
+        """
         other_nodes = set(self.numbers).difference(self.ticked_nodes) if enabled else set()
         self._polls = [(self.now + int(self.random.random() * POLL_NS), number) for number in other_nodes]
         heapq.heapify(self._polls)
 
     def _run_tick(self, node: Node) -> None:
-        """Runs one tick of a node as the program does, and measures its processor time and datagrams."""
+        """Runs one tick of a node as the program does; adds its processor time and datagrams to `meter`."""
         meter, inbox = node.meter, node.inbox
         node.inbox = []
         meter.received += len(inbox)
@@ -217,13 +224,14 @@
     def loads(self, seconds: float) -> dict[str, Load]:
         """Measures the load of each role over `seconds` of virtual time.
 
-        The coordinator is the first voting member.
+        Returns it by role: "coordinator" (the first voting member), "member" (the other voting members) and
+        "ordinary" (the sample of nodes without a vote).
         """
         for node in self.nodes:
             node.meter = Meter()
         started_at = self.now
         gc.collect()
-        gc.disable()  # a collection traverses the objects of all nodes and would be charged to one
+        gc.disable()  # one collection traverses all nodes' objects, but would be charged to one node
         try:
             self.run(seconds)
         finally:
@@ -245,7 +253,10 @@
         )
 
     def spread(self) -> Spread:
-        """Drains a store at a node that does not vote, and runs until every node knows that it is out."""
+        """Drains a store through a node without a vote, and runs until every node knows that it is drained.
+
+        Raises RuntimeError if the voting members do not grant the drain within 5 s of virtual time.
+        """
         for node in self.nodes:
             node.meter = Meter()
         requester = self.nodes[self.sample[0]]
@@ -287,7 +298,7 @@
         )
 
     def state_kb(self, number: int) -> float:
-        """Returns the size of a node's member, agent and wire with all objects that they refer to.
+        """Returns the memory in KB of a node's member, agent and wire with all objects that they refer to.
 
         Each object counts once, by sys.getsizeof. Objects that simulated nodes share count for every node,
         because real processes do not share them.
@@ -296,7 +307,7 @@
         return deep_bytes((node.member, node.agent, node.wire)) / 1e3
 
     def hear_all(self, number: int) -> None:
-        """Delivers one heartbeat of every node to this node.
+        """Delivers one heartbeat of every other node to the node `number`.
 
         A node that has run for a long time has received them all, since each heartbeat goes to two random
         nodes.
@@ -311,7 +322,7 @@
 
 
 def _ignore(item: int) -> None:
-    """A callback of the agent that does nothing, since the simulated stores need no action."""
+    """Does nothing; the agent's callback for a store, since simulated stores need no action."""
 
 
 def _share(values: list[int], share: float) -> float:
@@ -322,7 +333,7 @@
 
 
 def deep_bytes(root: Any) -> int:
-    """Returns the total size of all objects reachable from `root`, without classes, modules and functions."""
+    """Returns the size in bytes of all objects reachable from `root`, but no classes, modules, functions."""
     seen, stack, total = set[int](), [root], 0
     while stack:
         reached = stack.pop()
@@ -338,7 +349,7 @@
 
 
 def _cpu_ms(call: Any, min_ns: int = 20 * MS) -> float:
-    """Returns the mean processor time of a call, over as many calls as take `min_ns` together."""
+    """Returns the mean processor time of a call in ms, over as many calls as take `min_ns` together."""
     count, started_at = 0, time.process_time_ns()
     while (spent := time.process_time_ns() - started_at) < min_ns or not count:
         call()
@@ -352,7 +363,10 @@
 
 
 def release_tick_cpu_ms(nodes: int) -> float:
-    """Measures `releases.may_go`, which a gateway that waits for its wave of a release calls every 20 ms."""
+    """Returns the mean processor time in ms of one call of `releases.may_go` for a fleet of `nodes`.
+
+    A gateway that waits for its wave of a release calls it every 20 ms.
+    """
     release, fleet = _release(), tuple(range(nodes))
     return _cpu_ms(lambda: releases.may_go(release, fleet, nodes // 2, VERSION))
 
@@ -369,7 +383,10 @@
 
 
 def checksum_cpu_ms(registers: int) -> float:
-    """Measures `Member._checksum` over all known registers, which is called for every received heartbeat."""
+    """Returns the mean processor time in ms of one call of `Member._checksum` with `registers` lease tables.
+
+    A node calls it for every heartbeat that it receives.
+    """
     setup = Setup(0, (0, 1), (0,), {0: "gateways:0", 1: "gateways:0"}, {0: 1.0, 1: 1.0}, Budget())
     member = Member(setup, LIFE, VERSION, {}, Random(1), EPOCH_NS)
     for number in range(registers):
@@ -378,7 +395,10 @@
 
 
 def store_scan_cpu_ms(stores: int) -> float:
-    """Measures `RolloutPart._see_stores` for stores in 46 zones, which every gateway calls every 100 ms."""
+    """Returns the mean processor time in ms of one call of `RolloutPart._see_stores`.
+
+    Every gateway calls it every 100 ms for its list of stores; here there are `stores` in 46 zones.
+    """
     from olivecourse.rollout.part import RolloutPart
 
     ready, names = (
--- a/benchmarks/_virtual_ramp.py
+++ b/benchmarks/_virtual_ramp.py
@@ -1,13 +1,16 @@
-"""The slow start of cold stores and cold parents behind many routers, in virtual time and without I/O.
+"""Simulates the slow start of cold stores and parents behind many gateways, in virtual time, without I/O.
+
+In a slow start a router (the decision module of a gateway) gives a cold server only a part of its normal
+requests, which grows with time.
 
 Every gateway's router is the program's own class. Each request is answered at once, and the timer of its
 deadline fires afterwards without effect. Left out entirely: the periodic tick (health, counting intervals),
 requests that wait for answers, and failures.
 
-A cold store fails when it gets more than N + 2 sqrt(N) + 2 requests of mean work within the time window of
-the settings, where N is the number that the settings allow in that window. N grows with time. Windows are
-judged by N at their beginning, the smallest value of the window; `over_at_end` uses N at their end, as seen
-by a request that looks back over the window.
+A cold server counts as failed when it gets more than N + 2 sqrt(N) + 2 requests of mean work within the time
+window `fall_ns` of the settings, where N is the number that the settings allow in that window. N grows with
+time. Windows are judged by N at their beginning, the smallest value of the window; `over_at_end` uses N at
+their end, as seen by a request that looks back over the window.
 """
 
 from __future__ import annotations
@@ -24,18 +27,18 @@
 from olivecourse.choice import Router
 
 MS, S = 1_000_000, 1_000_000_000
-START_NS = 100 * S  # when the cold servers became ready, on the virtual clock
-WORK_NS = 500 * MS  # the sending time of a request's object
-WORK_KB, CLIENT_KB_PER_S = 500.0, 1000.0  # the size and the client's speed that give WORK_NS
-WINDOW_STEP_NS = 50 * MS  # between the beginnings of two windows
-QUIET_NS, RUSH_NS = 6 * S, 200 * MS  # time before the rush, and the time over which its requests are spread
-LENGTH_NS = 12 * S  # length of the simulated part of the slow start
-# Requests a second of each gateway that could use a cold server. A higher rate does not increase the budget
-# of that server, see `Router._may_use`.
+START_NS = 100 * S  # virtual time at which the cold servers become ready
+WORK_NS = 500 * MS  # time that sending a request's object to its client takes
+WORK_KB, CLIENT_KB_PER_S = 500.0, 1000.0  # object size and client's speed, which give WORK_NS
+WINDOW_STEP_NS = 50 * MS  # time between the beginnings of two successive judged windows
+QUIET_NS, RUSH_NS = 6 * S, 200 * MS  # silence before a rush, and the time over which its requests arrive
+LENGTH_NS = 12 * S  # simulated time; the slow start itself may take longer
+# Requests a second that arrive at each gateway and could use a cold server. A higher rate does not increase
+# the number of requests that a router gives that server, see `Router._may_use`.
 OFFERED_PER_S = 1.0
-COLD_SERVERS = 2  # cold servers at the same time
+COLD_SERVERS = 2  # number of servers that are cold at the same time
 STORE_KIND, PARENT_KIND, ORIGIN_KIND = 0, 1, 2
-EDGE, HUB = 1, 0  # zones by number
+EDGE, HUB = 1, 0  # numbers of the zones
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +46,9 @@
     """One simulated slow start.
 
     `parent` selects cold parents instead of cold stores. `weight` is the number of requests that a warm
-    server can handle at once. `offered` is the requests a second of each gateway.
+    server can handle at once. With the `shape` "steady" requests arrive at a constant rate, with "rush"
+    this follows a silence and a burst at all gateways. `offered` is the requests a second of
+    each gateway.
     """
 
     gateways: int
@@ -78,7 +83,10 @@
 
 
 def settings(gateways: int, seed: int) -> interface.Settings:
-    """Returns settings with the strictest cold start of the larger deployment: lowest share, longest ramp."""
+    """Returns router settings with the strictest cold start of the larger deployment.
+
+    That is the lowest first share of normal requests, and the longest time until the full share.
+    """
     read = interface.RequestClass(
         "read",
         aim_ns=WORK_NS,
@@ -121,7 +129,10 @@
 
 
 def _members(case: Case) -> tuple[interface.Member, ...]:
-    """Returns two cold servers and an origin, and for cold parents a warm store that takes all requests."""
+    """Returns the server list: two cold servers and an origin; for cold parents also a warm store.
+
+    That store gets all requests, and fills its misses from the parents.
+    """
     ready = interface.State.READY
     kind, zone = (PARENT_KIND, HUB) if case.parent else (STORE_KIND, EDGE)
     cold = [
@@ -145,7 +156,7 @@
 
 
 def _arrivals(case: Case, random: Random) -> Iterator[tuple[int, int]]:
-    """Yields the time and the gateway of each request, a Poisson process.
+    """Yields the virtual time and the gateway's number of each request, by a Poisson process.
 
     A rush begins with a silence of QUIET_NS, followed by two requests at every gateway within RUSH_NS.
     """
@@ -162,7 +173,10 @@
 
 
 def play(case: Case, memory: bool = False) -> Outcome:
-    """Simulates one slow start; with `memory` it measures the routers' memory and its times are invalid."""
+    """Simulates one slow start.
+
+    With `memory` it also measures the routers' memory by tracemalloc, which makes its processor time invalid.
+    """
     if memory:
         tracemalloc.start()
     random = Random(case.seed + 1)
@@ -181,7 +195,7 @@
 
 
 def _request(router: Router, number: int, now_ns: int) -> Iterator[int]:
-    """Sends one request through a router and yields the cold servers used, also as the source of a fill."""
+    """Runs one request through a router; yields each cold server that it uses, also as source of a fill."""
     name = f"{number:016x}"
     request_event = interface.Request(name, 0, object=name, size_kb=WORK_KB)
     token = 0
@@ -249,5 +263,8 @@
 
 
 def _limit(allowed: float) -> float:
-    """Returns the number of requests in a window beyond which a cold server fails."""
+    """Returns the number of requests in a window beyond which a cold server counts as failed.
+
+    `allowed` is the number N that the settings allow in the window.
+    """
     return allowed + 2 * math.sqrt(allowed) + 2
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,4 +1,4 @@
-"""Costs at the target's size that a single process can measure.
+"""Measures the costs at the target deployment's size that a single process can measure.
 
 These are the decisions and sketches of the decision module, lists of stores, messages between forwarder and
 planner, connections, the request path of one gateway, and figures that follow by arithmetic.
@@ -36,30 +36,30 @@
 PURGES = (100, 400, 800, 1_600)
 BATCHES = (1, 4, 16, 64)
 CONNECTIONS = (16, 64, 128, 256)
-ANSWER_KB = (15, 60, 120, 240)  # the last one is the longest answer that a gateway accepts from a store
+ANSWER_KB = (15, 60, 120, 240)  # answer sizes; the last is the longest that a gateway accepts from a store
 REFERENCE_CALLS = 100_000
 TRAFFIC_S, SHORT_TRAFFIC_S = 2.0, 0.2
-GC_THRESHOLDS = (50_000, 20, 100)  # as `Gateway.run` sets them
-MAX_OPEN_REQUESTS = 4_096  # open requests of a gateway at most
-STORE_CONNECTIONS = 462  # store connections of a gateway with 1,024 descriptors and a management port
-ARRIVALS = (1_000, 4_000, 8_000, 16_000)  # requests in a counting interval
-DRAWN, SHORT_DRAWN = 20_000, 4_000  # requests drawn from a number of objects
-Measure = Callable[[int, int], float]  # returns the cost for a size and a seed
+GC_THRESHOLDS = (50_000, 20, 100)  # garbage collector thresholds, as `Gateway.run` sets them
+MAX_OPEN_REQUESTS = 4_096  # most requests that a gateway keeps open at once
+STORE_CONNECTIONS = 462  # most that a gateway with 1,024 descriptors and a management port opens
+ARRIVALS = (1_000, 4_000, 8_000, 16_000)  # requests that the sketches count in one counting interval
+DRAWN, SHORT_DRAWN = 20_000, 4_000  # requests drawn for each number of objects, in the long and short form
+Measure = Callable[[int, int], float]  # measures a cost; takes the size and a seed
 
 
 class Results:
-    """Slopes with their points, each printed once it has been fitted."""
+    """Collects the fitted slopes by cost name, with their points, and prints each once it is fitted."""
 
     def __init__(self, seeds: Sequence[int]) -> None:
         self.slopes: dict[str, dict[str, Any]] = {}
         self._seeds = seeds
 
     def measure(self, name: str, sizes: Sequence[int], goal: float, call: Measure) -> None:
-        """Measures a cost at every size with every seed, and adds its slope."""
+        """Measures the cost `name` by `call` at every size with every seed, and adds its slope."""
         self.add(name, [(float(size), call(size, seed)) for size in sizes for seed in self._seeds], goal)
 
     def add(self, name: str, points: list[tuple[float, float]], goal: float) -> None:
-        """Fits a slope to points (size, cost) and extrapolates it to the size `goal`."""
+        """Fits the slope of the cost `name` to points (size, cost) and extrapolates it to the size `goal`."""
         measured = fit(points)
         estimate = measured.at(goal)
         self.slopes[name] = {
@@ -80,7 +80,10 @@
 
 
 def measure_router(results: Results, sizes: Sequence[int], count: int) -> None:
-    """Measures the Router over stores in three distributions: request, tick, change of the list, memory."""
+    """Measures the Router over the number of stores, in three distributions of them over zones.
+
+    Measured are a request, a tick, a change of the list of stores, and memory.
+    """
     for shape in router.SHAPES:
         measures: tuple[tuple[str, Measure], ...] = (
             ("request_us", lambda size, seed, shape=shape: router.request_us(shape, size, seed, count)),
@@ -110,7 +113,7 @@
 
 
 def measure_directory(results: Results, sizes: Sequence[int]) -> None:
-    """Measures lists of stores and the server directory over the number of stores."""
+    """Measures discovery's list of stores and the server directory over the number of stores listed."""
     results.measure("list_kb", sizes, target.STORES, lambda size, seed: memory.list_kb(size))
     results.measure("directory_kb", sizes, target.STORES, memory.directory_kb)
     results.measure(
@@ -124,10 +127,10 @@
 def measure_sketches(
     results: Results, sizes: Sequence[int], draws: int, seeds: Sequence[int]
 ) -> dict[str, Any]:
-    """Measures the object sketches of a counting interval.
+    """Measures the Router's sketches of the objects requested in one counting interval.
 
-    The slopes are over requests that are each for a different object, the worst case for any number of
-    objects. Returns the medians for `draws` requests drawn from each number of objects in `sizes`.
+    The slopes are over the number of requests, each for a different object, the worst case for any number
+    of objects. Returns the medians for `draws` requests drawn from each number of objects in `sizes`.
     """
     goal = target.REQUESTS_PER_S / target.GATEWAYS * target.RETUNE_S
     points = dict[str, list[tuple[float, float]]]()
@@ -148,7 +151,7 @@
 
 
 def measure_exchange(results: Results, count: int, seeds: Sequence[int]) -> None:
-    """Measures the costs of forwarder and planner for a batch, over the number of requests in it."""
+    """Measures what a batch of requests costs forwarder and planner, over the number of requests in it."""
     points = dict[str, list[tuple[float, float]]]()
     for size in BATCHES:
         for seed in seeds:
@@ -160,7 +163,7 @@
 
 
 def measure_connections(results: Results, sizes: Sequence[int], seeds: Sequence[int]) -> None:
-    """Measures the memory and the sweep of idle connections over their number."""
+    """Measures the memory and the periodic check of idle store connections, over their number."""
     points = dict[str, list[tuple[float, float]]]()
     for size in sizes:
         for seed in seeds:
@@ -171,7 +174,10 @@
 
 
 def measure_traffic(results: Results, seconds: float, seeds: Sequence[int]) -> dict[str, float]:
-    """Measures a real gateway's request path over the size of an answer; returns figures for the target."""
+    """Measures a real gateway's processor time per request, over the size of the answer.
+
+    Returns further figures for the results, by name.
+    """
     points, requests = list[tuple[float, float]](), dict[int, list[float]]()
     with tempfile.TemporaryDirectory() as folder:
         fleet = traffic.Traffic(Path(folder))
@@ -200,9 +206,10 @@
 
 
 def shares(results: Results) -> dict[str, float]:
-    """Returns the use of one core in percent, and the planner's KB/s, at the target's requests and changes.
+    """Returns what the target's requests and list changes cost one gateway, by name.
 
-    The figures are based on the upper ends of intervals.
+    Names with `_pct` are percent of a core, `planner_kb_s` is the KB/s between forwarder and planner. All use
+    the upper ends of the slopes' intervals.
     """
     requests_per_s = target.REQUESTS_PER_S / target.GATEWAYS
     changes_s = target.CHANGES_PER_DAY / target.DAY_S
@@ -228,7 +235,7 @@
 def run(short: bool, seed: int, trials: int) -> dict[str, Any]:
     """Runs all measurements; the short form takes under 20 s.
 
-    `trials` is the number of repeats, at least three.
+    `trials` is the number of repeats of each measurement, at least three.
     """
     previous_thresholds = gc.get_threshold()
     gc.collect()
@@ -242,7 +249,7 @@
 
 
 def reference_us() -> float:
-    """Measures the processor time of one hash, which indicates the machine's current speed under its load."""
+    """Measures the processor time of one hash in us, a reference for the machine's current speed."""
     return rounded(router.mean_us(lambda: hash64("reference"), REFERENCE_CALLS))
 
 
--- a/benchmarks/deployments.py
+++ b/benchmarks/deployments.py
@@ -1,4 +1,4 @@
-"""Randomly drawn deployments, each of which runs for about two seconds with injected faults and is judged.
+"""Runs randomly drawn deployments of one gateway, each for about two seconds with injected faults.
 
 A deployment fails if the gateway does not start, crashes, leaves a request without exactly one answer,
 repeats a request that must not be repeated, is late for a drain or a purge, answers wrongly at a management
@@ -26,9 +26,9 @@
 from olivecourse.emulator.observer import Observer
 from olivecourse.emulator.stores import Store, World, unix_ms
 
-RATE = 40.0  # requests a second
-CALM_S, FAULT_INTERVAL_S = 0.5, 0.3  # seconds of load before the first fault, and before each further one
-MIN_SERVED_SHARE = 0.5  # least share of served requests, of those that reached the gateway
+RATE = 40.0  # requests a second of all clients together
+CALM_S, FAULT_INTERVAL_S = 0.5, 0.3  # time before the first fault, and before each further one
+MIN_SERVED_SHARE = 0.5  # least share that must be served, of the requests that reached the gateway
 PATHS = {"ready": ("/ready", "/ops/readiness"), "figures": ("/metrics", "/ops/stats")}
 
 
@@ -45,7 +45,7 @@
 
 
 class DeploymentRun:
-    """One drawn deployment on loopback, with one gateway process and stand-in stores and discovery."""
+    """One drawn deployment on loopback: a gateway process, and emulated stores, clients and discovery."""
 
     def __init__(self, drawn: Drawn, folder: Path, root: Path) -> None:
         self.drawn, self.folder = drawn, folder
@@ -125,7 +125,7 @@
         new_file.rename(self.config)
 
     def _check_management_ports(self) -> None:
-        """Checks that every management port answers readiness and metrics calls under both naming schemes."""
+        """Checks that every management port answers readiness and metrics calls, under both paths of each."""
         for port in self.doors.values():
             for paths in PATHS.values():
                 for path in paths:
@@ -133,7 +133,7 @@
                         self.observer.fault("door", f"{path}: {status}")
 
     def inject_fault(self, name: str) -> None:
-        """Injects a fault by its name."""
+        """Injects the fault `name`, one of FAULTS in the emulator's `deployments`."""
         if name == "board refuses":
             self.board.refuse()
             self.world.at(time.monotonic() + 0.4, self.board.resume)
@@ -154,7 +154,7 @@
             self.world.reset(self.stores[-2 if len(self.stores) > 2 else 0])
 
     def drain_and_purge(self, clients: Crowd) -> None:
-        """Publishes that a store is terminating, and purges of the objects that are requested most."""
+        """Publishes by discovery that a store is terminating, and purges of the most requested objects."""
         name = self.drawn.stores[1][0]
         self.observer.drained(name, self._pool([{**self.members[name], "phase": "Terminating"}]))
         for asset in (f"{number:016x}" for number in range(1, 5)):
@@ -163,7 +163,7 @@
             self.observer.purged(asset, at, published_ms)
 
     def run(self) -> dict[str, int]:
-        """Runs the deployment; returns the count of violations by rule, empty if there are none."""
+        """Runs the deployment with its faults; returns the count of violations by rule, {} without any."""
         observer, began = self.observer, time.monotonic()
         try:
             while not well(self.port):
@@ -200,7 +200,10 @@
 
 
 def play(seed: int, root: Path = ROOT) -> tuple[int, dict[str, int], list[str]]:
-    """Draws and runs a deployment; returns its seed, the violations by rule, and their descriptions."""
+    """Draws and runs the deployment of a seed.
+
+    Returns the seed, the count of violations by rule, and descriptions of violations.
+    """
     with tempfile.TemporaryDirectory() as name:
         deployment_run = DeploymentRun(draw(seed), Path(name), root)
         return seed, deployment_run.run(), deployment_run.observer.told
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -1,4 +1,4 @@
-"""The management port under connection floods: late and wrong answers, and the longest event loop turn.
+"""Measures the management port under connection floods: late and wrong answers, longest event loop turn.
 
 Two floods reconnect during the whole run: idle and half-written connections to the clients' port, and idle
 connections or half-written calls to the management port. Meanwhile ordinary requests are sent and counted,
@@ -20,15 +20,15 @@
 from benchmarks._load import Load
 from benchmarks._staff import GatewaySite, killed_at_exit
 
-RATE = 150.0  # requests a second
-CLIENT_CONNECTIONS = 400  # at once, to the clients' port; more than its part of 384 descriptors
-MANAGEMENT_CONNECTIONS = 24  # at once, to the management port; 1.5 times its limit
-HOLD_S = 4.0  # how long a connection is held open
-LATE_S = 1.0  # an answer that takes longer is late
+RATE = 150.0  # ordinary requests a second at the clients' port
+CLIENT_CONNECTIONS = 400  # flood connections to the clients' port, more than its part of 384 file descriptors
+MANAGEMENT_CONNECTIONS = 24  # flood connections to the management port, 1.5 times its limit
+HOLD_S = 4.0  # how long each flood connection is held open
+LATE_S = 1.0  # a call to the management port that takes longer counts as late
 
 
 class ConnectionFlood:
-    """A thread that keeps `count` connections open, each for HOLD_S or until the peer closes it.
+    """A thread that keeps `count` connections to `port` open, each for HOLD_S or until the gateway closes it.
 
     About half of the connections send `partial_message`, an incomplete message; the others send nothing.
     """
@@ -72,7 +72,7 @@
             return True
 
     def stop(self) -> None:
-        """Closes all connections and ends the thread."""
+        """Ends the thread, which closes all its connections."""
         self._stop.set()
         self._thread.join()
 
@@ -82,7 +82,7 @@
 
 
 def run(short: bool, seed: int, trials: int) -> dict[str, Any]:
-    """Runs the floods for 60 s, or for 20 s in the short form, which takes at most 60 s in total."""
+    """Runs the floods for 60 s; the short form runs them for 20 s and takes at most 60 s in total."""
     seconds = 20.0 if short else 60.0
     found: dict[str, Any] = {
         "calls": 0,
@@ -152,7 +152,7 @@
 
 
 def _count_error(metrics: dict[str, float], load: Load) -> int:
-    """Returns by how many requests the gateway's metrics differ from the answers that the clients received.
+    """Returns by how many requests the gateway's metrics differ from the clients' own counts.
 
     Answers that the gateway has written and the clients have not read yet are not a difference.
     """
--- a/benchmarks/holders.py
+++ b/benchmarks/holders.py
@@ -1,4 +1,4 @@
-"""The possible gain of a summary of cached objects per store after a change of the hash ring.
+"""Simulates what a summary of each store's cached objects could gain after a change of the hash ring.
 
 Because of this measurement the program has no such summary. The decision module never fills a store from
 another store of the same zone, so a summary could only help to fill an object that has moved from the store
@@ -25,14 +25,14 @@
 
 
 class SimulatedStore:
-    """A store with an LRU cache, and the summary of the objects that it served last."""
+    """A store with an LRU cache of CACHED_OBJECTS, and a summary of the SUMMARY_OBJECTS it served last."""
 
     def __init__(self) -> None:
         self.held: OrderedDict[int, None] = OrderedDict()
         self.summary: OrderedDict[int, None] = OrderedDict()
 
     def request(self, key: int) -> bool:
-        """Requests an object, caches it, and returns whether it was a hit."""
+        """Handles a request for the object `key`, then caches it; returns whether it was a hit."""
         hit = key in self.held
         for recent, limit in ((self.held, CACHED_OBJECTS), (self.summary, SUMMARY_OBJECTS)):
             recent[key] = None
@@ -51,7 +51,7 @@
 
 
 def once(seed: int, change: str) -> tuple[float, float]:
-    """Simulates one change of the ring.
+    """Simulates one change of the ring: `change` is "joins", "leaves" or else a replacement of stores.
 
     Returns the share of requests that miss because of the change, and the share of requests that a summary
     would allow to fill from another store.
@@ -87,7 +87,7 @@
 
 
 def run(short: bool, seed: int, trials: int) -> dict[str, Any]:
-    """Averages each kind of change over `trials` simulations."""
+    """Simulates each kind of change `trials` times and returns the mean shares."""
     found: dict[str, Any] = {}
     for change in ("joins", "leaves", "replaced"):
         rows = [once(seed * 100 + n, change) for n in range(trials or (2 if short else 5))]
--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -1,4 +1,6 @@
-"""Gateways killed with SIGKILL at random moments while they serve, write snapshots and record order tokens.
+"""Kills gateways with SIGKILL at random moments while they serve, write snapshots and record order tokens.
+
+An order token is a signed token that may start one order only.
 
 Each trial starts a gateway on the folder that the previous one left, sends orders with used tokens (all
 that started an order, or may have) and with new tokens, and kills the gateway. The stand-in store counts
@@ -29,12 +31,12 @@
 PUBLIC = "https://calendriers.example"
 TARGET = "/commande/7f3a9c21e0b4d655/0?shard=17"
 SECRET = b"0123456789abcdef0123456789abcdef"
-REPLAYS = 12  # most used tokens that a trial sends again
-TRIALS_PER_FOLDER = 10  # consecutive trials that share a folder
+REPLAYS = 12  # a trial sends at most so many used tokens again
+TRIALS_PER_FOLDER = 10  # consecutive trials whose gateways share a folder of stored state
 
 
 class OrderClient:
-    """Sends orders over HTTP and records the status of each answer."""
+    """Sends orders to a gateway over HTTP; `answers` maps an order's name to its HTTP status."""
 
     def __init__(self, world: World, port: int) -> None:
         self.world, self.port = world, port
@@ -42,7 +44,7 @@
         self.sockets: list[socket.socket] = []
 
     def post(self, name: str, token: str) -> None:
-        """Sends one order on a new connection; `name` is the order's body and identifies its answer."""
+        """Sends one order with a token on a new connection; `name` is its body and its key in `answers`."""
         body = name.encode()
         with contextlib.suppress(OSError):
             connection = socket.create_connection(("127.0.0.1", self.port))
@@ -67,7 +69,7 @@
         self.sockets.remove(connection)
 
     def close(self) -> None:
-        """Closes the connections that have no answer yet."""
+        """Closes the connections whose orders have no answer yet."""
         for connection in self.sockets:
             with contextlib.suppress(KeyError):
                 self.world.selector.unregister(connection)
@@ -75,7 +77,10 @@
 
 
 def run_trials(job: tuple[int, int, int]) -> dict[str, int]:
-    """Runs trials in one folder; `job` is the seed, the first trial's number and the count of trials."""
+    """Runs consecutive trials in one folder and returns their counts by name.
+
+    `job` is the seed, the first trial's number and the number of trials.
+    """
     seed, first, count = job
     store = Store("petit-1", delay_s=0.004)
     world = World([store, Store("parent-1"), Store("origin-1")])
@@ -105,7 +110,7 @@
         signer = tokens.read_keys(str(folder / "keys.json"))["k"]
         gateway = Gateway(operator)
         gateway.event("ready")
-        time.sleep(1.1)  # tokens of the token store's first second are refused
+        time.sleep(1.1)  # a new token store refuses tokens issued in its first second
         gateway.kill()
         for trial in range(first, first + count):
             plan = random.Random(f"{seed}/{trial}")
@@ -155,7 +160,7 @@
 
 
 def run(short: bool, seed: int, trials: int) -> dict[str, Any]:
-    """Runs all trials, each group of them in a process of its own, and adds up their counts."""
+    """Runs all trials, those of each folder in a process of their own, and adds up their counts."""
     trials = trials or (30 if short else 1000)
     jobs = [
         (seed, first, min(TRIALS_PER_FOLDER, trials - first)) for first in range(0, trials, TRIALS_PER_FOLDER)
--- a/benchmarks/notice.py
+++ b/benchmarks/notice.py
@@ -1,7 +1,8 @@
-"""Two retry storm detectors on generated arrivals: their detection delay and their false alarms.
+"""Compares two retry storm detectors on generated requests: detection delay, false alarms, missed storms.
 
-Each scenario is sampled in bins of 100 ms, for several seeds. The true span of a retry storm is the time in
-which retries of failed requests keep the served share under half of the offered requests.
+A first attempt is a client's new request; a retry repeats a failed one. Each scenario is sampled in bins of
+100 ms, for several seeds. The true span of a retry storm is the time in which retries of failed requests keep
+the served share under half of the offered requests.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 from olivecourse.storm.notice import BIN_NS, BurstDetector, Detector, Notice, ShareDetector
 
-# A scenario yields for each bin the mean of first attempts, of retries, and the share of both served in time.
+# For one bin of 100 ms: mean number of first attempts, mean number of retries, share of both served in time.
 Bin = tuple[float, float, float]
 BINS = 600
 
@@ -28,7 +29,7 @@
 
 
 def _overload(bin_index: int) -> Bin:
-    """Many first attempts, half of them refused, with hardly any retries: overload without a retry storm."""
+    """Many first attempts, of which half are not served, but hardly any retries: overload, no retry storm."""
     return (60.0, 1.0, 0.5) if 200 <= bin_index < 400 else _calm(bin_index)
 
 
@@ -64,7 +65,7 @@
 
 
 def _poisson(rng: random.Random, mean: float) -> int:
-    """Draws a Poisson-distributed count; means above 50 are approximated by a normal distribution."""
+    """Draws a count from a Poisson distribution, for means above 50 from a normal approximation of it."""
     if mean > 50:
         return max(round(rng.gauss(mean, mean**0.5)), 0)
     count, arrival_time = 0, rng.expovariate(1.0)
@@ -74,7 +75,10 @@
 
 
 def bins(story: str, seed: int) -> Iterator[tuple[int, int, int]]:
-    """Yields first attempts, retries and requests served in time for each bin of a scenario."""
+    """Yields for each bin of the scenario `story` its drawn counts.
+
+    They are first attempts, retries, and requests of both kinds that are served in time.
+    """
     rng = random.Random(f"{story}/{seed}")
     for bin_index in range(BINS):
         first, repeats, served = STORIES[story][0](bin_index)
@@ -85,7 +89,10 @@
 def played(
     story: str, detector: Detector, seed: int
 ) -> tuple[list[float], list[float], tuple[float, float] | None]:
-    """Returns when the detector reported the beginnings and ends of storms, and the true span, in seconds."""
+    """Runs a detector on one scenario; returns when it reported that storms begin and end, and the true span.
+
+    All times are seconds; the true span is None in a scenario without a storm.
+    """
     notice, begins, ends = Notice(detector, 0), [], []
     for bin_index, (first, repeats, useful) in enumerate(bins(story, seed)):
         notice.arrived(False, first)
@@ -98,7 +105,10 @@
 
 
 def run(short: bool, seed: int, trials: int) -> dict[str, Any]:
-    """Runs both detectors on every scenario and counts false alarms, missed storms and the median delay."""
+    """Runs both detectors on every scenario.
+
+    Returns their false alarms, missed storms and median detection delays.
+    """
     found: dict[str, Any] = {"seed": seed}
     repeats = trials or (5 if short else 20)
     for name, detector_type in (("share", ShareDetector), ("burst", BurstDetector)):
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -1,4 +1,6 @@
-"""The benefit of stored memory in the first 5 s after a restart, and its cost.
+"""Measures what a gateway's stored memory gains in the first 5 s after a restart, and what it costs.
+
+Stored memory is what a gateway has learned about its stores, kept in snapshots on disk.
 
 Two of ten stores fail at once and two accept requests and never answer. A gateway learns this, is killed and
 starts again: without stored memory, with it, and with it after the stores have been inverted (bad ones are
@@ -45,9 +47,11 @@
 
 
 def run_repeat(job: tuple[str, int, float]) -> dict[str, float]:
-    """Runs one repeat: lets a gateway learn, kills it, starts it again, and measures.
+    """Runs one repeat: a gateway learns, is killed, starts again, and is measured for MEASURE_S.
 
-    `job` holds the kind of start (one of KINDS), the seed, and the seconds for learning.
+    `job` holds the kind of start (one of KINDS), the seed, and the seconds for learning. Returns the requests
+    at bad stores (`bad`), the share of requests served in time (`service`), and the age of the loaded
+    snapshot in seconds (`age`, -1 without one).
     """
     kind, seed, learn_s = job
     stores = [Store(f"petit-{store_index}") for store_index in range(10)] + [
@@ -60,7 +64,7 @@
         folder = Path(name)
         world = World(stores)
         operator = _files(folder, stores, kind.endswith("with"))
-        if kind.endswith("with"):  # the other kinds start without memory and have nothing to learn
+        if kind.endswith("with"):  # the other kinds have no stored memory, so learning would be lost
             gateway = Gateway(operator)
             load = Load(world, gateway.port(), RATE, seed)
             world.run(learn_s)
@@ -77,7 +81,7 @@
         world.run(MEASURE_S)
         bad = sum(stand_in.asked - before[stand_in.name] for stand_in in stores if stand_in.mode != "good")
         load.stop()
-        world.run(1.0)  # waits for the answers to the last requests
+        world.run(1.0)  # lets the last requests be answered
         tally = load.tally
         taken = gateway.logged("memory_taken_up")
         gateway.kill()
@@ -91,9 +95,9 @@
 
 
 def stalls(seconds: float, snapshots: bool) -> float:
-    """Returns the 99th percentile of an event loop's turns, in ms, while a Router with 60 stores runs on it.
+    """Returns the 99th percentile in ms of an event loop's turns while a Router with 60 stores decides on it.
 
-    `snapshots` tells whether the snapshot writer runs.
+    It runs for `seconds`; with `snapshots` the snapshot writer runs too.
     """
     from olivecourse import interface as w
     from olivecourse.config.settings import nested_pairs, read_settings
@@ -108,7 +112,7 @@
         planner = Planner(parsed_settings, loop.clock.now(), lambda *args, **kwargs: None)
         keeper = None
         if snapshots:
-            section = MemorySection(name, interval_s=0.2)  # ten times as often as by default
+            section = MemorySection(name, interval_s=0.2)  # snapshots ten times as often as by default
             keeper = Keeper(loop, MemoryConfig(Path(name), None, section), "n", lambda *args, **kwargs: None)
             keeper.adopt(planner.router)
             keeper.start()
@@ -151,7 +155,7 @@
 
 
 def commits(count: int, per_s: float) -> list[float]:
-    """Returns the sorted times in ms until order tokens are durable.
+    """Returns, sorted, the times in ms from recording an order token until it is durable on disk.
 
     `count` tokens are written at a rate of `per_s`, whether or not earlier ones are durable (open loop).
     """
@@ -184,7 +188,7 @@
 
 
 def run(short: bool, seed: int, trials: int) -> dict[str, Any]:
-    """Measures all kinds of start, the loop's turns, and the commits of order tokens."""
+    """Measures all kinds of start, the event loop's turns, and the times until order tokens are durable."""
     repeats = trials or 5 if short else trials or 10
     learn_s = 4.0 if short else 10.0
     jobs = [
@@ -193,7 +197,7 @@
         for n in range(repeats)
     ]
     found: dict[str, list[dict[str, float]]] = {kind: [] for kind in KINDS}
-    with ThreadPoolExecutor(7) as pool:  # each waits for one process, which uses about a third of a core
+    with ThreadPoolExecutor(7) as pool:  # threads; each waits for a process that uses about a third of a core
         context = get_context("spawn")
         with context.Pool(7) as processes:
             for job, result in zip(
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -1,4 +1,4 @@
-"""Drains and releases that a fleet of real gateway processes coordinates while faults are injected.
+"""Measures drains and releases that a fleet of real gateway processes coordinates under injected faults.
 
 A run is one seeded script of faults on a working fleet, while operators at several gateways drain stores at
 the same time, or while a release is halted. Samples in which more stores are out than the budget allows are
@@ -21,13 +21,16 @@
 from olivecourse.emulator.faults import draw
 from olivecourse.modelcheck import places as model
 
-SCRIPT_S = 2.5  # length of a fault script
-SETTLE_S = 12.0  # a run has failed to end if a store is still leased out after this time
-RUNS_A_FLEET = 10  # runs on one fleet before a new one is started
+SCRIPT_S = 2.5  # length of a run's fault script
+SETTLE_S = 12.0  # a run counts as not ended if a store is still leased or out so long after its script
+RUNS_A_FLEET = 10  # consecutive runs on one fleet before the next fleet is started
 
 
 def drains(fleet: Fleet, seed: int) -> dict[str, Any]:
-    """Three to five operators drain a store each at the same time, while faults are injected."""
+    """Runs three to five operators, who drain a store each at the same time, while faults are injected.
+
+    Returns the run's results by name; `over` counts samples with more stores out than the budget allows.
+    """
     rng = random.Random(seed)
     faults = draw(seed, fleet.names, SCRIPT_S)
     over_at_start, began = fleet.over_budget_samples, time.monotonic()
@@ -73,9 +76,10 @@
 
 
 def halts(fleet: Fleet, seed: int) -> dict[str, Any]:
-    """A release starts and is halted at once through another gateway, while a tenth of all datagrams is lost.
+    """Starts a release and halts it at once through another gateway, while a tenth of all datagrams is lost.
 
     Then all processes are killed at the same time, and the halt must still hold when they are back.
+    Returns the run's results by name, as `drains` does.
     """
     rng = random.Random(seed)
     found = {
@@ -133,8 +137,8 @@
 def play(job: tuple[int, int, int, bool, str]) -> list[dict[str, Any]]:
     """Performs consecutive runs on one fleet; every fifth run with coordination is a halted release.
 
-    `job` holds the first seed, the number of runs, the number of gateways, whether they coordinate, and the
-    form of agreement. The last row counts the orders that ran twice.
+    `job` holds the first seed, the number of runs, the number of gateways, whether they coordinate, and
+    how they agree ("majority" or "planner"). The last row of the result counts the orders that ran twice.
     """
     first, count, gateways, agree, agreement = job
     found = []
@@ -159,7 +163,7 @@
 
 
 def release(seed: int, agree: bool, bad: bool, gateways: int = 10) -> dict[str, Any]:
-    """Performs one release on a fleet under load.
+    """Performs one release of a good or (`bad`) faulty version on a fleet under load.
 
     Returns the share of gateways that got the version, and the served share before and during the release.
     Without coordination a script replaces the gateways one by one, each as soon as the previous one is ready.
@@ -210,7 +214,7 @@
 
 
 def cost(members: int, seed: int) -> float:
-    """Returns the datagrams per second that an idle gateway sends, simulated on a virtual clock."""
+    """Returns the datagrams per second that each of `members` idle gateways sends, in virtual time."""
     from random import Random
 
     from olivecourse.rollout.budgets import Budget
@@ -236,12 +240,12 @@
 
 
 def percentile(values: list[float], share: float) -> float | None:
-    """Returns the value below which `share` of the values lie, or None without values."""
+    """Returns the value below which the given share (0 to 1) of the values lie, or None without values."""
     return round(sorted(values)[min(int(len(values) * share), len(values) - 1)], 3) if values else None
 
 
 def run(short: bool, seed: int, trials: int) -> dict[str, Any]:
-    """Performs 1,000 runs, or 16 in the short form, which takes at most 55 s."""
+    """Performs 1,000 runs with faults; the short form performs 16 and takes at most 55 s."""
     runs = trials or (16 if short else 1000)
     runs_per_fleet = min(RUNS_A_FLEET, max(runs // 4, 1))
     sizes = (3, 5, 7)
@@ -296,15 +300,18 @@
 
 
 def repeats(seed: int) -> list[tuple[int, bool, bool]]:
-    """Returns the arguments of `release` for five repeats of a good and of a faulty version.
+    """Returns the arguments (seed, agree, bad) of `release` for five repeats of each kind of release.
 
-    Each is released with and without coordination.
+    The kinds are a good and a faulty version, each with and without coordination.
     """
     return [(seed + n, agree, bad) for n in range(5) for agree in (True, False) for bad in (False, True)]
 
 
 def long_form_results(seed: int, played: list[dict[str, Any]]) -> dict[str, Any]:
-    """Returns the results that only the long form has: releases, and the idle cost per gateway."""
+    """Returns the results that only the long form has: releases, and the idle cost per gateway.
+
+    `played` are the results of `release` for the jobs of `repeats(seed)`.
+    """
     jobs = repeats(seed)
 
     def rows(figure: str, agree: bool, bad: bool) -> list[float]:
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -1,4 +1,6 @@
-"""The cost of the control side as a function of the fleet's size, and its time limits under faults.
+"""Measures what a gateway's control side costs at several fleet sizes, and its time limits under faults.
+
+The control side is all but the request path: polls for discovery events, purges, lists, reloads.
 
 Hundreds of hollow gateways, which run only the control side of the program, and some real ones poll a
 stand-in of the platform's discovery service. Each cost is fitted over four or more sizes. The short form
@@ -31,21 +33,21 @@
 from benchmarks._scale_relays import run_relays
 
 STORES_PURGES_PER_S = 50.0
-BACKLOG_GATEWAYS = 2  # each receives the whole backlog
+BACKLOG_GATEWAYS = 2  # hollow gateways of the backlog axis, each of which receives the whole backlog
 
 
 @dataclass(frozen=True)
 class Sizes:
-    """The sizes of one form of the benchmark; the sizes of an axis are in ascending order."""
+    """The sizes of one form (long or short) of the benchmark; tuples are the ascending sizes of an axis."""
 
     cost_gateways: int
     cost_processes: int
     cost_stores: int
     cost_s: float
     effort: Effort
-    fleet: tuple[int, ...]  # at a low rate of purges
+    fleet: tuple[int, ...]  # numbers of gateways, at the low rate `fleet_purges_s`
     fleet_purges_s: float
-    target_fleet: tuple[int, ...]  # at the target's rate of purges
+    target_fleet: tuple[int, ...]  # numbers of gateways, at the target's rate of purges
     stores: tuple[int, ...]
     purges: tuple[float, ...]
     backlogs: tuple[int, ...]
@@ -61,12 +63,12 @@
     bulks: tuple[int, ...]
     previous: tuple[int, ...]
     previous_bulk: int
-    compile_previous: bool  # compilation takes a minute
-    relay_fleet: tuple[int, ...]  # gateways behind one relay; empty for no axis
+    compile_previous: bool  # whether to compile the previous build, which takes a minute
+    relay_fleet: tuple[int, ...]  # numbers of gateways behind one relay; empty leaves out that axis
     relay_gateways: int  # gateways behind two relays, of which one is killed
     relay_purges_s: float
     relay_stage_s: float
-    relay_backlog: int  # 0 leaves out the backlog and the two levels of relays
+    relay_backlog: int  # purges; 0 leaves out the relay's backlog and the two levels of relays
 
 
 LONG = Sizes(
@@ -143,7 +145,7 @@
         print(f"{time.monotonic() - self._began:6.1f} s  {message}", flush=True)
 
     def elapsed_s(self) -> float:
-        """Seconds since the start."""
+        """Seconds since the benchmark's start."""
         return time.monotonic() - self._began
 
 
@@ -261,7 +263,7 @@
 
 
 def summary(parts: dict[str, Any]) -> dict[str, Any]:
-    """Returns the figures that documents cite, followed by the parts from which they are taken."""
+    """Returns the results: the figures that documents cite, then the results of each part, their sources."""
     cost, faults, backlog, axes = parts["cost"], parts["faults"], parts["backlog"], parts["axes"]
     target, previous = parts["target"], parts["previous"] or {}
     stages = [stage for name, stage in faults["in_force"].items() if name != CALM]
@@ -279,15 +281,15 @@
         "mb_gateway": cost["real_own_mb"],
         "hollow_over_real": cost["hollow_over_real"],
         "hollow_shared_over_real": cost["hollow_shared_over_real"],
-        # Through relays and without a fault.
+        # Through relays, without a fault: the worst of the calm stages.
         "purge_everywhere_ms_p99": max(stage["p99_ms"] for stage in calm_with_relays),
         "purge_everywhere_ms_max": max(stage["max_ms"] for stage in calm_with_relays),
         "purge_everywhere_ms_p99_relay_killed": max(stage["p99_ms"] for stage in killed),
         "purge_everywhere_ms_max_relay_killed": max(stage["max_ms"] for stage in killed),
         "purges_missing_relay_killed": sum(stage["missing"] for stage in killed),
-        "purge_everywhere_ms_p99_direct": calm_without_relays["p99_ms"],  # no relay, no fault
+        "purge_everywhere_ms_p99_direct": calm_without_relays["p99_ms"],  # without relays and faults
         "purge_everywhere_ms_max_direct": calm_without_relays["max_ms"],
-        "purge_everywhere_ms_p99_faults": max(stage["p99_ms"] for stage in stages),  # no relay
+        "purge_everywhere_ms_p99_faults": max(stage["p99_ms"] for stage in stages),  # without relays
         "purge_everywhere_ms_max_faults": max(stage["max_ms"] for stage in stages),
         "config_everywhere_ms_max": max(
             max(point["changes_ms_max"], point["reloads_ms_max"]) for point in changes
--- a/benchmarks/scale_virtual.py
+++ b/benchmarks/scale_virtual.py
@@ -24,17 +24,18 @@
 S = 1_000_000_000
 TARGET_GATEWAYS = 7500
 TARGET_STORES = 1100
-TARGET_REGISTERS = 469  # one table for the gateways of each site
-ZONE_GATEWAYS = 163  # 7,500 gateways in 46 zones
+TARGET_REGISTERS = 469  # number of lease tables: one for the gateways of each site
+ZONE_GATEWAYS = 163  # gateways of a zone: 7,500 in 46 zones
 # Requests a second of one gateway to one store: 6.3 million over 7,500 gateways and 24 stores in a zone.
 ZONE_RATE = 35.0
-# Requests that a store of the target handles at once: 5,700 a second of 0.5 s each, at a load of 0.6.
+# Weight of a store of the target, the requests it can handle at once: 5,700 a second of 0.5 s each are a load
+# of 0.6.
 ZONE_WEIGHT = 4800.0
 REPEATS = 3
 MEMBERS = 5
 MEMBER_NUMBERS = (3, 5, 7, 9)
-MEMBERS_NODES = 400  # size of the fleet in which the number of voting members is varied
-SMALL_WEIGHT = 20.0  # as of a parent today; one gateway's share of it is far below one request
+MEMBERS_NODES = 400  # number of nodes of the fleets with different numbers of voting members
+SMALL_WEIGHT = 20.0  # weight of a parent today; one gateway's share of it is far below one request
 SHARED_WEIGHT = 0.2  # weight per gateway of a store whose weight grows with the fleet
 WARM_S, POLLED_WARM_S, POLLED_S, REGISTERS_S, LEAST_WINDOW_S = 2.0, 2.2, 2.0, 5.0, 2.0
 
@@ -54,13 +55,13 @@
 SHORT_CALL_NODES = (100, 400, 800, 1600)
 SHORT_STEER_NODES = (16, 32, 64, 256)
 
-TABLE_WIDTH = 220  # characters, so that no cell is truncated
+TABLE_WIDTH = 220  # width of printed tables in characters, so that no cell is truncated
 ROLES = ("coordinator", "member", "ordinary")
 Points = list[tuple[float, float]]
 
 
 class Results:
-    """Collects result keys and slopes, and prints tables meanwhile."""
+    """Collects the benchmark's results, single figures (`keys`) and slopes, and prints tables meanwhile."""
 
     def __init__(self) -> None:
         self.keys: dict[str, Any] = {}
@@ -69,7 +70,7 @@
         self._console = Console(width=TABLE_WIDTH)
 
     def slope(self, name: str, points: Points, target: float) -> None:
-        """Fits a slope to points (size, cost), to be extrapolated to the size `target`."""
+        """Fits the slope `name` to points (size, cost); `slope_rows` extrapolates it to the size `target`."""
         self.slopes[name], self.targets[name] = fit(points), target
 
     def table(self, title: str, columns: Sequence[str], rows: Iterable[Sequence[object]]) -> None:
@@ -83,7 +84,7 @@
         self._console.print(table)
 
     def slope_rows(self) -> dict[str, dict[str, Any]]:
-        """Returns all slopes with their extrapolations, under their names in the results."""
+        """Returns all slopes with their extrapolations, by the names that they have in the results."""
         rows = {}
         for name, slope in self.slopes.items():
             size = self.targets[name]
@@ -107,9 +108,10 @@
 
 
 def measure_ramp(results: Results, sizes: Sequence[int], seeds: Sequence[int], shared_seeds: int) -> None:
-    """Measures slow starts of all load shapes and server kinds at all sizes.
+    """Simulates slow starts of stores and of parents, under steady load and after a rush.
 
-    With the first `shared_seeds` seeds it also measures stores whose weight grows with the fleet.
+    `sizes` are the numbers of gateways. With the first `shared_seeds` seeds it also simulates servers whose
+    weight grows with the fleet.
     """
     outcomes: list[tuple[ramp.Case, ramp.Outcome]] = []
     for gateways in sizes:
@@ -198,7 +200,7 @@
 
 
 def measure_zone(results: Results, seeds: Sequence[int]) -> None:
-    """Measures slow starts in a zone of the target, with its gateways, weights and request rates."""
+    """Simulates slow starts in one zone of the target, with its number of gateways, weights and rates."""
     rows = []
     for parent, kind in ((False, "store"), (True, "parent")):
         found = [
@@ -246,7 +248,7 @@
 
 
 def measure_ramp_memory(results: Results, sizes: Sequence[int], seeds: Sequence[int]) -> None:
-    """Measures the memory of all routers during a slow start over the number of gateways."""
+    """Measures the memory of all gateways' routers in a slow start, over the number of gateways."""
     points: Points = []
     for gateways in sizes:
         for seed in seeds:
@@ -259,7 +261,10 @@
 
 
 def measure_agreement(results: Results, sizes: Sequence[int], seeds: Sequence[int]) -> None:
-    """Measures the load of each role, the propagation of a change, and memory, over the number of nodes."""
+    """Measures the rollout agreement over the number of nodes.
+
+    Measured are the load of each role, the propagation of a change, and memory.
+    """
     rows, points = [], dict[str, Points]()
     for nodes in sizes:
         found = [_one_fleet(nodes, MEMBERS, seed) for seed in seeds]
@@ -311,7 +316,7 @@
 
 
 def _one_fleet(nodes: int, members: int, seed: int) -> dict[str, float]:
-    """Measures one fleet.
+    """Measures the rollout agreement of one simulated fleet; returns the figures by name.
 
     The loads of ordinary nodes, and the datagrams that members send, are measured over a full heartbeat
     period. The datagrams that members receive, and their processor time, are measured while all nodes poll
@@ -319,7 +324,7 @@
     """
     fleet = agreement.Fleet(nodes, members, seed)
     period_s = fleet.period_ns / S
-    fleet.run(period_s + WARM_S)  # every member has received a heartbeat of every node
+    fleet.run(period_s + WARM_S)  # by then every voting member has received a heartbeat of every node
     whole_period = fleet.loads(max(period_s, LEAST_WINDOW_S))
     found = _load_keys("ordinary", whole_period["ordinary"])
     spread = fleet.spread()
@@ -335,7 +340,7 @@
     )
     found |= dict(zip(SPREAD_KEYS, values, strict=True))
     fleet.poll_all(True)
-    fleet.run(POLLED_WARM_S)  # a node that does not vote waits 1.8 s before it polls
+    fleet.run(POLLED_WARM_S)  # a node without a vote starts to poll the members after 1.8 s
     loads = fleet.loads(POLLED_S)
     for role in ("coordinator", "member"):
         found |= _load_keys(role, loads[role])
@@ -354,7 +359,7 @@
 
 
 def measure_members(results: Results, seeds: Sequence[int]) -> None:
-    """Measures the loads for several numbers of voting members, whose range is too small for a slope."""
+    """Measures the loads of each role for 3 to 9 voting members, too small a range to fit a slope."""
     rows = []
     for members in MEMBER_NUMBERS:
         found = [_one_fleet(MEMBERS_NODES, members, seed) for seed in seeds]
@@ -390,7 +395,11 @@
 def measure_registers(
     results: Results, sizes: Sequence[int], spread_sizes: Sequence[int], seeds: Sequence[int]
 ) -> None:
-    """Measures the loads with a lease table for each site of 16 gateways, as after a release."""
+    """Measures the loads of each role over the number of nodes, with a lease table for every 16 of them.
+
+    Every site of 16 gateways has a table after a release. `spread_sizes` are the numbers of nodes for which
+    the propagation of a change is measured.
+    """
     rows, points = [], {role: Points() for role in ROLES}
     for nodes in sizes:
         registers = -(-nodes // agreement.SITE_GATEWAYS)
@@ -442,7 +451,7 @@
 
 
 def measure_calls(results: Results, nodes: Sequence[int], steer_nodes: Sequence[int], repeats: int) -> None:
-    """Measures calls that are made for every tick, heartbeat or scan, over the size that each depends on."""
+    """Measures the processor time of frequent calls of the rollout agreement, over the size it depends on."""
     calls: tuple[tuple[str, Callable[[int], float], Sequence[int], float], ...] = (
         ("release_tick_cpu_ms", agreement.release_tick_cpu_ms, nodes, TARGET_GATEWAYS),
         ("release_steer_cpu_ms", agreement.release_steer_cpu_ms, steer_nodes, TARGET_GATEWAYS),
@@ -465,8 +474,8 @@
 def run(short: bool, seed: int, trials: int) -> dict[str, Any]:
     """Runs all measurements.
 
-    The short form takes under 30 s, the long form 8 minutes and 2 GB. `trials` is the number of repeats, at
-    least three.
+    The short form takes under 30 s, the long form 8 minutes and 2 GB. `trials` is the number of repeats of
+    each measurement, at least three.
     """
     began, results = time.process_time(), Results()
     seeds = [seed + number for number in range(max(trials, REPEATS))]
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -1,4 +1,4 @@
-"""Repeated upgrades of a gateway under load: a second process becomes ready, then the first gets SIGTERM.
+"""Upgrades a gateway repeatedly under load: a second process becomes ready, then the first gets SIGTERM.
 
 Results are counted at the clients and at the stand-in stores. A store is drained by hand just before or
 during each upgrade, and the drain is ended after it. For comparison the benchmark also measures the first
@@ -17,13 +17,13 @@
 from benchmarks._program import Gateway
 from benchmarks._staff import GatewaySite, killed_at_exit
 
-RATE = 150.0  # requests a second
-GRACE_S = 0.3  # grace period of a drain, including 50 ms for sockets
-GAP_S = 0.6  # seconds of load between two upgrades
+RATE = 150.0  # requests a second of the load
+GRACE_S = 0.3  # time after which a drained store must get no request: 250 ms, and 50 ms for sockets
+GAP_S = 0.6  # load without a change between two upgrades
 
 
 def play(upgrades: int, seed: int, hand_over: bool) -> dict[str, Any]:
-    """Performs a number of upgrades and returns the counts.
+    """Performs `upgrades` upgrades under load and returns the results, mostly counts, by name.
 
     With `hand_over` the two processes share `$TMPDIR`, so that the old one hands its clients over to the
     new one.
@@ -97,7 +97,7 @@
 
 
 def run(short: bool, seed: int, trials: int) -> dict[str, Any]:
-    """Measures upgrades with and without a hand-over; the short form takes at most 120 s."""
+    """Measures upgrades with a hand-over and, for comparison, without; the short form takes at most 120 s."""
     upgrades = trials or (12 if short else 60)
     without_hand_over = play(max(upgrades // 3, 1), seed, hand_over=False)
     found = play(upgrades, seed, hand_over=True)
