--- a/benchmarks/_capacity_page.py
+++ b/benchmarks/_capacity_page.py
@@ -86,7 +86,7 @@
 
 
 def number(value: float) -> str:
-    """Formats a number with three significant digits, or as a whole number from 1,000 on."""
+    """Formats a number for the page: three significant digits, from 1,000 on a whole number."""
     return f"{value:,.0f}" if abs(value) >= 1000 else f"{value:.3g}"
 
 
@@ -98,7 +98,10 @@
 
 
 def ranking(results: Mapping[str, Any]) -> str:
-    """Renders the rows with the largest shares of their budgets, first those of the target, then bounds."""
+    """Renders a table of the rows that use the largest shares of their budgets.
+
+    First come RANKED rows of the target, then the worst cases that do not occur in it (`Row.bound`).
+    """
     entries = [
         (row.bound, -part, name, row, figure)
         for name, rows in TABLES.items()
--- a/benchmarks/_capacity_router.py
+++ b/benchmarks/_capacity_router.py
@@ -26,7 +26,7 @@
 STORE, PARENT, ORIGIN = 0, 1, 2
 OWN_ZONE = 0
 HUB_ZONE = ZONES
-OWN_STORES = 24  # 1,100 stores in 46 zones
+OWN_STORES = 24  # stores in the gateway's own zone: 1,100 in 46 zones
 GATEWAYS_A_ZONE = 163
 OBJECTS = 20_000  # number of different objects that random requests name
 STEP_NS = 1_190_000  # simulated time between two requests, for 840 requests a second
@@ -145,7 +145,7 @@
             self.router.handle(self.ask(), self.now)
 
     def tick(self) -> None:
-        """Advances the clock by 100 ms and runs the Router's periodic tick."""
+        """Advances the manual clock by 100 ms and runs the tick that a Router gets so often."""
         self.now += TICK_NS
         self.router.handle(w.TimerFired(0), self.now)
 
--- a/benchmarks/_capacity_rows.py
+++ b/benchmarks/_capacity_rows.py
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True)
 class Row:
-    """One row of a table on the page.
+    """One row of a table of `docs/CAPACITY.md`.
 
     `times` converts the source's unit to the row's unit. `mechanism` names what determines the figure, and
     `following` the mechanism that would improve it next. With `bound` the row is a worst case that does not
@@ -81,7 +81,7 @@
     bound: bool = False
 
     def figure(self, results: Mapping[str, Any]) -> Figure | None:
-        """Returns the row's figure in its unit, or None if it has not been measured."""
+        """Returns the row's figure in the row's unit, or None if no committed result has it."""
         found = self.source.figure(results)
         return None if found is None else found.times(self.times)
 
--- a/benchmarks/_capacity_traffic.py
+++ b/benchmarks/_capacity_traffic.py
@@ -69,7 +69,10 @@
     """A client that sends one request at a time on one connection until `stop`, and counts the answers."""
 
     def __init__(self, port: int, kb: float, seed: str) -> None:
-        """`seed` must differ between clients: it determines request ids, which a gateway accepts once."""
+        """`kb` is the expected size of each answer, stated in the request.
+
+        `seed` must differ between clients: it determines request ids, which a gateway accepts only once.
+        """
         super().__init__(daemon=True)
         self._random, self._kb = Random(seed), kb
         self._sock = socket.create_connection(("127.0.0.1", port), timeout=TIMEOUT_S)
--- a/benchmarks/_deployment.py
+++ b/benchmarks/_deployment.py
@@ -93,13 +93,16 @@
         return self._process.call(command, **more)
 
     def open(self, name: str, muted: bool = False) -> str:
-        """Opens a port for a group and returns its address; a muted port announces no events."""
+        """Opens a port for a group of pollers and returns its `HOST:PORT`.
+
+        A muted port answers polls without events.
+        """
         number = self.call("port", name=name, muted=muted)["port"]
         self._ports[name] = (number, muted)
         return f"127.0.0.1:{number}"
 
     def address(self, name: str) -> str:
-        """Returns the address of a group's port, which is opened if needed."""
+        """Returns the `HOST:PORT` that the gateways of the group `name` poll; opens the port if needed."""
         return f"127.0.0.1:{self._ports[name][0]}" if name in self._ports else self.open(name)
 
     def state(self) -> JsonObject:
--- a/benchmarks/_fleet.py
+++ b/benchmarks/_fleet.py
@@ -194,7 +194,7 @@
         )
 
     def pid(self, name: str) -> int | None:
-        """Returns the process id of a gateway, or None if it is not running."""
+        """Returns the process id of the gateway `name`, or None if it is not running."""
         gateway = self.running.get(name)
         return gateway.process.pid if gateway is not None and gateway.process.poll() is None else None
 
--- a/benchmarks/_hollow.py
+++ b/benchmarks/_hollow.py
@@ -57,7 +57,7 @@
         self.longest_us = 0
 
     def add(self, published_us: int, now_us: int) -> None:
-        """Adds the time from a publication until now, both in microseconds of time.monotonic."""
+        """Counts the time from `published_us` to `now_us`, both in microseconds of time.monotonic."""
         elapsed_us = max(now_us - published_us, 0)
         self._counts[min(elapsed_us // 1_000, LONGEST_MS)] += 1
         self.total += 1
@@ -309,7 +309,7 @@
 
 
 def compiled() -> bool:
-    """Whether this process has imported the compiled modules of the program."""
+    """Whether this process has imported the modules of .native/, which mypyc compiled, not the sources."""
     import olivecourse.core.planner as planner
 
     return not str(planner.__file__).endswith(".py")
--- a/benchmarks/_hollow_process.py
+++ b/benchmarks/_hollow_process.py
@@ -89,7 +89,7 @@
 
 
 def main(arguments: dict[str, Any]) -> None:
-    """Runs the gateways until the benchmark closes standard input."""
+    """Runs hollow gateways until the parent, a benchmark, closes standard input."""
     fleet = HollowFleet(arguments["config"], arguments["first"], arguments.get("boards", ()))
     commands = Commands(fleet, arguments.get("seed", 1))
     alone = arguments["count"] == 1
--- a/benchmarks/_observer.py
+++ b/benchmarks/_observer.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class Purge:
-    """A purge of object `name`, published at `at_s` of time.monotonic, which is `unix_ms` in Unix time."""
+    """A purge of the object `name`, published at `at_s` (time.monotonic, s) or `unix_ms` (Unix time, ms)."""
 
     name: str
     at_s: float
--- a/benchmarks/_processes.py
+++ b/benchmarks/_processes.py
@@ -67,7 +67,7 @@
         return self.process.pid
 
     def wait_started(self) -> JsonObject:
-        """Waits until the process is ready for commands and returns the message that announced it."""
+        """Waits until the child process is ready for commands; returns its JSON message that says so."""
         self.started = self.started or self._receive()
         return self.started
 
--- a/benchmarks/_program.py
+++ b/benchmarks/_program.py
@@ -16,7 +16,7 @@
 
 
 class Gateway:
-    """`python -m olivecourse serve` as a process; a thread reads its log.
+    """`python -m olivecourse serve` as a child process; a thread reads its log into `lines`.
 
     `operator` is the path of an operator's configuration file; if it is None, the command line has only
     `arguments`.
--- a/benchmarks/_scale_axes.py
+++ b/benchmarks/_scale_axes.py
@@ -153,7 +153,7 @@
     report: Progress,
     prepare: Callable[[Deployment], None] = lambda fleet: None,
 ) -> Axis:
-    """Measures costs as a function of the number of gateways, adding more gateways for each size.
+    """Measures costs as a function of the number of gateways; for each size it adds gateways to the fleet.
 
     `prepare` is called before the first gateway starts and may replace the poll servers of the deployment.
     """
@@ -219,7 +219,10 @@
 def backlog_axis(
     folder: Path, seed: int, sizes: Sequence[int], gateways: int, effort: Effort, report: Progress
 ) -> Axis:
-    """Measures the cost of catching up as a function of the events that a gateway missed while cut off."""
+    """Measures what receiving a backlog costs, as a function of the events in it.
+
+    The gateways have missed them while they were cut off from discovery.
+    """
     axis = Axis("backlog", {"gateways": gateways, "stores": 70})
     for size in sizes:
         with Deployment(folder / f"backlog-{size}", store_list(70), seed) as fleet:
--- a/benchmarks/_scale_faults.py
+++ b/benchmarks/_scale_faults.py
@@ -20,7 +20,7 @@
 DOWN_S = 0.5  # how long the killed poll server is down
 LATE_SHARE, LATE_S = 0.5, 1.0  # share of poll answers that are sent late, and their delay
 BACK_S = 1.0  # how long gateways may take to poll again after a fault
-HOT_EVERY = 10  # one in this many purges names an object that clients request
+HOT_EVERY = 10  # every so many purges, one is of an object that clients request
 CALM = "calm"  # name of the stage without a fault in the results
 RESTARTED = 0.1  # share of hollow gateways that restart in the restart stage
 
@@ -50,7 +50,7 @@
         return EVERYWHERE_S if slow else GRACE_S
 
     def restart_tenth(self) -> None:
-        """Restarts a tenth of the hollow gateways of the main group at once."""
+        """Restarts a tenth of the hollow gateways of the group MAIN at once, and waits for it."""
         self.record("a tenth of the hollow gateways restarts at once")
         hollows = [candidate for candidate in self.fleet.hollows if candidate.group == MAIN]
         for hollow in hollows:
--- a/benchmarks/_scale_relays.py
+++ b/benchmarks/_scale_relays.py
@@ -31,7 +31,7 @@
 
 
 class Relay:
-    """`olivecourse serve --role relay` as a process."""
+    """A relay as a child process: `olivecourse serve --role relay`."""
 
     def __init__(self, folder: Path, name: str, upstreams: Sequence[str], reports: bool) -> None:
         """Starts the relay; it polls `upstreams`, the addresses of discovery or of relays.
@@ -59,7 +59,7 @@
         return self.gateway.process.poll() is None
 
     def address(self) -> str:
-        """Waits until the relay is ready and returns the address that gateways poll."""
+        """Waits until the relay is ready and returns the `HOST:PORT` that gateways poll."""
         return f"127.0.0.1:{self.gateway.port()}"
 
     def status(self) -> JsonObject:
--- a/benchmarks/_slopes.py
+++ b/benchmarks/_slopes.py
@@ -17,7 +17,7 @@
 MIN_SIZES = 4  # fewest different sizes that may be fitted
 MIN_SIZE_FACTOR = 16.0  # least ratio of the largest to the smallest size
 MIN_REPEATS = 3  # fewest measurements at each size
-CONFIDENCE = 0.95  # level of every confidence interval
+CONFIDENCE = 0.95  # confidence level of every interval that a fit gives
 SIGNIFICANCE = 0.05  # significance level at which a quadratic term counts as present
 MAX_BEND = 0.05  # a fitted parabola closer to the line, as a share of the largest cost, counts as a line
 MAX_RESIDUAL = 0.25  # a point that differs more from the line, as a share of its cost, means: no line
@@ -51,7 +51,7 @@
     slope_half: float  # half-width of the 95 % interval of the slope
 
     def at(self, x: float) -> float:
-        """Returns the value of the line at x."""
+        """Returns the cost that the line gives at x."""
         return self.mean_y + self.slope * (x - self.mean_x)
 
     def half_at(self, x: float) -> float:
--- a/benchmarks/_standin_discovery.py
+++ b/benchmarks/_standin_discovery.py
@@ -29,7 +29,7 @@
 READ, WRITE = select.EPOLLIN, select.EPOLLOUT
 TAG_BITS = 48  # bits of a purged object's name that hold its publication time: time.monotonic in us
 SERIAL_BITS = 16
-MAX_CACHED_BYTES = 1 << 16  # answers up to this length are cached for other polls at the same revision
+MAX_CACHED_BYTES = 1 << 16  # responses up to this length are cached, for other polls with the same revision
 
 
 def tag(monotonic_ns: int, serial: int) -> str:
@@ -357,7 +357,7 @@
     """Publishes purges at a constant rate: most of unique names by `tag`, some of requested objects."""
 
     def __init__(self, service: DiscoveryService, on_named_purge: Callable[[str, int, int], None]) -> None:
-        """`on_named_purge(name, monotonic ns, Unix ms)` is called for each purge of a requested object."""
+        """`on_named_purge(name, monotonic_ns, unix_ms)` is called for each purge of one of `names`."""
         self._service, self._on_named_purge = service, on_named_purge
         self._rate, self._due, self._until = 0.0, 0.0, 0.0
         self._names: list[str] = []
--- a/benchmarks/_virtual_ramp.py
+++ b/benchmarks/_virtual_ramp.py
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One simulated slow start.
+    """The parameters of one simulated slow start.
 
     `parent` selects cold parents instead of cold stores. `weight` is the number of requests that a warm
     server can handle at once. With the `shape` "steady" requests arrive at a constant rate, with "rush"
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -233,7 +233,7 @@
 
 
 def run(short: bool, seed: int, trials: int) -> dict[str, Any]:
-    """Runs all measurements; the short form takes under 20 s.
+    """Runs all measurements and returns the results by name; the short form takes under 20 s.
 
     `trials` is the number of repeats of each measurement, at least three.
     """
--- a/benchmarks/holders.py
+++ b/benchmarks/holders.py
@@ -20,7 +20,8 @@
 from olivecourse.ring import Ring
 from olivecourse.state import Node
 
-# A site has 3 or 4 stores. REQUESTS_AFTER is the number of requests counted after the change.
+# A real site has 3 or 4 stores. CACHED_OBJECTS and SUMMARY_OBJECTS are per store; REQUESTS_AFTER is the
+# number of requests counted after the change of the ring.
 STORES, OBJECTS, CACHED_OBJECTS, SUMMARY_OBJECTS, REQUESTS_AFTER = 4, 40_000, 2_500, 512, 2_000
 
 
--- a/benchmarks/notice.py
+++ b/benchmarks/notice.py
@@ -24,7 +24,7 @@
 
 
 def _flash_crowd(bin_index: int) -> Bin:
-    """Four times the usual first attempts, most of them served; refused clients seldom retry."""
+    """Four times the usual first attempts, most of them served, with few retries; no retry storm."""
     return (70.0, 4.0, 0.8) if 200 <= bin_index < 400 else _calm(bin_index)
 
 
@@ -34,7 +34,7 @@
 
 
 def _waves(bin_index: int) -> Bin:
-    """Bursts of first attempts at regular intervals, nearly all of them served."""
+    """Bursts of first attempts, 0.5 s in every 5 s, nearly all of them served; no retry storm."""
     return (60.0, 0.3, 0.97) if bin_index % 50 < 5 else (13.0, 0.3, 0.98)
 
 
@@ -44,7 +44,7 @@
 
 
 def _synchronous(bin_index: int) -> Bin:
-    """A retry storm in which all clients retry at the same time."""
+    """A retry storm in which all clients retry at the same time, once a second."""
     return (17.0, 500.0 if bin_index % 10 == 0 else 2.0, 0.1) if 200 <= bin_index < 350 else _calm(bin_index)
 
 
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -135,7 +135,7 @@
 
 
 def play(job: tuple[int, int, int, bool, str]) -> list[dict[str, Any]]:
-    """Performs consecutive runs on one fleet; every fifth run with coordination is a halted release.
+    """Performs consecutive runs of `drains` on one fleet; with coordination every fifth one is of `halts`.
 
     `job` holds the first seed, the number of runs, the number of gateways, whether they coordinate, and
     how they agree ("majority" or "planner"). The last row of the result counts the orders that ran twice.
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -65,7 +65,7 @@
     previous_bulk: int
     compile_previous: bool  # whether to compile the previous build, which takes a minute
     relay_fleet: tuple[int, ...]  # numbers of gateways behind one relay; empty leaves out that axis
-    relay_gateways: int  # gateways behind two relays, of which one is killed
+    relay_gateways: int  # number of gateways behind two relays, of which one is killed
     relay_purges_s: float
     relay_stage_s: float
     relay_backlog: int  # purges; 0 leaves out the relay's backlog and the two levels of relays
@@ -136,7 +136,7 @@
 
 
 class Progress:
-    """Prints progress messages with the seconds since the start."""
+    """Prints progress messages, each with the seconds since the benchmark's start."""
 
     def __init__(self) -> None:
         self._began = time.monotonic()
--- a/benchmarks/scale_virtual.py
+++ b/benchmarks/scale_virtual.py
@@ -26,7 +26,8 @@
 TARGET_STORES = 1100
 TARGET_REGISTERS = 469  # number of lease tables: one for the gateways of each site
 ZONE_GATEWAYS = 163  # gateways of a zone: 7,500 in 46 zones
-# Requests a second of one gateway to one store: 6.3 million over 7,500 gateways and 24 stores in a zone.
+# Requests a second of one gateway to one store: the target's 6.3 million, divided by 7,500 gateways and by
+# the 24 stores of a zone.
 ZONE_RATE = 35.0
 # Weight of a store of the target, the requests it can handle at once: 5,700 a second of 0.5 s each are a load
 # of 0.6.
@@ -74,7 +75,7 @@
         self.slopes[name], self.targets[name] = fit(points), target
 
     def table(self, title: str, columns: Sequence[str], rows: Iterable[Sequence[object]]) -> None:
-        """Prints a Markdown table with a title."""
+        """Prints a Markdown table of results with a title."""
         table = Table(box=box.MARKDOWN)
         for number, column in enumerate(columns):
             table.add_column(column, justify="right" if number else "left", no_wrap=True)
--- a/build_native.py
+++ b/build_native.py
@@ -1,4 +1,4 @@
-"""Compiles the performance-critical modules with mypyc into .native/, a complete copy of the package.
+"""Compiles the performance-critical modules of olivecourse with mypyc, in a copy of the package, .native/.
 
 Tests and the simulator's adapter run the sources themselves. If the compilation fails, for example because a
 compiler is missing, .native/ holds the uncompiled modules, which are slower and behave the same. The script
--- a/olivecourse/emulator/board.py
+++ b/olivecourse/emulator/board.py
@@ -49,7 +49,7 @@
             self._drop(conn)
 
     def resume(self) -> None:
-        """Listens again on the same port after `refuse`."""
+        """Accepts connections of gateways again, on the same port, after `refuse`."""
         self._sock = socket.create_server(("127.0.0.1", self._port), backlog=64)
         self._listen()
 
--- a/olivecourse/emulator/clients.py
+++ b/olivecourse/emulator/clients.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class Sort:
-    """A class of requests as the clients send it.
+    """A request class as emulated clients send it.
 
     `share` is its weight relative to the other classes' shares, and `deadline_ms` the time from sending a
     request to its deadline. With `write` its requests carry a body. `sized_per_ten` of ten requests, chosen
--- a/olivecourse/emulator/deployments.py
+++ b/olivecourse/emulator/deployments.py
@@ -11,7 +11,7 @@
 
 from olivecourse.emulator.clients import Sort
 
-MS, S = 1_000_000, 1_000_000_000  # nanoseconds
+MS, S = 1_000_000, 1_000_000_000  # nanoseconds in a millisecond, in a second
 HUB_ZONES = ("north", "central", "south", "hub-nord", "hub-sud", "east", "coast")
 EDGE_ZONES = ("praia", "edge-1", "office-7", "north-2", "da-nang")
 CLASS_NAMES = (
@@ -67,7 +67,7 @@
     hubs = rng.sample(HUB_ZONES, rng.randint(1, 5))
     offices = rng.sample(EDGE_ZONES, rng.randint(1, 2))
     if rng.random() < 0.1:
-        hubs[0] = offices[0]  # a hub with the name of an edge zone
+        hubs[0] = offices[0]  # one name for a hub zone and an edge zone, which settings may have
     sorts, profiles, per_class = _classes(rng)
     parents = rng.randint(0, len(hubs))
     direct = rng.random() < 0.6
--- a/olivecourse/emulator/stores.py
+++ b/olivecourse/emulator/stores.py
@@ -247,7 +247,7 @@
             self.turn(end)
 
     def close(self) -> None:
-        """Closes all connections, the stores' sockets and the selector."""
+        """Closes all connections to stores, the stores' listening sockets and the selector."""
         for conn in list(self._connections):
             self._drop(conn)
         for store in self.stores:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,7 +6,7 @@
 from olivecourse import interface as w
 from olivecourse.choice import Router
 
-# Property tests use the same examples in every run, so that their results are reproducible.
+# Hypothesis tests use the same examples in every run, so that their results are reproducible.
 hypothesis.settings.register_profile("fixed", derandomize=True, database=None, deadline=None)
 hypothesis.settings.load_profile("fixed")
 
