--- a/benchmarks/_capacity_memory.py
+++ b/benchmarks/_capacity_memory.py
@@ -19,7 +19,7 @@
 from olivecourse.core.requests import RequestTracker
 from olivecourse.gateway import LoopTimers
 from olivecourse.net.loop import Loop
-from olivecourse.net.stores import Limits, Pool, StoreStream
+from olivecourse.net.server_pool import ConnectionLimits, ServerPool, StoreConnection
 from olivecourse.sending_times import SendingTimes
 from olivecourse.sketch import HyperLogLog, LossyCounter
 
@@ -167,26 +167,26 @@
         tracker = RequestTracker(
             router_settings, LoopTimers(self.loop), lambda event: None, _silent, max_open_requests=16
         )
-        limits = Limits(5_000 * MS, 60_000 * MS, 100, 24, 4096)
+        limits = ConnectionLimits(5_000 * MS, 60_000 * MS, 100, 24, 4096)
         self.directory = directory(seed)
-        self.pool = Pool(self.loop, self.directory, tracker, limits, ["read"], (), _silent)
+        self.pool = ServerPool(self.loop, self.directory, tracker, limits, ["read"], (), _silent)
         self._listening = socket.create_server(("127.0.0.1", 0), backlog=512)
 
-    def add(self, count: int) -> list[StoreStream]:
+    def add(self, count: int) -> list[StoreConnection]:
         """Opens `count` connections and returns them.
 
         Raises RuntimeError if they are not all established within CONNECT_TIMEOUT_S.
         """
         host, port = self._listening.getsockname()
-        created = list[StoreStream]()
+        created = list[StoreConnection]()
         for _ in range(count):
-            created.append(StoreStream(self.pool, STORE, (host, port)))
+            created.append(StoreConnection(self.pool, STORE, (host, port)))
         give_up_at = time.monotonic() + CONNECT_TIMEOUT_S
         while any(stream.connecting for stream in created):
             if time.monotonic() > give_up_at:
                 raise RuntimeError("connections on loopback were not made")
             self.loop.turn(MS)
-        self.pool._stores[STORE] = created
+        self.pool._connections[STORE] = created
         self.directory.states[STORE] = interface.State.READY
         self.directory.addresses[STORE] = (host, port)
         return created
@@ -197,8 +197,8 @@
 
     def close(self) -> None:
         """Closes all connections of the pool and the listening socket."""
-        for stream in self.pool._stores.get(STORE, []):
-            self.loop.forget(stream.sock)
+        for stream in self.pool._connections.get(STORE, []):
+            self.loop.unwatch(stream.sock)
             stream.sock.close()
         self._listening.close()
         self.loop.close()
--- a/benchmarks/_capacity_router.py
+++ b/benchmarks/_capacity_router.py
@@ -20,7 +20,7 @@
 from olivecourse import interface
 from olivecourse.choice import Router
 from olivecourse.core.planner import Planner
-from olivecourse.net.seam import unpack, write_batch
+from olivecourse.net.planner_link import decode_message, encode_batch
 
 MS, S = 1_000_000, 1_000_000_000
 STORE, PARENT, ORIGIN = 0, 1, 2
@@ -325,15 +325,15 @@
     def batch(self, planner: Planner, events: list[interface.Event], now: int) -> list[interface.Action]:
         """Encodes events as the forwarder does, lets the planner decide, and returns its decoded actions."""
         began = time.process_time()
-        line = write_batch(now, events)
+        line = encode_batch(now, events)
         written = time.process_time()
-        read = [unpack(row) for row in json.loads(line)[1]]
+        read = [decode_message(row) for row in json.loads(line)[1]]
         taken = time.process_time()
         made = planner.decide(read, now)
         decided = time.process_time()
-        reply = write_batch(now, made)
+        reply = encode_batch(now, made)
         replied = time.process_time()
-        actions: list[interface.Action] = [unpack(row) for row in json.loads(reply)[1]]
+        actions: list[interface.Action] = [decode_message(row) for row in json.loads(reply)[1]]
         ended = time.process_time()
         self.out_bytes += len(line)
         self.back_bytes += len(reply)
--- a/benchmarks/_capacity_target.py
+++ b/benchmarks/_capacity_target.py
@@ -4,7 +4,7 @@
 
 from olivecourse.core import descriptors
 from olivecourse.core.descriptors import MAX_CONNECTIONS_PER_STORE
-from olivecourse.net.stores import MOST_BODY
+from olivecourse.net.server_pool import MAX_BODY_BYTES
 from olivecourse.rollout.liveness import MISSED_HEARTBEATS_LIMIT, LivenessTracker
 from olivecourse.sending_times import MAX_OBJECTS as MOST_SIZES
 
@@ -32,7 +32,7 @@
         "mbit_s_gateway": BITS_PER_S / GATEWAYS / 1e6,
         "gbit_s_store": BITS_PER_S / STORES / 1e9,
         "kb_request": BITS_PER_S / 8 / REQUESTS_PER_S / 1e3,
-        "bodies_request": BITS_PER_S / 8 / REQUESTS_PER_S / MOST_BODY,
+        "bodies_request": BITS_PER_S / 8 / REQUESTS_PER_S / MAX_BODY_BYTES,
         "core_us_request": 1e6 * GATEWAYS / REQUESTS_PER_S,
         "gateways_zone": round(GATEWAYS / ZONES),
         "gateways_region": round(GATEWAYS / REGIONS),
--- a/benchmarks/_hollow.py
+++ b/benchmarks/_hollow.py
@@ -87,7 +87,7 @@
         self._fallback_addresses = tuple(parse_address(text) for text in fallback_addresses)
         self.config = self._read()
         self.loop = Loop()
-        self.loop.faulted = self._faulted
+        self.loop.on_fault = self._faulted
         self.batch: list[interface.Event] = []
         self.logged: list[str] = []
         self.events = 0  # number of discovery events applied since the gateway's start
@@ -153,11 +153,13 @@
         loop = self.loop
         loop.turn(0)
         self.decide()
-        loop.lag_ns = loop.clock.now() - loop._woke  # set as in `Loop.run`, because polls are paced by it
-        loop.longest_ns = max(loop.longest_ns, loop.lag_ns)
+        loop.lag_ns = (
+            loop.clock.now() - loop._turn_started_at
+        )  # set as in `Loop.run`, because polls are paced by it
+        loop.longest_turn_ns = max(loop.longest_turn_ns, loop.lag_ns)
         if loop._next:  # work that was cut into slices continues in the next turn
             return 0
-        return loop.wheel.wait_ns(loop.clock.now())
+        return loop.timers.wait_ns(loop.clock.now())
 
     @property
     def rev(self) -> int:
--- a/build_native.py
+++ b/build_native.py
@@ -30,18 +30,18 @@
     "discovery/event_stream",
     "discovery/pacing",
     "net/loop",
-    "net/wheel",
-    "net/ringbuf",
+    "net/timers",
+    "net/ring_buffer",
     "net/stream",
-    "net/stores",
+    "net/server_pool",
     "net/discovery_client",
     "net/peers",
     "fronts/thrift",
     "fronts/listener",
     "fronts/signed",
     "ops/door",
-    "net/seam",
-)  # fronts/signed, ops/door, net/seam: compiled because they subclass compiled classes
+    "net/planner_link",
+)  # fronts/signed, ops/door, net/planner_link: compiled because they subclass compiled classes
 RELAY = (
     "relay/event_log",
     "relay/history",
--- a/olivecourse/components.py
+++ b/olivecourse/components.py
@@ -24,7 +24,7 @@
 
     from olivecourse.config.discovery_events import ServerDirectory
     from olivecourse.core.requests import RequestTracker
-    from olivecourse.net.stores import Pool
+    from olivecourse.net.server_pool import ServerPool
 
 MS = 1_000_000
 # Interval between checks of the inventory file and the key file for changes.
@@ -39,7 +39,7 @@
     loop: Loop
     log: Callable[..., None]
     tracker: RequestTracker
-    pool: Pool
+    pool: ServerPool
     directory: ServerDirectory
     conf_loaded: int
     conf_invalid: int
@@ -265,11 +265,11 @@
 
     def on_reload(self, old: Config) -> None:
         if self.peers is not None:
-            self.peers.move(self.gateway.config.peers, self.gateway.config.peers_all)
+            self.peers.replace_addresses(self.gateway.config.peers, self.gateway.config.peers_all)
 
     def execute_action(self, action: interface.TellPeer) -> None:
         if self.peers is not None:
-            self.peers.tell(action)
+            self.peers.send(action)
 
     def on_clients_handed_over(self) -> None:
         """Closes the socket for datagrams from peers, since otherwise the operating system would still
@@ -321,7 +321,7 @@
         )
 
     def start(self, front: Listener) -> None:
-        front.names = True
+        front.identifies_clients = True
 
 
 def modification_time_ns(path: str | None) -> int:
--- a/olivecourse/control_plane.py
+++ b/olivecourse/control_plane.py
@@ -97,7 +97,7 @@
         elif self.discovery is None:
             self._poll(new_config.board)
         else:
-            self.discovery.move(new_config.board, new_config.boards)
+            self.discovery.replace_addresses(new_config.board, new_config.boards)
 
     def stop(self) -> None:
         """Stops polling discovery. The revision of the last event received is kept, so that a later discovery
--- a/olivecourse/fronts/listener.py
+++ b/olivecourse/fronts/listener.py
@@ -14,20 +14,20 @@
 from olivecourse import interface
 from olivecourse.config.address import Address
 from olivecourse.net.loop import READ, Loop
-from olivecourse.net.ringbuf import MAX_IDLE_CAPACITY
+from olivecourse.net.ring_buffer import MAX_IDLE_CAPACITY
 from olivecourse.net.stream import READS, Stream, listen
 
 MS = 1_000_000
 SWEEP_NS = 200 * MS  # the interval of `Listener._sweep`, which applies the timeouts below
 # A new connection that has had no response and has no open request after this time is closed, at most one
 # sweep interval later. The sum, 2.5 s, stays below the 3 s that every client is owed.
-FIRST_NS = 2_300 * MS
+FIRST_REQUEST_TIMEOUT_NS = 2_300 * MS
 # A connection is closed if a request takes longer than this to arrive completely. The first limit applies if
 # no other request is open on the connection, the second if one is.
 PARTIAL_REQUEST_TIMEOUT_NS, MAX_PARTIAL_REQUEST_TIMEOUT_NS = 2_300 * MS, 6_000 * MS
 # A connection without an open request is closed this long after its last response. Well-behaved clients close
 # their idle connections after 4 s.
-IDLE_NS = 5_000 * MS
+IDLE_TIMEOUT_NS = 5_000 * MS
 # A connection that is new, or idle, for less than this time is closed for a new client only if no other can
 # be, since its client may be about to send a request.
 MIN_EVICTION_AGE_NS = 100 * MS
@@ -91,11 +91,11 @@
 
 
 @dataclass(frozen=True)
-class Handed:
+class ConnectionState:
     """The state of a client's Thrift connection when it is handed over to another process."""
 
-    last: int  # the highest sequence number of a `serve` call so far
-    taken: int  # how many valid requests the connection has carried so far
+    last_number: int  # the highest sequence number of a `serve` call so far
+    request_count: int  # how many valid requests the connection has carried so far
     open: list[int]  # sequence numbers whose responses the previous process still sends to the next one
     read: bytes  # received from the client but not yet processed
     unsent: bytes  # response bytes that the socket has not accepted yet
@@ -112,7 +112,7 @@
         self.connected_at = front.loop.clock.now()
         self.incomplete_since = 0  # when the request now arriving began to arrive; 0 if none is
         self.answered = False  # whether any response has been written
-        self.taken = 0  # how many valid requests the connection has carried so far
+        self.request_count = 0  # how many valid requests the connection has carried so far
         self._client_address: int | None = None
         self.lingers = False  # in a lingering close: data that still arrives is discarded
         super().__init__(front.loop, sock, most_in, most_out)
@@ -127,7 +127,7 @@
         The port is left out, since a returning client comes from a new port. Returns None if the guard is not
         in use (`Listener.names` is False) or the client has disconnected already.
         """
-        if self._client_address is None and self.listener.names:
+        if self._client_address is None and self.listener.identifies_clients:
             try:
                 self._client_address = int(ipaddress.ip_address(self.sock.getpeername()[0]))
             except (OSError, ValueError):  # no peer address: the client has disconnected already
@@ -206,7 +206,7 @@
                 self.close(errno.errorcode.get(error.errno or 0, "error"))
                 return
 
-    def resting(self) -> bool:
+    def is_idle(self) -> bool:
         """Reads what has arrived, then returns whether the connection may be closed without loss.
 
         That is: it is open and not lingering, no request is open, no response byte is unsent, and no request
@@ -234,8 +234,8 @@
     """Accepts up to `max_clients` connections; subclasses create a `Client` for each.
 
     At that limit, one connection without an open request is closed for a new client, in the order given at
-    `make_room`; if all connections have open requests, the new one is closed. This guards against hundreds of
-    connections that send nothing, or send one request and stay open.
+    `evict_client`; if all connections have open requests, the new one is closed. This guards against hundreds
+    of connections that send nothing, or send one request and stay open.
     """
 
     def __init__(
@@ -259,7 +259,7 @@
         already, possibly also in another process, and is used in place of `address`.
         """
         self.loop, self.core, self.classes = loop, core, classes
-        self.wait_ns, self.log, self._most, self._max_unread_bytes = (
+        self.wait_ns, self.log, self._max_clients, self._max_unread_bytes = (
             wait_ns,
             log,
             max_clients,
@@ -283,7 +283,7 @@
         # request.
         self.draining = False
         # Whether each request event carries its client's IP address, which the retry storm guard needs.
-        self.names = False
+        self.identifies_clients = False
         loop.watch(self._sock, READ, self._accept)
         loop.after(SWEEP_NS, self._sweep)
 
@@ -301,11 +301,11 @@
                 continue
             except OSError as error:  # mostly out of file descriptors
                 self.log("accept_failed", why=str(error))
-                if not self.make_room():
+                if not self.evict_client():
                     self._pause()
                     return
                 continue
-            if len(self.clients) >= self._most and not self.make_room():
+            if len(self.clients) >= self._max_clients and not self.evict_client():
                 self.log("too_many_clients", clients=len(self.clients))
                 sock.close()
                 continue
@@ -321,7 +321,7 @@
         Called when no file descriptor is free. Guards against an event loop that fails to accept in every
         turn, while the work that would free a file descriptor is delayed.
         """
-        self.loop.forget(self._sock)
+        self.loop.unwatch(self._sock)
         self._paused = True
         self.loop.after(ACCEPT_RETRY_NS, self._resume)
 
@@ -339,15 +339,15 @@
 
         Connections above the limit on clients are closed if they have no open request.
         """
-        self._most, self._max_unread_bytes = max_clients, max_unread_bytes
-        while len(self.clients) > max_clients and self.make_room():
+        self._max_clients, self._max_unread_bytes = max_clients, max_unread_bytes
+        while len(self.clients) > max_clients and self.evict_client():
             pass
 
-    def no_more(self) -> None:
+    def stop_accepting(self) -> None:
         """Closes the listening socket; a process that shares it continues to accept clients from it."""
         if self._sock.fileno() >= 0:
             if not self._paused:
-                self.loop.forget(self._sock)
+                self.loop.unwatch(self._sock)
             self._paused = False
             self._sock.close()
 
@@ -362,11 +362,11 @@
                 self._close_if_idle(client)
 
     def _close_if_idle(self, client: Client) -> None:
-        if self.draining and client.resting():
+        if self.draining and client.is_idle():
             client.linger("draining")
 
     def classify(self, client: Client) -> None:
-        """Puts a client without an open request into one of three groups, from which `make_room` chooses.
+        """Puts a client without an open request into one of three groups, from which `evict_client` chooses.
 
         The groups are: no response yet, one valid request, several. A client with an open request is in none.
         """
@@ -375,7 +375,7 @@
             if self.draining:
                 self.loop.after(0, lambda: self._close_if_idle(client))
             if client.answered:
-                (self._single_request_clients if client.taken < 2 else self._idle_clients)[client] = (
+                (self._single_request_clients if client.request_count < 2 else self._idle_clients)[client] = (
                     self.loop.clock.now()
                 )
                 client.inbox.shrink()
@@ -389,7 +389,7 @@
         self._idle_clients.pop(client, None)
 
     def mark_lingering(self, client: Client) -> None:
-        """Called when a client's lingering close begins; `make_room` closes such connections first."""
+        """Called when a client's lingering close begins; `evict_client` closes such connections first."""
         self._remove_from_groups(client)
         self._lingering[client] = None
 
@@ -399,7 +399,7 @@
         self._lingering.pop(client, None)
         self.clients.discard(client)
 
-    def make_room(self) -> bool:
+    def evict_client(self) -> bool:
         """Closes one connection to free its place; returns False if there was none to close.
 
         The order is: connections in a lingering close; those without any response; those idle after one valid
@@ -420,7 +420,7 @@
         ):
             for group in groups:
                 for client in list(islice((c for c, idle_since in group.items() if idle_since <= cutoff), 8)):
-                    if client.resting():  # False if a request of the client has just arrived
+                    if client.is_idle():  # False if a request of the client has just arrived
                         client.close("replaced by another client")
                     if not client.open:
                         return True
@@ -429,8 +429,9 @@
     def _sweep(self) -> None:
         """Every SWEEP_NS, closes connections that have exceeded a timeout.
 
-        The timeouts are FIRST_NS without a request, the two for an incomplete request, and IDLE_NS. If unsent
-        response bytes exceed their limit, the clients with the most of them are closed as well.
+        The timeouts are FIRST_REQUEST_TIMEOUT_NS without a request, the two for an incomplete request, and
+        IDLE_TIMEOUT_NS. If unsent response bytes exceed their limit, the clients with the most of them are
+        closed as well.
         """
         if self._closed:
             return
@@ -443,12 +444,13 @@
                 continue
             if partial_ns > (MAX_PARTIAL_REQUEST_TIMEOUT_NS if client.load() else PARTIAL_REQUEST_TIMEOUT_NS):
                 client.close("request not completed in time")
-            elif client in self._new_clients and now - client.connected_at > FIRST_NS:
-                if client.resting():
+            elif client in self._new_clients and now - client.connected_at > FIRST_REQUEST_TIMEOUT_NS:
+                if client.is_idle():
                     client.linger("no request in time")
             elif (
-                now - self._idle_clients.get(client, self._single_request_clients.get(client, now)) > IDLE_NS
-                and client.resting()
+                now - self._idle_clients.get(client, self._single_request_clients.get(client, now))
+                > IDLE_TIMEOUT_NS
+                and client.is_idle()
             ):
                 client.linger("idle")
         # Guards against clients that do not read their responses, which wait in memory until then.
@@ -470,12 +472,12 @@
         """
         if not self._closed and not self._paused and self._sock.fileno() >= 0:
             self._accept(READ)
-        self.no_more()
+        self.stop_accepting()
         self.drain(True)
 
     def close(self) -> None:
         """Closes the listening socket and all client connections at once, also those with open requests."""
         self._closed = True
-        self.no_more()
+        self.stop_accepting()
         for client in list(self.clients):
             client.close("end")
--- a/olivecourse/fronts/signed.py
+++ b/olivecourse/fronts/signed.py
@@ -96,7 +96,7 @@
 class SignedClient(Client):
     """One client's HTTP connection; pipelined requests are served one after another."""
 
-    def __init__(self, front: SignedFront, sock: socket.socket) -> None:
+    def __init__(self, front: SignedHttpServer, sock: socket.socket) -> None:
         self.front = front
         self.open_request: str | None = None
         self.busy = False
@@ -196,7 +196,7 @@
             )
             return
         request_event.client = self.client_address()
-        self.taken += 1
+        self.request_count += 1
         received_at = self.loop.clock.now()
 
         def on_recorded(durable: bool) -> None:
@@ -264,7 +264,7 @@
             self.front.core.client_disconnected(request)
 
 
-class SignedFront(Listener):
+class SignedHttpServer(Listener):
     """The listener for HTTP clients, with the checks of their signed links and tokens."""
 
     def __init__(
--- a/olivecourse/fronts/thrift.py
+++ b/olivecourse/fronts/thrift.py
@@ -31,16 +31,16 @@
     encode,
     refusal_frame,
 )
-from olivecourse.fronts.listener import Client, Handed, HandoverPeer, Listener, RequestCore
+from olivecourse.fronts.listener import Client, ConnectionState, HandoverPeer, Listener, RequestCore
 from olivecourse.net.loop import Loop
-from olivecourse.net.ringbuf import BufferFull
+from olivecourse.net.ring_buffer import BufferFull
 
 MS = 1_000_000
 MAX_WRITE_BYTES = 48_000  # largest body of a write
-MOST_OPEN = 32  # requests open at a time on one connection; further ones are refused
+MAX_OPEN_REQUESTS = 32  # requests open at a time on one connection; further ones are refused
 # Frames of one client that are processed in one turn of the event loop: a flood on one connection must not
 # delay the others.
-MOST_FRAMES = 2 * MOST_OPEN
+MAX_FRAMES_PER_TURN = 2 * MAX_OPEN_REQUESTS
 # Response bytes that may wait for one client to read them, enough for 32 responses of the largest size; a
 # client that lets more of them wait is closed.
 MAX_UNREAD_BYTES = 8 * 2**20
@@ -158,11 +158,11 @@
 class ThriftClient(Client):
     """One client's Thrift connection, which may be handed over between two processes of the gateway."""
 
-    def __init__(self, front: ThriftFront, sock: socket.socket) -> None:
+    def __init__(self, front: ThriftServer, sock: socket.socket) -> None:
         self.front = front
         # Request ids by Thrift sequence number, for the requests open in this process.
         self.open_requests: dict[int, str] = {}
-        self.last = 0  # the highest sequence number of a `serve` call so far
+        self.last_number = 0  # the highest sequence number of a `serve` call so far
         self.successor: HandoverPeer | None = None  # the process that has taken over this connection, if any
         # The process that has handed this connection over to this process, if any.
         self.predecessor: HandoverPeer | None = None
@@ -174,7 +174,7 @@
     def load(self) -> int:
         return len(self.open_requests) + len(self.predecessor_numbers)
 
-    def hand_over(self, successor: HandoverPeer) -> Handed:
+    def hand_over(self, successor: HandoverPeer) -> ConnectionState:
         """Stops reading and returns the state with which another process continues the connection.
 
         The caller passes the socket's file descriptor to that process and closes it here. Responses to
@@ -183,19 +183,19 @@
         self.successor = successor
         self.detach()
         self.front.remove_client(self)
-        return Handed(
-            self.last,
-            self.taken,
+        return ConnectionState(
+            self.last_number,
+            self.request_count,
             [*self.open_requests, *self.predecessor_numbers],
             self.inbox.take(len(self.inbox)),
             self.outbox.take(len(self.outbox)),
         )
 
-    def take_over(self, state: Handed, predecessor: HandoverPeer) -> None:
+    def take_over(self, state: ConnectionState, predecessor: HandoverPeer) -> None:
         """Continues a connection that the process `predecessor` has handed over in the given state."""
-        self.last, self.taken, self.predecessor_numbers, self.predecessor = (
-            state.last,
-            state.taken,
+        self.last_number, self.request_count, self.predecessor_numbers, self.predecessor = (
+            state.last_number,
+            state.request_count,
             set(state.open),
             predecessor,
         )
@@ -212,7 +212,7 @@
         if self.open:
             self.update_group()
 
-    def from_elder(self, number: int, frame: bytes) -> None:
+    def response_from_predecessor(self, number: int, frame: bytes) -> None:
         """Passes on a response that the previous process sends: to the client, or to the next process if the
         connection has been handed over again.
         """
@@ -226,12 +226,12 @@
         if not self.load():
             self.update_group()
 
-    def elder_lost(self) -> None:
+    def predecessor_lost(self) -> None:
         """Answers Lost to the open requests of a previous process that has ended, as they may have run."""
         for number in list(self.predecessor_numbers):
-            self.from_elder(number, refusal_frame(number, False, {}))
+            self.response_from_predecessor(number, refusal_frame(number, False, {}))
 
-    def from_heir(self, number: int | None) -> None:
+    def cancelled_by_successor(self, number: int | None) -> None:
         """Cancels a sequence number, or all if it is None, because the next process reports that the client
         has cancelled it, or has disconnected.
         """
@@ -257,7 +257,7 @@
             if self.incomplete_since and not processed
             else self._now()
         )
-        if processed >= MOST_FRAMES and self.open and len(self.inbox):
+        if processed >= MAX_FRAMES_PER_TURN and self.open and len(self.inbox):
             self.frames_pending = True
             self.loop.next_turn(self._continue)
 
@@ -275,9 +275,9 @@
         return self.loop.clock.now()
 
     def _process_frames(self) -> int:
-        """Processes up to MOST_FRAMES complete frames from the inbox and returns their number."""
+        """Processes up to MAX_FRAMES_PER_TURN complete frames from the inbox and returns their number."""
         processed = 0
-        while self.open and processed < MOST_FRAMES and len(self.inbox) >= 4:
+        while self.open and processed < MAX_FRAMES_PER_TURN and len(self.inbox) >= 4:
             size = int.from_bytes(self.inbox.peek(4), "big")
             if size > MAX_FRAME_BYTES:
                 self._reject_frame(f"frame of {size} bytes")
@@ -316,13 +316,13 @@
             self._send_fault(name, number, TApplicationException.UNKNOWN_METHOD, "unknown method")
 
     def _serve(self, number: int, args: ServeArgs) -> None:
-        if number <= self.last:
+        if number <= self.last_number:
             # Sequence numbers must rise on a connection: a client could not tell apart two responses with one
             # number.
             self._reject_frame("sequence number not above the last")
             return
-        self.last = number
-        if self.load() >= MOST_OPEN:
+        self.last_number = number
+        if self.load() >= MAX_OPEN_REQUESTS:
             class_name = args.fields.get("c", "") if isinstance(args.fields, dict) else ""
             if class_name in self.front.classes:
                 self.front.core.record_rejection(self.front.classes[class_name][0])
@@ -337,7 +337,7 @@
             return
         request_event.client = self.client_address()
         self.open_requests[number] = request_event.request
-        self.taken += 1
+        self.request_count += 1
         if self.load() == 1:
             self.update_group()
         try:
@@ -364,7 +364,7 @@
             self.front.core.client_disconnected(request)
 
 
-class ThriftFront(Listener):
+class ThriftServer(Listener):
     """The listener for Thrift clients; `is_healthy` gives the result of the health check `isWell`."""
 
     def __init__(
@@ -389,7 +389,7 @@
     def client(self, sock: socket.socket) -> Client:
         return ThriftClient(self, sock)
 
-    def adopt(self, sock: socket.socket, state: Handed, predecessor: HandoverPeer) -> ThriftClient:
+    def adopt(self, sock: socket.socket, state: ConnectionState, predecessor: HandoverPeer) -> ThriftClient:
         """Takes over a client's connection, in the given state, from the process `predecessor`.
 
         `max_clients` does not apply, since the previous process has accepted the client already.
--- a/olivecourse/fronts/tokens.py
+++ b/olivecourse/fronts/tokens.py
@@ -26,7 +26,7 @@
 # Longest time from issue to expiry of an order token, since a used one must be remembered until it has
 # expired.
 MAX_ORDER_TOKEN_LIFETIME_S = 900
-MOST_SPENT = 65_536  # used order tokens that are remembered; above it, writes get a 503
+MAX_SPENT_TOKENS = 65_536  # used order tokens that are remembered; above it, writes get a 503
 # The claims that a token may list as critical (`cdnicrit`); one that lists any other is rejected.
 KNOWN_CRITICAL = {"cdniv", "cdniuc", "exp", "nbf", "iat", "iss", "jti", "aud", "sub"}
 
@@ -153,9 +153,9 @@
     def spend(self, name: str, exp: float, now_s: float) -> None:
         if name in self._spent:
             raise Rejected(401, "used already")
-        if len(self._spent) >= MOST_SPENT:
+        if len(self._spent) >= MAX_SPENT_TOKENS:
             self._spent = {k: until for k, until in self._spent.items() if until > now_s}
-            if len(self._spent) >= MOST_SPENT:  # none is forgotten early, or it could be used again
+            if len(self._spent) >= MAX_SPENT_TOKENS:  # none is forgotten early, or it could be used again
                 raise Rejected(503, "too many orders")
         self._spent[name] = exp + self._leeway_s + 1
 
--- a/olivecourse/gateway.py
+++ b/olivecourse/gateway.py
@@ -22,12 +22,12 @@
 from olivecourse.core.planner import Planner
 from olivecourse.core.requests import RequestTracker
 from olivecourse.fronts.listener import Listener
-from olivecourse.fronts.thrift import ThriftFront
+from olivecourse.fronts.thrift import ThriftServer
 from olivecourse.net.discovery_client import DiscoveryClient
 from olivecourse.net.loop import Loop
-from olivecourse.net.seam import RemotePlanner
-from olivecourse.net.stores import Limits, Pool
-from olivecourse.net.wheel import Timer
+from olivecourse.net.planner_link import RemotePlanner
+from olivecourse.net.server_pool import ConnectionLimits, ServerPool
+from olivecourse.net.timers import Timer
 
 if TYPE_CHECKING:
     from olivecourse.fronts.tokens import Tokens
@@ -76,8 +76,8 @@
     def __init__(self, config: Config, log: Callable[..., None]) -> None:
         self.config, self.log = config, log
         self.loop = loop = Loop()
-        loop.stalled = self._on_stall
-        loop.faulted = self._on_fault
+        loop.on_stall = self._on_stall
+        loop.on_fault = self._on_fault
         self.batch: list[interface.Event] = []
         self.stopping = False
         # The result of merging the settings at the last reload that applied settings, or None before the
@@ -100,10 +100,10 @@
         # system's limit if that is lower.
         self.sockets = min(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         descriptors = divide_descriptors(self.sockets, len(config.doors))
-        limits = Limits(
+        limits = ConnectionLimits(
             per_store=descriptors.per_store, total=descriptors.stores, **self._connection_limits()
         )
-        self.pool = Pool(
+        self.pool = ServerPool(
             loop,
             self.directory,
             self.tracker,
@@ -139,7 +139,7 @@
         self.spent: DurableSpent | None = None
         self.front: Listener = self._create_front()
         self.fronts.append(self.front)
-        loop.short = self.front.make_room
+        loop.free_descriptor = self.front.evict_client
         # Whether this process drains is reported to the previous process of this gateway during an upgrade.
         self.front.draining = not self.accepts_requests()
         for component in self.components:
@@ -196,7 +196,7 @@
         refusal_wait_ns = settings.max_retry_after_ns if settings.retry_after else 0
         max_clients, max_unread_bytes = self._client_limits(self.sockets)
         if config.signed is None:
-            return ThriftFront(
+            return ThriftServer(
                 self.loop,
                 config.listen,
                 self.tracker,
@@ -213,7 +213,7 @@
                 ),
             )
         # Imported here because a gateway without the signed listener needs neither module.
-        from olivecourse.fronts.signed import SignedFront
+        from olivecourse.fronts.signed import SignedHttpServer
         from olivecourse.fronts.tokens import Tokens, read_keys
 
         leeway_s = config.signed.leeway_s
@@ -224,7 +224,7 @@
 
             self.spent = DurableSpent(self.loop, memory, config.name, leeway_s, self.log)
         self.tokens = Tokens(config.name, keys, leeway_s, spent=self.spent)
-        return SignedFront(
+        return SignedHttpServer(
             self.loop,
             config.listen,
             self.tracker,
@@ -430,7 +430,7 @@
         """Returns the duration of the longest turn of the event loop since the process started, in seconds,
         without the time spent waiting for sockets and timers. It is exported as a metric.
         """
-        return self.loop.longest_ns / 1e9
+        return self.loop.longest_turn_ns / 1e9
 
     def emit(self, event: interface.Event) -> None:
         """Adds an event to the batch that the planner gets in this turn of the event loop."""
@@ -451,7 +451,7 @@
         """Drops the connections to the process of a server that ended at the time `terminated_at` or
         earlier.
         """
-        self.pool.drop(server, terminated_at)
+        self.pool.close_silent(server, terminated_at)
 
     def decide(self) -> None:
         """Called at the start and at the end of each turn of the event loop. Passes the batch of events to
--- a/olivecourse/memory/tokenstore.py
+++ b/olivecourse/memory/tokenstore.py
@@ -27,7 +27,7 @@
 import msgspec
 from blake3 import blake3
 
-from olivecourse.fronts.tokens import MOST_SPENT, Rejected
+from olivecourse.fronts.tokens import MAX_SPENT_TOKENS, Rejected
 from olivecourse.memory.disk import FolderDisk, FolderLocked
 from olivecourse.memory.generations import Reason, file_name, next_number, parse
 from olivecourse.memory.group_commit import Group, GroupCommit, Verdict
@@ -294,7 +294,9 @@
             raise
         except (lmdb.Error, OSError) as error:
             log("tokens_unusable", folder=str(config.folder), why=str(error))
-        self.group_commit = GroupCommit(MOST_SPENT, section.most_wait_ms * MS, leeway_s, known, latest_pruned)
+        self.group_commit = GroupCommit(
+            MAX_SPENT_TOKENS, section.most_wait_ms * MS, leeway_s, known, latest_pruned
+        )
         self._worker = Worker(loop, "tokens")
 
     def _read(self) -> tuple[StoreMetadata | None, dict[bytes, float]]:
--- a/olivecourse/net/discovery_client.py
+++ b/olivecourse/net/discovery_client.py
@@ -18,7 +18,7 @@
 from olivecourse.discovery.pacing import PollPacer
 from olivecourse.net.loop import Loop
 from olivecourse.net.stream import Stream
-from olivecourse.net.wheel import Timer
+from olivecourse.net.timers import Timer
 
 MS = 1_000_000
 # How long the discovery server is asked to hold a poll open while it has no new event. Short enough that a
@@ -212,7 +212,7 @@
         except OSError as error:
             self.on_disconnect(None, str(error))
 
-    def move(self, address: Address, alternatives: Sequence[Address] = ()) -> None:
+    def replace_addresses(self, address: Address, alternatives: Sequence[Address] = ()) -> None:
         """Applies the discovery addresses of a new configuration, and reconnects if the one in use changes.
 
         An alternative in use stays in use if the configuration still lists it. The new connection is opened
--- a/olivecourse/net/loop.py
+++ b/olivecourse/net/loop.py
@@ -11,7 +11,7 @@
 import time
 from collections.abc import Callable
 
-from olivecourse.net.wheel import Timer, TimerWheel
+from olivecourse.net.timers import Timer, TimerWheel
 
 READ, WRITE = selectors.EVENT_READ, selectors.EVENT_WRITE
 # A turn longer than this, in nanoseconds, is reported as a stall. Waiting for sockets and timers cannot cause
@@ -43,25 +43,25 @@
 
     def __init__(self) -> None:
         self.clock = Clock()
-        self.wheel = TimerWheel(self.clock.now(), lambda error: self.faulted("timer", error))
+        self.timers = TimerWheel(self.clock.now(), lambda error: self.on_fault("timer", error))
         self.running = True
         # The time from the wake-up of the previous turn to its end, in nanoseconds: data that is read in this
         # turn may have arrived, and waited unread, for as long.
         self.lag_ns = 0
         # Called after each turn longer than STALL_NS, with the turn's wall time and CPU time in nanoseconds.
-        self.stalled: Callable[[int, int], object] = lambda wall, cpu: None
-        self.longest_ns = 0  # the largest `lag_ns` since the start
+        self.on_stall: Callable[[int, int], object] = lambda wall, cpu: None
+        self.longest_turn_ns = 0  # the largest `lag_ns` since the start
         # Called with each exception that a handler raises, after the kind of the handler: "socket", "timer"
         # or "call" (a callback given to `soon` or `next_turn`).
-        self.faulted: Callable[[str, Exception], object] = lambda where, error: None
+        self.on_fault: Callable[[str, Exception], object] = lambda where, error: None
         # Called when the process is out of file descriptors; returns whether the callback has freed one.
-        self.short: Callable[[], bool] = lambda: False
+        self.free_descriptor: Callable[[], bool] = lambda: False
         # True while the handlers of ready sockets run: handlers that follow in this turn may still read data
         # that matters to work in progress, so such work is postponed by `soon`.
         self.dispatching = False
         self._deferred: list[Callable[[], object]] = []
         self._next: list[Callable[[], object]] = []
-        self._woke = self.clock.now()
+        self._turn_started_at = self.clock.now()
         self._selector = selectors.DefaultSelector()
 
     def watch(self, sock: socket.socket, mask: int, on_ready: ReadyCallback) -> None:
@@ -72,15 +72,15 @@
         """Replaces the mask (READ, WRITE or both) and the callback of a watched socket."""
         self._selector.modify(sock, mask, on_ready)
 
-    def forget(self, sock: socket.socket) -> None:
+    def unwatch(self, sock: socket.socket) -> None:
         """Stops watching a socket that was given to `watch`, without closing it."""
         self._selector.unregister(sock)
 
     def after(self, delay_ns: int, callback: Callable[[], object]) -> Timer:
         """Calls the callback once after `delay_ns` nanoseconds, unless the returned timer is cancelled."""
-        return self.wheel.schedule(self.clock.now() + max(delay_ns, 0), callback)
+        return self.timers.schedule(self.clock.now() + max(delay_ns, 0), callback)
 
-    def soon(self, callback: Callable[[], object]) -> None:
+    def after_sockets(self, callback: Callable[[], object]) -> None:
         """Calls the callback when the ready sockets of this turn are handled; at once outside that phase."""
         if self.dispatching:
             self._deferred.append(callback)
@@ -96,11 +96,11 @@
 
     def turn(self, max_wait_ns: int | None = None) -> None:
         """Waits for sockets or timers, at most `max_wait_ns` nanoseconds, then runs all handlers due."""
-        wait = self.wheel.wait_ns(self.clock.now())
+        wait = self.timers.wait_ns(self.clock.now())
         callbacks, self._next = self._next, []
         wait = 0 if callbacks else wait if max_wait_ns is None else min(wait, max_wait_ns)
         ready = self._selector.select(wait / 1e9)
-        self._woke = self.clock.now()
+        self._turn_started_at = self.clock.now()
         self.dispatching = True
         for key, mask in ready:
             # An earlier handler of this turn may have closed the socket; then its events are ignored.
@@ -109,20 +109,20 @@
                 try:
                     current.data(mask)
                 except Exception as error:  # a fault on one connection must not stop the gateway
-                    self.faulted("socket", error)
+                    self.on_fault("socket", error)
         self._run_callbacks(callbacks)
         self.dispatching = False
         while self._deferred:
             callbacks, self._deferred = self._deferred, []
             self._run_callbacks(callbacks)
-        self.wheel.advance(self.clock.now())
+        self.timers.advance(self.clock.now())
 
     def _run_callbacks(self, callbacks: list[Callable[[], object]]) -> None:
         for callback in callbacks:
             try:
                 callback()
             except Exception as error:
-                self.faulted("call", error)
+                self.on_fault("call", error)
 
     def run(self, after_turn: Callable[[], None]) -> None:
         """Runs turns until `running` is False, and calls `after_turn`, the owner's callback, after each."""
@@ -132,9 +132,9 @@
             after_turn()
             now = self.clock.now()
             if now - began > STALL_NS:
-                self.stalled(now - began, time.process_time_ns() - cpu)
-            self.lag_ns = now - self._woke
-            self.longest_ns = max(self.longest_ns, self.lag_ns)
+                self.on_stall(now - began, time.process_time_ns() - cpu)
+            self.lag_ns = now - self._turn_started_at
+            self.longest_turn_ns = max(self.longest_turn_ns, self.lag_ns)
 
     def close(self) -> None:
         """Closes the selector; the sockets that it watched stay open."""
--- a/olivecourse/net/peers.py
+++ b/olivecourse/net/peers.py
@@ -51,7 +51,7 @@
         self._sock.setblocking(False)
         loop.watch(self._sock, READ, self._on_readable)
 
-    def move(self, peers: list[Address], group_address: Address | None) -> None:
+    def replace_addresses(self, peers: list[Address], group_address: Address | None) -> None:
         """Replaces the addresses of the peers and of their group by those of a new configuration."""
         self._peers, self._group_address = peers, group_address
         self._peer_numbers = {address: number for number, address in enumerate(peers)}
@@ -71,7 +71,7 @@
                 continue
             self._emit(interface.PeerMessage(number, data))
 
-    def tell(self, action: interface.TellPeer) -> None:
+    def send(self, action: interface.TellPeer) -> None:
         """Sends the message of a TellPeer action to one peer or to all.
 
         A message that is too long, has no known address or cannot be sent is logged and dropped.
@@ -91,5 +91,5 @@
 
     def close(self) -> None:
         """Stops receiving and closes the UDP socket."""
-        self._loop.forget(self._sock)
+        self._loop.unwatch(self._sock)
         self._sock.close()
--- a/olivecourse/net/seam.py
+++ b/olivecourse/net/planner_link.py
@@ -63,7 +63,7 @@
     "State": interface.State,
     "ListKind": interface.ListKind,
     "bytes": b64decode,
-    "tuple[Member, ...]": lambda v: tuple(map(unpack, v)),
+    "tuple[Member, ...]": lambda v: tuple(map(decode_message, v)),
 }
 
 
@@ -85,7 +85,7 @@
     ]
 
 
-def unpack(row: Any) -> Any:
+def decode_message(row: Any) -> Any:
     """Rebuilds the event, action or member from an array made by `encode_message`.
 
     An array of another form raises ValueError, KeyError, TypeError or IndexError.
@@ -102,7 +102,7 @@
     )
 
 
-def write_batch(now: int, messages: Sequence[Any]) -> bytes:
+def encode_batch(now: int, messages: Sequence[Any]) -> bytes:
     """Encodes the forwarder's clock `now` (nanoseconds) and events or actions as one line of JSON."""
     return json.dumps([now, [encode_message(r) for r in messages]], separators=(",", ":")).encode() + b"\n"
 
@@ -122,7 +122,7 @@
         for line in lines:
             try:
                 now, messages = json.loads(line)
-                batch = [unpack(row) for row in messages]
+                batch = [decode_message(row) for row in messages]
             except (ValueError, KeyError, TypeError, IndexError) as error:
                 self.log("seam_broken", why=repr(error)[:120])
                 self.close("broken batch")
@@ -218,7 +218,7 @@
         """Sends events with the forwarder's clock `now`; returns whether a planner is still connected."""
         if self.stream is None:
             return False
-        self.stream.write(write_batch(now, events))
+        self.stream.write(encode_batch(now, events))
         return self.stream is not None
 
     def close(self) -> None:
@@ -248,7 +248,7 @@
             actions += self.planner.start()
         actions += self.planner.decide(batch, now)
         if actions:
-            self.write(write_batch(now, actions))
+            self.write(encode_batch(now, actions))
 
     def closed(self, why: str) -> None:
         self.server.streams.discard(self)
@@ -291,7 +291,7 @@
 
     def close(self) -> None:
         """Stops listening, closes the connections of all forwarders and removes the socket file at `path`."""
-        self.loop.forget(self._sock)
+        self.loop.unwatch(self._sock)
         self._sock.close()
         for stream in list(self.streams):
             stream.close("end")
--- a/olivecourse/net/stores.py
+++ b/olivecourse/net/server_pool.py
@@ -39,7 +39,7 @@
 # the store.
 DEADLINE_MARGIN_NS = 50 * MS
 TAG = re.compile(r"[0-9A-Za-z_.-]{1,64}")
-MOST_BODY = 240_000  # largest response body that is accepted from a store, in bytes
+MAX_BODY_BYTES = 240_000  # largest response body that is accepted from a store, in bytes
 STATUSES = {
     "data": interface.Status.SERVED,
     "unchanged": interface.Status.SERVED,
@@ -69,14 +69,14 @@
 
 
 @dataclass(frozen=True)
-class Limits:
+class ConnectionLimits:
     """Limits on connections to stores, from the settings and from the process's limit of file descriptors."""
 
     connect_ns: int  # a connection not established within this time is closed
     idle_ns: int  # a connection that has carried no attempt for longer than this is closed
     streams: int  # attempts at a time on one connection, sent or waiting
     per_store: int  # connections to one store
-    total: int  # connections to all stores; `Pool._pick` may exceed it by `per_store`
+    total: int  # connections to all stores; `ServerPool._pick` may exceed it by `per_store`
 
 
 def _parse_fields(text: str) -> dict[str, str]:
@@ -130,32 +130,32 @@
     )
 
 
-class StoreStream(Stream):
+class StoreConnection(Stream):
     """One connection to a store, which carries several attempts at a time; responses come in any order."""
 
-    def __init__(self, pool: Pool, cache: int, address: Address) -> None:
+    def __init__(self, pool: ServerPool, cache: int, address: Address) -> None:
         self.pool, self.cache, self.address = pool, cache, address
         self.waiting: deque[Attempt] = deque()
         self.in_flight: dict[str, Attempt] = {}
         # True once a response on this connection was lost: no new attempt is assigned to it, and it is closed
         # when it carries no attempt.
-        self.spent = False
+        self.retiring = False
         self._incomplete_since = 0  # when the response now arriving began to arrive; 0 if none is
         self._response_head: tuple[str, str, dict[str, str], int] | None = None
-        self._pumping = False
+        self._sending = False
         # Set only while `_send_attempt` writes this attempt to the socket.
         self.writing: Attempt | None = None
-        self._partly = False  # whether the socket has still to accept the last byte of an attempt
+        self._partly_sent = False  # whether the socket has still to accept the last byte of an attempt
         self.fault = ""
         super().__init__(
             pool.loop,
             Stream.connect(pool.loop, address),
-            MOST_BODY + 4 * MAX_LINE_BYTES,
+            MAX_BODY_BYTES + 4 * MAX_LINE_BYTES,
             2**20,
             connecting=True,
         )
         self.connect_timer = self.loop.after(pool.limits.connect_ns, self._on_connect_timeout)
-        self.idle_since = self.heard = self.loop.clock.now()
+        self.idle_since = self.last_received_at = self.loop.clock.now()
 
     @property
     def load(self) -> int:
@@ -174,9 +174,9 @@
             self.pool.move_waiting_to(self)
 
     def drained(self) -> None:
-        if self._partly:
-            self._partly = False
-            self.pool.sends += 1
+        if self._partly_sent:
+            self._partly_sent = False
+            self.pool.attempts_sent += 1
         self.send_waiting()
 
     def send_waiting(self) -> None:
@@ -186,13 +186,13 @@
         pointless. Each attempt is sent after the socket has accepted the previous one completely, and only if
         `Pool.may_go` still permits it.
         """
-        if self.waiting and not self._pumping and not self.connecting:
-            self.loop.soon(self._send_waiting)
+        if self.waiting and not self._sending and not self.connecting:
+            self.loop.after_sockets(self._send_waiting)
 
     def _send_waiting(self) -> None:
-        if self._pumping or self.connecting:
+        if self._sending or self.connecting:
             return
-        self._pumping = True
+        self._sending = True
         try:
             while self.waiting and self.open and not len(self.outbox):
                 if self.waiting[0].entry.request_class.effect is interface.Effect.AT_MOST_ONCE:
@@ -213,7 +213,7 @@
                 if not self._send_attempt(attempt):
                     break
         finally:  # also after an exception, or this connection would never send again
-            self._pumping = False
+            self._sending = False
 
     def _send_attempt(self, attempt: Attempt) -> bool:
         """Writes an attempt to the socket; returns True if any byte was sent or the connection closed.
@@ -226,24 +226,24 @@
         attempt.entry.used_connections.append(self)
         self.pool.tracker.mark_sent(attempt)
         self.writing = attempt
-        self._partly = True
+        self._partly_sent = True
         any_sent = self.try_send(self.pool.encode_request(attempt))
         self.writing = None
         if not any_sent and self.open:
             del self.in_flight[request]
             attempt.entry.used_connections.remove(self)
             self.pool.tracker.mark_unsent(attempt)
-            self._partly = False
+            self._partly_sent = False
             self.waiting.appendleft(attempt)
         return any_sent or not self.open
 
     def received(self) -> None:
-        self.heard = self.loop.clock.now()
+        self.last_received_at = self.loop.clock.now()
         completed = self._read_responses()
         if not self.open or self._response_head is None and not len(self.inbox):
             self._incomplete_since = 0
         elif completed or not self._incomplete_since:
-            self._incomplete_since = self.heard
+            self._incomplete_since = self.last_received_at
             self.loop.after(RESPONSE_PROGRESS_TIMEOUT_NS, self._check_incomplete)
 
     def _check_incomplete(self) -> None:
@@ -255,7 +255,7 @@
             return
         now = self.loop.clock.now()
         if (
-            now - self.heard >= RESPONSE_PROGRESS_TIMEOUT_NS
+            now - self.last_received_at >= RESPONSE_PROGRESS_TIMEOUT_NS
             or now - self._incomplete_since >= RESPONSE_TIMEOUT_NS
         ):
             self._close_broken("an answer stops short")
@@ -277,7 +277,7 @@
                 try:
                     request, status_word, fields_text, length = line[:end].decode("ascii").split(" ")
                     self._response_head = (request, status_word, _parse_fields(fields_text), int(length))
-                    if status_word not in STATUSES or not 0 <= self._response_head[3] <= MOST_BODY:
+                    if status_word not in STATUSES or not 0 <= self._response_head[3] <= MAX_BODY_BYTES:
                         raise ValueError(status_word)
                 except ValueError:
                     self._close_broken(repr(line[: min(end, 60)]))
@@ -331,7 +331,7 @@
         if not self.load:
             self.idle_since = self.loop.clock.now()
             self.pool.move_waiting_to(self)
-            if self.spent:  # closed by a timer, after the responses that are still in the inbox
+            if self.retiring:  # closed by a timer, after the responses that are still in the inbox
                 self.loop.after(0, lambda: None if self.load else self.close("a response never arrived"))
 
     def abort(self, attempt: Attempt) -> None:
@@ -345,10 +345,10 @@
             now = self.loop.clock.now()
             # Guards against sending further requests on a connection whose responses no longer arrive.
             age = now - attempt.sent_at
-            self.spent |= (
+            self.retiring |= (
                 now >= attempt.deadline - DEADLINE_MARGIN_NS
                 and age > DEADLINE_MARGIN_NS
-                or self.heard < attempt.sent_at
+                or self.last_received_at < attempt.sent_at
                 and age > LOST_RESPONSE_NS
             )
             self.write(f"abort {request}\r\n".encode())
@@ -361,7 +361,7 @@
         self.pool.connection_closed(self, why)
 
 
-class Pool:
+class ServerPool:
     """The connections to all stores; chooses one for each attempt, within the limits on connections."""
 
     def __init__(
@@ -369,7 +369,7 @@
         loop: Loop,
         directory: ServerDirectory,
         tracker: RequestTracker,
-        limits: Limits,
+        limits: ConnectionLimits,
         classes: list[str],
         reports: tuple[str, ...],
         log: Callable[..., None],
@@ -381,9 +381,9 @@
         self.loop, self.directory, self.tracker, self.limits = loop, directory, tracker, limits
         self.log = log
         self.classes = classes
-        self._stores: dict[int, list[StoreStream]] = {}
+        self._connections: dict[int, list[StoreConnection]] = {}
         self.count = 0
-        self.sends = 0  # attempts sent to their last byte since the start, on all connections
+        self.attempts_sent = 0  # attempts sent to their last byte since the start, on all connections
         self._sweep()
 
     def may_send(self, attempt: Attempt) -> bool:
@@ -447,10 +447,10 @@
 
     def abort(self, attempt: Attempt) -> None:
         """Cancels an attempt on the store connection that carries it, if there is one."""
-        if isinstance(attempt.connection, StoreStream):
+        if isinstance(attempt.connection, StoreConnection):
             attempt.connection.abort(attempt)
 
-    def _pick(self, attempt: Attempt) -> StoreStream | None:
+    def _pick(self, attempt: Attempt) -> StoreConnection | None:
         """Returns the connection for an attempt: the least loaded one that may carry it, or a new one.
 
         Returns None if the store has no address, or no connection can be used or opened.
@@ -459,13 +459,13 @@
         address = self.directory.addresses.get(cache)
         if address is None:
             return None
-        streams = self._stores.setdefault(cache, [])
+        streams = self._connections.setdefault(cache, [])
         # A request id is never sent twice on one connection: a late or duplicate response to the first
         # attempt would be taken for the response to the second one.
         candidates = [
             s
             for s in streams
-            if not s.spent
+            if not s.retiring
             and s.address == address
             and s not in used_connections
             and s.load < self.limits.streams
@@ -486,7 +486,7 @@
         if self.count >= self.limits.total + self.limits.per_store:
             return best
         try:
-            stream = StoreStream(self, cache, address)
+            stream = StoreConnection(self, cache, address)
         except OSError as error:
             self.log("store_connect_failed", store=self.directory.names.get(cache), why=str(error))
             return best  # for example out of file descriptors: share an open connection
@@ -494,11 +494,11 @@
         self.count += 1
         return stream
 
-    def move_waiting_to(self, idle_stream: StoreStream) -> None:
+    def move_waiting_to(self, idle_stream: StoreConnection) -> None:
         """Moves one attempt to `idle_stream` from a connection to the same store that is still opening."""
-        if idle_stream.connecting or idle_stream.spent or not idle_stream.open:
+        if idle_stream.connecting or idle_stream.retiring or not idle_stream.open:
             return
-        for connecting_stream in self._stores.get(idle_stream.cache, ()):
+        for connecting_stream in self._connections.get(idle_stream.cache, ()):
             if not connecting_stream.connecting or connecting_stream.address != idle_stream.address:
                 continue
             moved = next(
@@ -516,13 +516,13 @@
                 idle_stream.send_waiting()
                 return
 
-    def connection_closed(self, stream: StoreStream, why: str) -> None:
+    def connection_closed(self, stream: StoreConnection, why: str) -> None:
         """Ends the attempts of a closed connection.
 
         Those that were sent end as RESET, since they may have run; those still waiting as CONNECT_FAILED.
         """
         self.count -= 1
-        streams = self._stores.get(stream.cache, [])
+        streams = self._connections.get(stream.cache, [])
         if stream in streams:
             streams.remove(stream)
         if stream.fault:
@@ -553,28 +553,30 @@
         """
         self.loop.after(250 * MS, self._sweep)  # first, so that an exception below does not end the sweeps
         now = self.loop.clock.now()
-        for cache, streams in list(self._stores.items()):
+        for cache, streams in list(self._connections.items()):
             unlisted = cache not in self.directory.states
             for stream in list(streams):
-                obsolete = unlisted or stream.spent or stream.address != self.directory.addresses.get(cache)
+                obsolete = (
+                    unlisted or stream.retiring or stream.address != self.directory.addresses.get(cache)
+                )
                 if not stream.load and (obsolete or now - stream.idle_since > self.limits.idle_ns):
                     stream.close("idle")
             if not streams:
-                del self._stores[cache]
+                del self._connections[cache]
 
-    def drop(self, cache: int, died_at: int) -> None:
+    def close_silent(self, cache: int, died_at: int) -> None:
         """Closes connections to a store whose process, as discovery reports, ended at `died_at` or earlier.
 
         Only connections that have received nothing since `died_at` and for SILENCE_NS are closed. Guards
         against attempts that wait until their deadlines for a host that vanished without a reset.
         """
         silent_since = self.loop.clock.now() - SILENCE_NS
-        for stream in list(self._stores.get(cache, ())):
-            if stream.heard < min(died_at, silent_since):
+        for stream in list(self._connections.get(cache, ())):
+            if stream.last_received_at < min(died_at, silent_since):
                 stream.close("store reported dead")
 
     def close_idle(self, cache: int) -> None:
         """Closes those connections to a store that carry no attempt, when the decision module asks for it."""
-        for stream in list(self._stores.get(cache, ())):
+        for stream in list(self._connections.get(cache, ())):
             if not stream.load:
                 stream.close("idle")
--- a/olivecourse/net/stream.py
+++ b/olivecourse/net/stream.py
@@ -8,7 +8,7 @@
 
 from olivecourse.config.address import Address
 from olivecourse.net.loop import READ, WRITE, Loop
-from olivecourse.net.ringbuf import BufferFull, RingBuffer
+from olivecourse.net.ring_buffer import BufferFull, RingBuffer
 
 # Socket reads from one connection in one turn of the event loop, so that a flood of data on one connection
 # does not starve the others.
@@ -85,7 +85,7 @@
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         except OSError as error:
-            if error.errno not in (errno.EMFILE, errno.ENFILE) or not loop.short():
+            if error.errno not in (errno.EMFILE, errno.ENFILE) or not loop.free_descriptor():
                 raise
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
@@ -122,7 +122,7 @@
                 self.close(errno.errorcode.get(code, str(code)))
                 return
             self.connecting = False
-            self._want()
+            self._update_event_mask()
             self.opened()
             return
         if mask & WRITE:
@@ -182,7 +182,7 @@
         sent = self._send(data)
         if self.open and not sent:
             self._blocked = True
-            self._want()
+            self._update_event_mask()
             return False
         if self.open and sent < len(data):
             self._queue(data[sent:])
@@ -208,7 +208,7 @@
             self.close(str(overflow))
             return
         if not self.connecting:
-            self._want()
+            self._update_event_mask()
 
     def flush(self) -> None:
         """Sends as much of `outbox` as the socket accepts; called when the socket has become writable."""
@@ -221,14 +221,14 @@
         except OSError as error:
             self.close(errno.errorcode.get(error.errno or 0, "error"))
             return
-        self._want()
+        self._update_event_mask()
         if not len(self.outbox):
             self.drained()
 
     def drained(self) -> None:
         """Called when all written bytes are sent, or the socket is writable after a failed `try_send`."""
 
-    def _want(self) -> None:
+    def _update_event_mask(self) -> None:
         mask = READ | (WRITE if len(self.outbox) or self._blocked else 0)
         if self.open and mask != self._mask:
             self._mask = mask
@@ -237,7 +237,7 @@
     def detach(self) -> socket.socket:
         """Returns the socket, still open and no longer watched, for another owner; `closed` is not called."""
         self.open = False
-        self.loop.forget(self.sock)
+        self.loop.unwatch(self.sock)
         return self.sock
 
     def close(self, why: str = "done") -> None:
@@ -245,6 +245,6 @@
         if not self.open:
             return
         self.open = False
-        self.loop.forget(self.sock)
+        self.loop.unwatch(self.sock)
         self.sock.close()
         self.closed(why)
--- a/olivecourse/net/worker.py
+++ b/olivecourse/net/worker.py
@@ -20,9 +20,9 @@
     The result of each job is passed to a callback on the event loop's thread.
     """
 
-    def __init__(self, loop: Loop, name: str, most: int = 16) -> None:
+    def __init__(self, loop: Loop, name: str, max_pending: int = 16) -> None:
         """`name` is the name of the thread; at most `most` jobs wait for it, besides the one that it runs."""
-        self._loop, self._name, self._max_pending = loop, name, most
+        self._loop, self._name, self._max_pending = loop, name, max_pending
         self._jobs: deque[tuple[Job, Done]] = deque()
         self._results: deque[tuple[Done, Any, Exception | None]] = deque()
         self._condition = threading.Condition()
@@ -95,7 +95,7 @@
             self._thread.join(timeout_s)
         self.settle()
         ended = self._thread is None or not self._thread.is_alive()
-        self._loop.forget(self._wake_receiver)
+        self._loop.unwatch(self._wake_receiver)
         self._wake_receiver.close()
         if ended:
             self._wake_sender.close()
--- a/olivecourse/ops/desk.py
+++ b/olivecourse/ops/desk.py
@@ -9,7 +9,7 @@
 from olivecourse import interface
 from olivecourse.config.discovery_events import ServerDirectory
 from olivecourse.core.requests import RequestTracker
-from olivecourse.net.stores import Pool
+from olivecourse.net.server_pool import ServerPool
 from olivecourse.ops.bans import GATEWAY_ID, DrainRecord, ManualDrains
 from olivecourse.ops.calls import Reply
 from olivecourse.ops.figures import GatewayMetrics
@@ -56,7 +56,7 @@
         gateway: Gateway,
         classes: list[str],
         tracker: RequestTracker,
-        pool: Pool,
+        pool: ServerPool,
         directory: ServerDirectory,
         log: Callable[..., None],
     ) -> None:
@@ -139,7 +139,7 @@
 
     def attempts_sent(self) -> int:
         """Returns the number of attempts (requests to stores, parents or origins) written completely."""
-        return self._pool.sends
+        return self._pool.attempts_sent
 
     def open_requests(self) -> int:
         """Returns the number of clients' requests that have no final answer yet."""
--- a/olivecourse/ops/door.py
+++ b/olivecourse/ops/door.py
@@ -163,7 +163,7 @@
     def close(self) -> None:
         """Stops listening and closes every connection at once, also with an unsent reply."""
         self._closed = True
-        self.loop.forget(self._sock)
+        self.loop.unwatch(self._sock)
         self._sock.close()
         for connection in list(self.connections):
             connection.close("end")
--- a/olivecourse/ops/handover.py
+++ b/olivecourse/ops/handover.py
@@ -161,7 +161,7 @@
             return
         self.open = False
         self.log("handover_link_ended", why=why)
-        self.loop.forget(self.sock)
+        self.loop.unwatch(self.sock)
         self.sock.close()
         for fd in [*self._pending_fds, *(fd for _, fd in self._send_queue if fd >= 0)]:
             os.close(fd)
@@ -225,7 +225,7 @@
 
     def close(self) -> None:
         """Closes the listening socket; links that are open stay open."""
-        self._loop.forget(self._sock)
+        self._loop.unwatch(self._sock)
         self._sock.close()
 
 
--- a/olivecourse/ops/succession.py
+++ b/olivecourse/ops/succession.py
@@ -14,8 +14,8 @@
 from typing import Protocol
 
 from olivecourse.choice import Router
-from olivecourse.fronts.listener import Handed, Listener
-from olivecourse.fronts.thrift import ThriftClient, ThriftFront
+from olivecourse.fronts.listener import ConnectionState, Listener
+from olivecourse.fronts.thrift import ThriftClient, ThriftServer
 from olivecourse.memory.collect import IntervalRecorder
 from olivecourse.net.loop import Loop
 from olivecourse.ops.handover import HandoverListener, Link, request_handover
@@ -211,9 +211,9 @@
         for link in () if self._handover_listener is None else self._handover_listener.links:
             link.read()  # a successor's READY message may have arrived since the last read of its link
         successor, front = self._lineage.successor(), self._front
-        if successor is None or not isinstance(front, ThriftFront):
+        if successor is None or not isinstance(front, ThriftServer):
             return False
-        front.no_more()
+        front.stop_accepting()
         for client in list(front.clients):
             # Not transferred: clients that do not use Thrift, connections that this process has begun to
             # close (`lingers`), and all others once the link to the successor has closed.
@@ -223,8 +223,8 @@
             handed = client.hand_over(RemoteConnection(successor, conn))
             head = {
                 "conn": conn,
-                "last": handed.last,
-                "taken": handed.taken,
+                "last": handed.last_number,
+                "taken": handed.request_count,
                 "open": handed.open,
                 "in": len(handed.read),
             }
@@ -256,11 +256,13 @@
         elif message.kind is Kind.ANSWER:
             client = self._transferred.received(link, message.number("conn"))
             if client is not None:
-                client.from_elder(message.number("number"), message.raw)
+                client.response_from_predecessor(message.number("number"), message.raw)
         elif message.kind in (Kind.FORGET, Kind.GONE):
             client = self._transferred.sent(link, message.number("conn"))
             if client is not None:
-                client.from_heir(message.number("number") if message.kind is Kind.FORGET else None)
+                client.cancelled_by_successor(
+                    message.number("number") if message.kind is Kind.FORGET else None
+                )
         elif message.kind is Kind.LOOK:
             self._scan_processes()
         elif sock is not None:
@@ -268,7 +270,7 @@
 
     def _answer_hello(self, link: Link) -> None:
         front = self._front
-        if front is not None and isinstance(front, ThriftFront) and front.fileno() >= 0:
+        if front is not None and isinstance(front, ThriftServer) and front.fileno() >= 0:
             try:
                 link.send(Message(Kind.LISTENER, with_socket=True), os.dup(front.fileno()))
             except OSError as error:  # no file descriptor is free: the successor opens its own socket
@@ -287,11 +289,11 @@
 
     def _adopt_client(self, link: Link, message: Message, sock: socket.socket) -> None:
         front, read, raw = self._front, message.number("in"), message.raw
-        if not isinstance(front, ThriftFront) or self._stopped:
+        if not isinstance(front, ThriftServer) or self._stopped:
             sock.close()
             return
         conn = message.number("conn")
-        handed = Handed(
+        handed = ConnectionState(
             message.number("last"), message.number("taken"), message.head["open"], raw[:read], raw[read:]
         )
         sock.setblocking(False)
@@ -304,9 +306,9 @@
         """
         sent, received = self._transferred.link_closed(link)
         for client in sent:
-            client.from_heir(None)
+            client.cancelled_by_successor(None)
         for client in received:
-            client.elder_lost()
+            client.predecessor_lost()
         self._lineage.link_closed(link)
         if not self._stopped:
             self._on_limits_shared(self._lineage.limits_shared)
--- a/olivecourse/relay/connection.py
+++ b/olivecourse/relay/connection.py
@@ -172,8 +172,10 @@
         else:
             sent -= len(head)
         self._unread = memoryview(body)[sent:]
-        self._blocked = True  # makes Stream._want also wait for the socket to be writable, to call `flush`
-        self._want()
+        self._blocked = (
+            True  # makes Stream._update_event_mask also wait for the socket to be writable, to call `flush`
+        )
+        self._update_event_mask()
         server = self.server
         server.deadlines.set(self.deadline, now + server.read_timeout_ns)
         server.hold_unread(self, body)
@@ -183,7 +185,7 @@
         unread = self._unread
         if unread is None:
             self._blocked = False
-            self._want()
+            self._update_event_mask()
             return
         try:
             sent = self.sock.send(unread)
@@ -198,7 +200,7 @@
             return
         self._unread = None
         self._blocked = False
-        self._want()
+        self._update_event_mask()
         self.server.release_unread(self)
         self._answer_sent(self.loop.clock.now())
 
--- a/olivecourse/relay/server.py
+++ b/olivecourse/relay/server.py
@@ -172,7 +172,7 @@
             try:
                 watcher.read_deferred_bytes()
             except Exception as error:  # an error of one connection must not stop the others
-                self.loop.faulted("socket", error)
+                self.loop.on_fault("socket", error)
 
     def call_next_turn(self, call: Callable[[], object]) -> None:
         """Runs `call` in the next turn of the event loop."""
@@ -226,7 +226,7 @@
         self._log("relay_accept_failed", why=str(error))
         if self._sock is not None and self._accepting:
             self._accepting = False
-            self.loop.forget(self._sock)
+            self.loop.unwatch(self._sock)
             self.loop.after(ACCEPT_RETRY_NS, self._accept_again)
 
     def _accept_again(self) -> None:
@@ -386,7 +386,7 @@
         if delay_ns > 0:
             self.loop.after(delay_ns, self._start_round)
         else:
-            self.loop.soon(self._start_round)
+            self.loop.after_sockets(self._start_round)
 
     def _start_round(self) -> None:
         self._answer_scheduled = False
@@ -441,7 +441,7 @@
         self._stopping = True
         if self._sock is not None:
             if self._accepting:
-                self.loop.forget(self._sock)
+                self.loop.unwatch(self._sock)
             self._sock.close()
             self._sock = None
         self._answer_held_polls(list(self._waiting.values()))
--- a/olivecourse/relay/service.py
+++ b/olivecourse/relay/service.py
@@ -60,8 +60,8 @@
         self.name = config.name
         self.loop = Loop()
         self.log = log
-        self.loop.stalled = lambda wall, cpu: log("loop_stalled", ms=wall // MS, cpu_ms=cpu // MS)
-        self.loop.faulted = lambda where, error: log("loop_fault", where=where, error=repr(error))
+        self.loop.on_stall = lambda wall, cpu: log("loop_stalled", ms=wall // MS, cpu_ms=cpu // MS)
+        self.loop.on_fault = lambda where, error: log("loop_fault", where=where, error=repr(error))
         self._section = section
         self._most_descriptors = most_descriptors
         started_ns = self.loop.clock.now()
@@ -156,7 +156,7 @@
         self._section = new
         self.server.apply_limits(server_limits(new, self._most_descriptors))
         address, *alternatives = new.addresses()
-        self._client.move(address, alternatives)
+        self._client.replace_addresses(address, alternatives)
         self._pacer.apply_settings(_graces_ns(new))
         moved = ["upstreams"] if old.upstreams != new.upstreams else []
         self.log("reloaded", moved=moved, needs_restart=needs_restart)
--- a/olivecourse/relay/status.py
+++ b/olivecourse/relay/status.py
@@ -61,7 +61,7 @@
         "behind_total": len(behind),
         "behind": listed,
         "unread_bytes": relay.server.unread_bytes,
-        "longest_turn_ms": round(relay.loop.longest_ns / 1_000_000, 1),
+        "longest_turn_ms": round(relay.loop.longest_turn_ns / 1_000_000, 1),
         "counters": {
             **asdict(relay.server.counters),
             "history": asdict(relay.history.counters),
--- a/olivecourse/rollout/part.py
+++ b/olivecourse/rollout/part.py
@@ -102,7 +102,7 @@
         self.wire = DatagramCodec(self.me, self.incarnation, keys)
         self._random = Random()  # seeded by the system: equal seeds would make members retry ballots together
         self._disk, acceptor_states, votes = self._open_folder()
-        self._worker = Worker(gateway.loop, "rollout", most=MAX_QUEUED_STEPS)
+        self._worker = Worker(gateway.loop, "rollout", max_pending=MAX_QUEUED_STEPS)
         version = section.version or os.environ.get(VERSION_VARIABLE, "")
         setup = Setup(
             self.me,
@@ -191,7 +191,7 @@
 
     def stop(self) -> None:
         """Closes the datagram socket, stops the disk worker and closes the folder."""
-        self.gateway.loop.forget(self._sock)
+        self.gateway.loop.unwatch(self._sock)
         self._sock.close()
         self._worker.stop(STOP_TIMEOUT_S)
         if self._disk is not None:
--- a/olivecourse/service.py
+++ b/olivecourse/service.py
@@ -11,7 +11,7 @@
 from olivecourse.config.gateway_config import Config
 from olivecourse.core.planner import Planner
 from olivecourse.net.loop import Loop
-from olivecourse.net.seam import PlannerServer
+from olivecourse.net.planner_link import PlannerServer
 
 if TYPE_CHECKING:
     from olivecourse.memory.snapshotter import Snapshotter
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -16,7 +16,7 @@
 
 @pytest.fixture(params=["thrift", "signed"])
 def stage(request, tmp_path, monkeypatch):
-    monkeypatch.setattr(listener, "FIRST_NS", 300_000_000)
+    monkeypatch.setattr(listener, "FIRST_REQUEST_TIMEOUT_NS", 300_000_000)
     monkeypatch.setattr(listener, "PARTIAL_REQUEST_TIMEOUT_NS", 300_000_000)
     created = SignedStage(tmp_path) if request.param == "signed" else Stage()
     created.kind = request.param
@@ -85,13 +85,13 @@
 def test_an_idle_client_is_closed(stage, monkeypatch):
     client, request = ask(stage, 1)
     serve(stage, client, request)
-    monkeypatch.setattr(listener, "IDLE_NS", 100_000_000)
+    monkeypatch.setattr(listener, "IDLE_TIMEOUT_NS", 100_000_000)
     wait_closed(stage, client)
 
 
 def test_at_the_limit_silent_then_idle_clients_are_closed_but_none_with_an_open_request(stage):
     front = stage.gateway.front
-    front._most = 3
+    front._max_clients = 3
     working, request = ask(stage, 1)
     idle, idle_request = ask(stage, 2)
     serve(stage, idle, idle_request)
@@ -116,11 +116,11 @@
 
 def test_a_client_with_one_request_is_closed_before_a_regular_client(stage):
     front = stage.gateway.front
-    front._most = 2
+    front._max_clients = 2
     usual, request = ask(stage, 1)
     serve(stage, usual, request)
     (connection,) = front.clients
-    connection.taken = 2  # as if it had sent two requests, so as a regular client; it is idle longest
+    connection.request_count = 2  # as if it had sent two requests, so as a regular client; it is idle longest
     connection.update_group()
     once, request = ask(stage, 2)
     serve(stage, once, request)
@@ -131,7 +131,7 @@
 
 def test_a_client_whose_request_has_just_arrived_is_not_closed_for_a_new_client(stage):
     front = stage.gateway.front
-    front._most = 1
+    front._max_clients = 1
     client = stage.client()
     stage.until(lambda: front.clients)
     (connection,) = front._new_clients
--- a/tests/test_native.py
+++ b/tests/test_native.py
@@ -124,10 +124,13 @@
 
 
 def test_names_of_base_classes_are_resolved():
-    assert origin("olivecourse.net.seam", "Stream") == ("olivecourse.net.stream", "Stream")
-    assert origin("olivecourse.net.seam", "_PlannerConnection") == (
-        "olivecourse.net.seam",
+    assert origin("olivecourse.net.planner_link", "Stream") == ("olivecourse.net.stream", "Stream")
+    assert origin("olivecourse.net.planner_link", "_PlannerConnection") == (
+        "olivecourse.net.planner_link",
         "_PlannerConnection",
     )
-    assert origin("olivecourse.net.seam", "interface.Settings") == ("olivecourse.interface", "Settings")
-    assert origin("olivecourse.net.seam", "socket.socket") is None
+    assert origin("olivecourse.net.planner_link", "interface.Settings") == (
+        "olivecourse.interface",
+        "Settings",
+    )
+    assert origin("olivecourse.net.planner_link", "socket.socket") is None
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -175,9 +175,9 @@
     client.call(1, c="commande", body=b"x" * 48_000)
     (conn,) = stage.until(lambda: stage.cache.poll() and stage.cache.conns)
     assert stage.gateway.pool.sends == 1
-    stream = stage.gateway.pool._stores[1][0]
+    stream = stage.gateway.pool._connections[1][0]
     stream.outbox.write(b"y")  # simulates an attempt that the socket has taken only in part
-    stream._partly = True
+    stream._partly_sent = True
     assert stage.gateway.pool.sends == 1
     stream.flush()
     assert stage.gateway.pool.sends == 2
@@ -390,7 +390,7 @@
         stage.until(lambda: len(stage.gateway.front.clients) > 30)
         for _ in range(20):
             stage.turn()
-        most = stage.gateway.front._most
+        most = stage.gateway.front._max_clients
         assert len(stage.gateway.front.clients) <= most < len(crowd)
         assert call(stage, "GET /ops/readiness")[0] == 200
     finally:
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -12,7 +12,7 @@
 from olivecourse import gateway as gateway_module
 from olivecourse import interface, logs
 from olivecourse.fronts import codec, listener, thrift
-from olivecourse.net import stores
+from olivecourse.net import server_pool
 from olivecourse.net.stream import Stream
 
 MS = 1_000_000
@@ -136,7 +136,7 @@
     client = stage.client()
     client.call()
     stage.until(lambda: stage.gateway.tracker.open)
-    (streams,) = stage.gateway.pool._stores.values()
+    (streams,) = stage.gateway.pool._connections.values()
     assert streams[0].connecting and streams[0].waiting
     SelectorHook(stage.gateway.loop, first=[streams[0].sock])
     client.sock.close()
@@ -149,7 +149,7 @@
     client = stage.client()
     client.call()
     stage.until(lambda: stage.gateway.tracker.open)
-    (streams,) = stage.gateway.pool._stores.values()
+    (streams,) = stage.gateway.pool._connections.values()
     leave = (
         client.sock.close
         if how == "closes"
@@ -177,7 +177,7 @@
         Stream,
         "_send",
         lambda self, data: (
-            0 if blocked and isinstance(self, stores.StoreStream) else original_send(self, data)
+            0 if blocked and isinstance(self, server_pool.StoreConnection) else original_send(self, data)
         ),
     )
     client.call()
@@ -200,11 +200,13 @@
     flood.sock.setblocking(False)
     other.call(i="9b1f03aa5c7e2d42", o="7f3a9c21e0b4d656")
     (worst,) = [c for c in stage.gateway.front.clients if c.sock.getpeername() == flood.sock.getsockname()]
-    last_numbers = [worst.last]
-    stage.until(lambda: last_numbers.append(worst.last) or worst.last == 300)
-    assert max(b - a for a, b in zip(last_numbers, last_numbers[1:], strict=False)) <= thrift.MOST_FRAMES
+    last_numbers = [worst.last_number]
+    stage.until(lambda: last_numbers.append(worst.last_number) or worst.last_number == 300)
+    assert (
+        max(b - a for a, b in zip(last_numbers, last_numbers[1:], strict=False)) <= thrift.MAX_FRAMES_PER_TURN
+    )
     assert any("9b1f03aa5c7e2d42" in line for line in fetches(stage.cache))
-    stage.until(lambda: len(flood.answers()) >= 300 - thrift.MOST_OPEN)
+    stage.until(lambda: len(flood.answers()) >= 300 - thrift.MAX_OPEN_REQUESTS)
     assert {kind for _, kind, *_ in flood.answers()} == {"refused"}
 
 
@@ -224,17 +226,17 @@
 ):
     client = stage.client()
     served(stage, client)
-    monkeypatch.setattr(listener, "IDLE_NS", 0)
+    monkeypatch.setattr(listener, "IDLE_TIMEOUT_NS", 0)
     (held,) = stage.gateway.front.clients
-    original_check, results = held.resting, []
+    original_check, results = held.is_idle, []
 
-    def resting():
+    def is_idle():
         results.append(original_check())
         # The request arrives after the last idle check and before the gateway closes its side.
         client.call(2, i="9b1f03aa5c7e2d42")
         return results[-1]
 
-    monkeypatch.setattr(type(held), "resting", lambda self: resting())
+    monkeypatch.setattr(type(held), "is_idle", lambda self: is_idle())
     client.data = b""
     stage.until(lambda: client.poll() or client.closed)
     assert results == [True] and client.data == b""
@@ -247,7 +249,7 @@
 def test_a_request_that_arrives_before_the_idle_check_is_served(stage, monkeypatch):
     client = stage.client()
     served(stage, client)
-    monkeypatch.setattr(listener, "IDLE_NS", 0)
+    monkeypatch.setattr(listener, "IDLE_TIMEOUT_NS", 0)
     sweep = stage.gateway.front._sweep
     client.call(2, i="9b1f03aa5c7e2d42", o="7f3a9c21e0b4d656")
     sweep()  # before the loop has read the request
@@ -258,10 +260,10 @@
 def test_a_lingering_connection_is_closed_in_time_and_first_when_room_is_needed(stage, monkeypatch):
     client, other = stage.client(), stage.client()
     served(stage, client)
-    monkeypatch.setattr(listener, "IDLE_NS", 0)
+    monkeypatch.setattr(listener, "IDLE_TIMEOUT_NS", 0)
     front = stage.gateway.front
     stage.until(lambda: front._lingering)
-    assert front.make_room() and not front._lingering and other
+    assert front.evict_client() and not front._lingering and other
     stage.until(lambda: client.poll() is not None and client.closed)
 
 
@@ -469,7 +471,7 @@
 
     with monkeypatch.context() as patch:
         patch.setattr(stage.gateway.pool, "may_send", fault)
-        patch.setattr(stage.gateway.pool, "_stores", None)
+        patch.setattr(stage.gateway.pool, "_connections", None)
         patch.setattr(stage.gateway.front, "clients", None)
         stage.until(lambda: sum(v.get("where") == "timer" for _, v in stage.logged) > 1)
     client = stage.client()
@@ -477,9 +479,9 @@
         patch.setattr(stage.gateway.pool, "may_send", fault)
         client.call()
         stage.until(lambda: any(v["where"] == "call" for event, v in stage.logged if event == "loop_fault"))
-    (stream,) = stage.gateway.pool._stores[1]
-    assert not stream._pumping
-    monkeypatch.setattr(listener, "FIRST_NS", 0)
+    (stream,) = stage.gateway.pool._connections[1]
+    assert not stream._sending
+    monkeypatch.setattr(listener, "FIRST_REQUEST_TIMEOUT_NS", 0)
     idle = stage.client()
     # The periodic check for idle clients still runs.
     stage.until(lambda: idle.poll() is not None and idle.closed)
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -151,8 +151,8 @@
     # The drain is published while the second attempt waits behind unsent bytes of its connection.
     pool = stage.gateway.pool
     client.call()
-    stage.until(lambda: pool._stores.get(1))
-    stream = pool._stores[1][0]
+    stage.until(lambda: pool._connections.get(1))
+    stream = pool._connections[1][0]
     stage.until(lambda: not stream.connecting and stage.cache.line())
     stream.outbox.write(b"x")  # unsent bytes: the next attempt has to wait behind them
     flush, stream.flush = stream.flush, lambda: None
@@ -270,7 +270,7 @@
     stage.until(stage.cache.line)
     stage.cache.say(answer)
     stage.until(lambda: "store_broken_answer" in stage.names())
-    assert all(s.open for streams in stage.gateway.pool._stores.values() for s in streams)
+    assert all(s.open for streams in stage.gateway.pool._connections.values() for s in streams)
 
 
 def test_a_stopping_gateway_answers_open_requests_and_still_accepts_new_ones(stage):
@@ -335,8 +335,8 @@
     client = stage.client()
     client.call(1, c="commande")
     stage.until(stage.cache.line)
-    (stream,) = stage.gateway.pool._stores[1]
-    stream.heard -= 10**9  # the store has been silent for longer than an answer takes to arrive
+    (stream,) = stage.gateway.pool._connections[1]
+    stream.last_received_at -= 10**9  # the store has been silent for longer than an answer takes to arrive
     member_changes = (
         {"up_since_ms": int(time.time() * 1000)} if "up_since_ms" in member_changes else member_changes
     )
@@ -465,7 +465,7 @@
     stage.until(lambda: b"00000000000000aa" in stage.cache.poll())
     assert len(stage.cache.conns) == 2
     # The connection is closed once it has no open request.
-    stage.until(lambda: not any(s.spent for s in stage.gateway.pool._stores[1]))
+    stage.until(lambda: not any(s.retiring for s in stage.gateway.pool._connections[1]))
 
 
 def test_an_attempt_whose_write_failed_has_not_run(stage):
@@ -473,8 +473,8 @@
     client.call(1)
     stage.until(stage.cache.line)
     stage.cache.say(f"{REQUEST} full - 0\r\n\r\n".encode())
-    stage.until(lambda: stage.gateway.pool._stores[1][0].load == 0)
-    for streams in stage.gateway.pool._stores.values():
+    stage.until(lambda: stage.gateway.pool._connections[1][0].load == 0)
+    for streams in stage.gateway.pool._connections.values():
         for stream in streams:
             stream.sock.shutdown(2)  # the next write fails at once, before the loop is notified
     stage.cache.sock.close()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -77,7 +77,7 @@
             link.sock.shutdown(socket.SHUT_RDWR)
             link.sock.close()
         os.close(restart._process_record._lock)
-        gateway.front.no_more()
+        gateway.front.stop_accepting()
         gateway.component(OperatorEndpointComponent).doors[0].close()
 
     def close(self):
