--- a/build_native.py
+++ b/build_native.py
@@ -39,9 +39,9 @@
     "fronts/thrift",
     "fronts/listener",
     "fronts/signed",
-    "ops/door",
+    "ops/admin_server",
     "net/planner_link",
-)  # fronts/signed, ops/door, net/planner_link: compiled because they subclass compiled classes
+)  # fronts/signed, ops/admin_server, net/planner_link: compiled because they subclass compiled classes
 RELAY = (
     "relay/event_log",
     "relay/history",
--- a/olivecourse/cli.py
+++ b/olivecourse/cli.py
@@ -176,7 +176,7 @@
     configured by the operator's file `operator`, until SIGTERM or SIGINT.
     """
     from olivecourse.config.sections import InvalidSection
-    from olivecourse.relay.commands import most_descriptors
+    from olivecourse.relay.commands import raise_descriptor_limit
     from olivecourse.relay.section import read_relay
     from olivecourse.relay.service import RelayService
 
@@ -187,7 +187,7 @@
         config = read_relay(operator)
         logs.set_up()
         log = logs.logger(relay=config.name)
-        relay = RelayService(config, log, most_descriptors())
+        relay = RelayService(config, log, raise_descriptor_limit())
     except (InvalidSection, OSError, ValueError) as error:
         click.echo(f"olivecourse: cannot start: {error}", err=True)
         sys.exit(2)
--- a/olivecourse/components.py
+++ b/olivecourse/components.py
@@ -162,17 +162,17 @@
         """Called after the event loop has ended, to release the component's sockets and files."""
 
 
-class OperatorEndpointComponent(Component):
+class AdminServerComponent(Component):
     """Serves the operators' HTTP endpoints, for readiness, metrics, drains and taking stores out of service,
     as described in `docs/design/daily.md`.
     """
 
     def __init__(self, gateway: GatewayContext) -> None:
         super().__init__(gateway)
-        from olivecourse.ops.desk import GatewayDesk
-        from olivecourse.ops.door import Door
+        from olivecourse.ops.admin_server import AdminServer
+        from olivecourse.ops.handlers import GatewayHandlers
 
-        self.desk = GatewayDesk(
+        self.handlers = GatewayHandlers(
             gateway,
             [c.name for c in gateway.config.settings.classes],
             gateway.tracker,
@@ -180,68 +180,75 @@
             gateway.directory,
             gateway.log,
         )
-        self.doors: list[Door] = []
+        self.admin_servers: list[AdminServer] = []
 
     def start(self, front: Listener) -> None:
-        from olivecourse.ops.door import Door
+        from olivecourse.ops.admin_server import AdminServer
 
         gateway = self.gateway
-        self.doors = [Door(gateway.loop, address, self.desk, gateway.log) for address in gateway.config.doors]
+        self.admin_servers = [
+            AdminServer(gateway.loop, address, self.handlers, gateway.log) for address in gateway.config.doors
+        ]
 
     def apply_settings(self, classes: Sequence[str]) -> None:
-        self.desk.classes[:] = classes
+        self.handlers.classes[:] = classes
 
     def accepts_requests(self) -> bool:
-        return not self.desk.draining
+        return not self.handlers.draining
 
     def stop(self) -> None:
-        for door in self.doors:
-            door.close()
+        for admin_server in self.admin_servers:
+            admin_server.close()
 
 
 class UpgradeComponent(Component):
     """Hands clients over from the old to the new process of one gateway during an upgrade. It is created
-    after OperatorEndpointComponent, because the processes share the list of stores that operators took out of
+    after AdminServerComponent, because the processes share the list of stores that operators took out of
     service, which the operators' endpoint keeps.
     """
 
     def __init__(self, gateway: GatewayContext) -> None:
         super().__init__(gateway)
-        from olivecourse.ops.succession import open_succession
+        from olivecourse.ops.hot_restart import open_hot_restart
 
-        door_part = gateway.component(OperatorEndpointComponent)
-        assert door_part is not None
+        admin_component = gateway.component(AdminServerComponent)
+        assert admin_component is not None
         config = gateway.config
-        self.succession = open_succession(
-            gateway.loop, config.tmpdir, config.name, door_part.desk, gateway.share_descriptors, gateway.log
+        self.hot_restart = open_hot_restart(
+            gateway.loop,
+            config.tmpdir,
+            config.name,
+            admin_component.handlers,
+            gateway.share_descriptors,
+            gateway.log,
         )
-        if self.succession is not None:
-            door_part.desk.spoken = self.succession.say
+        if self.hot_restart is not None:
+            admin_component.handlers.on_drain_change = self.hot_restart.drains_changed
 
     def configure_planner(self, planner: Planner) -> None:
-        if self.succession is not None:
-            self.succession.configure_planner(planner.router)
+        if self.hot_restart is not None:
+            self.hot_restart.configure_planner(planner.router)
 
     def listener(self) -> socket.socket | None:
-        return None if self.succession is None else self.succession.listener
+        return None if self.hot_restart is None else self.hot_restart.listener
 
     def start(self, front: Listener) -> None:
-        if self.succession is not None:
-            self.succession.start(front)
+        if self.hot_restart is not None:
+            self.hot_restart.start(front)
 
     def before_ready(self) -> None:
-        if self.succession is not None:
-            self.succession.serves()
+        if self.hot_restart is not None:
+            self.hot_restart.announce_ready()
 
     def hand_over_clients(self) -> bool:
-        return self.succession is not None and self.succession.retire()
+        return self.hot_restart is not None and self.hot_restart.transfer_clients()
 
     def flushed(self) -> bool:
-        return self.succession is None or self.succession.flushed()
+        return self.hot_restart is None or self.hot_restart.flushed()
 
     def stop(self) -> None:
-        if self.succession is not None:
-            self.succession.close()
+        if self.hot_restart is not None:
+            self.hot_restart.close()
 
 
 class PeersComponent(Component):
@@ -390,7 +397,7 @@
     """
     planner_is_local = config.planner is None
     candidates: tuple[tuple[bool, type[Component]], ...] = (
-        (bool(config.doors), OperatorEndpointComponent),
+        (bool(config.doors), AdminServerComponent),
         (bool(config.doors), UpgradeComponent),
         (config.peer_listen is not None, PeersComponent),
         (planner_is_local and "memory" in config.sections, MemoryComponent),
--- a/olivecourse/ops/door.py
+++ b/olivecourse/ops/admin_server.py
@@ -29,7 +29,7 @@
 class OperatorConnection(Stream):
     """One operator's connection: reads one call and replies; later bytes on the connection are ignored."""
 
-    def __init__(self, server: Door, sock: socket.socket) -> None:
+    def __init__(self, server: AdminServer, sock: socket.socket) -> None:
         self.server, self.deadline_ns = server, server.loop.clock.now() + CALL_TIMEOUT_NS
         self.parser = httptools.HttpRequestParser(self)
         self.url, self.body = b"", bytearray()
@@ -107,7 +107,7 @@
         self.server.connection_ended(self)
 
 
-class Door:
+class AdminServer:
     """The admin server: listens at `address` for operators' calls.
 
     A call is answered in the turn of the event loop in which its last byte is read.
--- a/olivecourse/ops/calls.py
+++ b/olivecourse/ops/calls.py
@@ -19,7 +19,7 @@
 
 
 class OperatorHandlers(Protocol):
-    """The operations of the gateway that the operators' calls need; implemented by GatewayDesk."""
+    """The operations of the gateway that the operators' calls need; implemented by GatewayHandlers."""
 
     def why_not_ready(self) -> str:
         """Returns an empty text if this gateway serves requests, else the reason, for the readiness reply."""
--- a/olivecourse/ops/desk.py
+++ b/olivecourse/ops/handlers.py
@@ -10,13 +10,13 @@
 from olivecourse.config.discovery_events import ServerDirectory
 from olivecourse.core.requests import RequestTracker
 from olivecourse.net.server_pool import ServerPool
-from olivecourse.ops.bans import GATEWAY_ID, DrainRecord, ManualDrains
 from olivecourse.ops.calls import Reply
-from olivecourse.ops.figures import GatewayMetrics
+from olivecourse.ops.manual_drains import GATEWAY_ID, DrainRecord, ManualDrains
+from olivecourse.ops.metrics import GatewayMetrics
 
 
 class Gateway(Protocol):
-    """The members of the gateway that GatewayDesk uses.
+    """The members of the gateway that GatewayHandlers uses.
 
     `conf_loaded` counts the configurations loaded, with the first one; `conf_invalid` those refused as
     invalid.
@@ -48,7 +48,7 @@
         ...
 
 
-class GatewayDesk:
+class GatewayHandlers:
     """Carries out the operators' calls, holds the manual drains, and supplies the values of the metrics."""
 
     def __init__(
@@ -64,10 +64,12 @@
         self._gateway, self._tracker, self._pool, self._directory = gateway, tracker, pool, directory
         self._log = log
         self.manual_drains = ManualDrains(time.time_ns)
-        self.spoken: Callable[[], None] = lambda: None  # called after an operator began or ended a drain
+        self.on_drain_change: Callable[[], None] = lambda: (
+            None
+        )  # called after an operator began or ended a drain
         # Handlers of the gateway's optional parts for calls of their own, given method, path and body; each
         # returns None for a call that it does not handle.
-        self.others: list[Callable[[str, str, bytes], Reply | None]] = []
+        self.extension_handlers: list[Callable[[str, str, bytes], Reply | None]] = []
         directory.manually_drained = self.manual_drains.drained
         self._metrics = GatewayMetrics(self)
 
@@ -94,7 +96,7 @@
         """
         if self.manual_drains.set_drained(store, out):
             self._apply_changes({store})
-            self.spoken()
+            self.on_drain_change()
 
     def set_draining(self, draining: bool) -> None:
         """Drains this whole gateway, or ends its drain."""
@@ -102,7 +104,10 @@
 
     def extension_reply(self, method: str, path: str, body: bytes) -> Reply | None:
         """Returns the reply of the first handler in `others` that handles this call, else None."""
-        return next((reply for call in self.others if (reply := call(method, path, body)) is not None), None)
+        return next(
+            (reply for call in self.extension_handlers if (reply := call(method, path, body)) is not None),
+            None,
+        )
 
     @property
     def draining(self) -> bool:
--- a/olivecourse/ops/handwire.py
+++ b/olivecourse/ops/handover_codec.py
@@ -31,7 +31,7 @@
     UNKNOWN = 0  # never sent; stands for a received kind that only a later version knows
     HELLO = 1  # from the successor {"v"}: asks for a hand-over; `v` is its VERSION
     LISTENER = 2  # from the predecessor, with a descriptor: the listening socket, if the first front has one
-    LEARNED = 3  # from the predecessor; raw: the Router's learned state, as `learned` encodes it
+    LEARNED = 3  # from the predecessor; raw: the Router's learned state, as `warm_state` encodes it
     READY = 4  # from the successor: it is ready to serve and to receive client connections
     # From the predecessor, with the descriptor of a client's connection; raw: the bytes read and not yet
     # processed, then the unsent bytes of answers.
--- a/olivecourse/ops/succession.py
+++ b/olivecourse/ops/hot_restart.py
@@ -1,7 +1,7 @@
 """Hot restart of a gateway: finds the gateway's other processes, shares manual drains (stores taken out of
 service by hand) with them, and transfers client connections to the successor.
 
-Connects `standing`, `presence`, `handover` and a front, which serves the clients.
+Connects `process_lineage`, `process_record`, `socket_handover` and a front, which serves the clients.
 `docs/design/daily.md`, section D, describes the whole procedure.
 """
 
@@ -18,11 +18,11 @@
 from olivecourse.fronts.thrift import ThriftClient, ThriftServer
 from olivecourse.memory.collect import IntervalRecorder
 from olivecourse.net.loop import Loop
-from olivecourse.ops.handover import HandoverListener, Link, request_handover
-from olivecourse.ops.handwire import BadMessage, Kind, Message
-from olivecourse.ops.learned import encode_state, restore_state
-from olivecourse.ops.presence import DrainRecords, FolderUnusable, ProcessRecord
-from olivecourse.ops.standing import ProcessLineage, TransferredConnections
+from olivecourse.ops.handover_codec import BadMessage, Kind, Message
+from olivecourse.ops.process_lineage import ProcessLineage, TransferredConnections
+from olivecourse.ops.process_record import DrainRecords, FolderUnusable, ProcessRecord
+from olivecourse.ops.socket_handover import HandoverListener, Link, request_handover
+from olivecourse.ops.warm_state import encode_state, restore_state
 
 MS = 1_000_000  # nanoseconds per millisecond
 # Between scans of the other processes' files, so that manual drains set there apply here within 1 s.
@@ -31,7 +31,7 @@
 
 
 class DrainHolder(Protocol):
-    """The holder of this process's manual drains, which GatewayDesk implements."""
+    """The holder of this process's manual drains, which GatewayHandlers implements."""
 
     def merge_drains(self, records: DrainRecords) -> None:
         """Merges manual drain records of another process, and applies those that are newer."""
@@ -152,7 +152,7 @@
             self._on_limits_shared(True)
         self._loop.after(SCAN_INTERVAL_NS, self._tick)
 
-    def serves(self) -> None:
+    def announce_ready(self) -> None:
         """Called when this process is ready to serve: tells the predecessor, if any, that it can now receive
         client connections.
         """
@@ -162,7 +162,7 @@
 
     # Manual drains ------------------------------------------------------------------------------------
 
-    def say(self) -> None:
+    def drains_changed(self) -> None:
         """Called when an operator began or ended a drain in this process: writes its file of manual drains
         and asks the other processes to read it.
         """
@@ -203,7 +203,7 @@
 
     # Transfer of client connections -------------------------------------------------------------------
 
-    def retire(self) -> bool:
+    def transfer_clients(self) -> bool:
         """Called on SIGTERM: transfers the client connections to the ready successor.
 
         Returns False, without a transfer, if there is none or the front is not one for Thrift.
@@ -323,7 +323,7 @@
         self._process_record.release()
 
 
-def open_succession(
+def open_hot_restart(
     loop: Loop,
     folder: str | None,
     name: str,
--- a/olivecourse/ops/figures.py
+++ b/olivecourse/ops/metrics.py
@@ -12,7 +12,8 @@
 
 
 class Source(Protocol):
-    """Supplies the values of the metrics; implemented by GatewayDesk. Counters start at 0 with the process.
+    """Supplies the values of the metrics; implemented by GatewayHandlers. Counters start at 0 with the
+    process.
 
     `classes` are the names of the request classes.
     """
--- a/olivecourse/ops/presence.py
+++ b/olivecourse/ops/process_record.py
@@ -19,7 +19,7 @@
 from collections.abc import Callable, Iterable
 from pathlib import Path
 
-from olivecourse.ops.bans import DrainRecord
+from olivecourse.ops.manual_drains import DrainRecord
 
 FOLDER = "olivecourse"  # the folder's name in `$TMPDIR` before the hyphen and the gateway's name
 LOCK_FILE_NAME = re.compile(r"(\d{20}-\d{1,10})\.lock")  # group 1 is the process's token
--- a/olivecourse/ops/handover.py
+++ b/olivecourse/ops/socket_handover.py
@@ -17,7 +17,7 @@
 
 from olivecourse.net.loop import READ, WRITE, Loop
 from olivecourse.net.stream import listen_unix
-from olivecourse.ops.handwire import MAX_MESSAGE_BYTES, VERSION, BadMessage, Decoder, Kind, Message
+from olivecourse.ops.handover_codec import MAX_MESSAGE_BYTES, VERSION, BadMessage, Decoder, Kind, Message
 
 MAX_LINKS = 4  # most connections from other processes open at a time
 MAX_QUEUED_BYTES = MAX_MESSAGE_BYTES + 8 * 2**20  # a link with more unsent bytes is closed
--- a/olivecourse/relay/commands.py
+++ b/olivecourse/relay/commands.py
@@ -17,7 +17,7 @@
 TIMEOUT_S = 5.0  # for connecting to the relay, and for each read of its answer
 
 
-def most_descriptors() -> int:
+def raise_descriptor_limit() -> int:
     """Raises this process's soft limit on open file descriptors to the hard limit; returns the hard limit."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft != hard:
--- a/olivecourse/rollout/part.py
+++ b/olivecourse/rollout/part.py
@@ -20,7 +20,7 @@
 import msgspec
 
 from olivecourse import interface
-from olivecourse.components import Component, GatewayContext, OperatorEndpointComponent
+from olivecourse.components import AdminServerComponent, Component, GatewayContext
 from olivecourse.config.sections import InvalidSection
 from olivecourse.core.planner import Planner
 from olivecourse.fronts.listener import Listener
@@ -140,8 +140,8 @@
             raise
         self._sock.setblocking(False)
         gateway.loop.watch(self._sock, READ, self._on_readable)
-        if (door := gateway.component(OperatorEndpointComponent)) is not None:
-            door.desk.others.append(self.call)
+        if (admin_component := gateway.component(AdminServerComponent)) is not None:
+            admin_component.handlers.extension_handlers.append(self.call)
 
     def _open_folder(self) -> tuple[Disk | None, dict[str, Any], bool]:
         """Opens the folder of this voting member. Returns the folder (None if it cannot be opened), the
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -8,10 +8,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from stage import OBJECT, REQUEST, SETTINGS, S, Stage, member
-from test_ops import call, figures, total
+from test_ops import call, read_metrics, total
 
 from benchmarks.deployments import run as run_deployments
-from olivecourse.components import OperatorEndpointComponent
+from olivecourse.components import AdminServerComponent
 from olivecourse.config.gateway_config import InvalidConfig, read_config
 from olivecourse.config.merging import MAX_CLASSES
 from olivecourse.fronts import codec
@@ -58,10 +58,10 @@
 def test_both_admin_addresses_accept_the_calls_of_both_deployments():
     stage = Stage(admin="127.0.0.1:0", env={"EDGE_MGMT": "localhost:0"})
     try:
-        doors = stage.gateway.component(OperatorEndpointComponent).doors
-        assert len(doors) == 2
+        admin_servers = stage.gateway.component(AdminServerComponent).admin_servers
+        assert len(admin_servers) == 2
         for _ in range(2):
-            doors.reverse()  # `call` uses the first address
+            admin_servers.reverse()  # `call` uses the first address
             for path in ("/ready", "/ops/readiness", "/metrics", "/ops/stats"):
                 assert call(stage, f"GET {path}")[0] == 200
             for request_parts in (
@@ -111,7 +111,7 @@
     )
     send_read(stage.client(), i="11" * 8)
     assert stage.until(stage.cache.line)
-    assert figures(stage)[total("answered")] == 2
+    assert read_metrics(stage)[total("answered")] == 2
     assert [e for e in stage.names() if e.startswith("drain_")] == ["drain_begins", "drain_ends"]
 
 
@@ -187,7 +187,7 @@
     ]
     reload(stage, settings=settings(files, orders, max_attempts=2))
     assert outcome_of(stage, client, 7, "fichiers") == "success", "the class is back at its old index"
-    metrics = figures(stage)
+    metrics = read_metrics(stage)
     assert [metrics[total("answered", c)] for c in ("fichiers", "commande", "pages", "videos")] == [
         3,
         0,
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -15,13 +15,13 @@
 from stage import OBJECT, REQUEST, Stage, drain, member
 
 from olivecourse import interface
-from olivecourse.components import OperatorEndpointComponent
+from olivecourse.components import AdminServerComponent
 from olivecourse.core.descriptors import DESCRIPTORS_PER_ENDPOINT, divide_descriptors
 from olivecourse.core.requests import DuplicateRequest, RequestTracker, TooManyOpenRequests
 from olivecourse.fronts import codec
 from olivecourse.gateway import Gateway
-from olivecourse.ops.bans import DrainRecord, ManualDrains
-from olivecourse.ops.door import MAX_CONNECTIONS
+from olivecourse.ops.admin_server import MAX_CONNECTIONS
+from olivecourse.ops.manual_drains import DrainRecord, ManualDrains
 
 GAUGES = {
     "app_current",
@@ -49,7 +49,7 @@
     def __init__(self, stage, head, body=b"", cut=0):
         self.stage = stage
         self.sock = socket.create_connection(
-            ("127.0.0.1", stage.gateway.component(OperatorEndpointComponent).doors[0].port)
+            ("127.0.0.1", stage.gateway.component(AdminServerComponent).admin_servers[0].port)
         )
         self.sock.setblocking(False)
         self.data = b""
@@ -84,7 +84,7 @@
     return call(stage, f"PUT /ops/stores/{action}", json.dumps({"id": name}).encode())[0]
 
 
-def figures(stage):
+def read_metrics(stage):
     """Fetches the gateway's metrics; returns each value by the metric's name with its labels."""
     status, text = call(stage, "GET /ops/stats")
     assert status == 200
@@ -126,26 +126,26 @@
 
 
 def test_calls_are_answered_while_silent_clients_hold_connections(stage):
-    door = stage.gateway.component(OperatorEndpointComponent).doors[0]
-    silent = [socket.create_connection(("127.0.0.1", door.port)) for _ in range(50)]
+    admin_server = stage.gateway.component(AdminServerComponent).admin_servers[0]
+    silent = [socket.create_connection(("127.0.0.1", admin_server.port)) for _ in range(50)]
     for sock in silent[::2]:
         sock.sendall(b"GET /ops/readiness HTTP/1.1\r\nHo")
     stage.until(
         lambda: (
-            len(stage.gateway.component(OperatorEndpointComponent).doors[0].connections) == MAX_CONNECTIONS
+            len(stage.gateway.component(AdminServerComponent).admin_servers[0].connections) == MAX_CONNECTIONS
         )
     )
     began = time.monotonic()
     assert call(stage, "GET /ops/readiness")[0] == 200
     assert time.monotonic() - began < 0.5
-    assert len(door.connections) <= MAX_CONNECTIONS
-    stage.until(lambda: not door.connections)  # all lack a complete call by CALL_TIMEOUT_NS
+    assert len(admin_server.connections) <= MAX_CONNECTIONS
+    stage.until(lambda: not admin_server.connections)  # all lack a complete call by CALL_TIMEOUT_NS
     for sock in silent:
         sock.close()
 
 
 def test_metrics_count_each_outcome_and_each_attempt_once(stage):
-    start = figures(stage)
+    start = read_metrics(stage)
     assert {k: v for k, v in start.items() if k not in GAUGES} == {
         total(s, g): 0 for s in ("answered", "deferred", "errored") for g in ("fichiers", "commande")
     } | {"app_sends_total": 0}
@@ -153,7 +153,7 @@
     client = stage.client()
     client.call(1)
     stage.until(stage.cache.line)
-    assert figures(stage)["app_sends_total"] == figures(stage)["app_current"] == 1
+    assert read_metrics(stage)["app_sends_total"] == read_metrics(stage)["app_current"] == 1
     stage.cache.say(b"%s data version=a1,stamp=5,n=HIT 2\r\nok\r\n" % REQUEST.encode())
     stage.until(lambda: client.answers())
     client.call(2, i="00" * 8)
@@ -163,7 +163,7 @@
     orders = stage.client()
     orders.call(1, c="commande", i="11" * 8, d="150")
     stage.until(lambda: orders.answers())
-    now = figures(stage)
+    now = read_metrics(stage)
     assert now[total("answered")] == 1 and now["app_current"] == 0
     assert now[total("errored", "commande")] + now[total("deferred", "commande")] == 1
     tracker = stage.gateway.tracker
@@ -186,7 +186,7 @@
 def test_a_manually_drained_store_gets_nothing_until_it_is_restored_whatever_the_list_says(stage):
     assert down(stage, "s-0000000f") == 404
     assert down(stage, "s-00000001") == down(stage, "s-00000001") == 200
-    assert figures(stage)["app_cluster_unhealthy"] == 1
+    assert read_metrics(stage)["app_cluster_unhealthy"] == 1
     address = stage.cache.address
     for phase, more in (("Ready", {}), ("Gone", {}), ("Ready", {"up_since_ms": int(time.time() * 1000)})):
         stage.gateway.on_events(
@@ -293,7 +293,7 @@
     stage = Stage()
     try:
         assert stage.gateway.component(
-            OperatorEndpointComponent
+            AdminServerComponent
         ) is None and stage.gateway.directory.effective_member(interface.Member(1, 1.0)) == interface.Member(
             1, 1.0
         )
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,16 +14,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from stage import OBJECT, REQUEST, Stage
-from test_ops import call, down, figures
+from test_ops import call, down, read_metrics
 
-from olivecourse.components import OperatorEndpointComponent, PeersComponent, UpgradeComponent
+from olivecourse.components import AdminServerComponent, PeersComponent, UpgradeComponent
 from olivecourse.core.descriptors import divide_descriptors
 from olivecourse.gateway import Gateway
 from olivecourse.net.loop import Loop
-from olivecourse.ops.handover import Link
-from olivecourse.ops.handwire import BadMessage, Decoder, Kind, Message
-from olivecourse.ops.presence import FolderUnusable, ProcessRecord
-from olivecourse.ops.standing import ProcessLineage, TransferredConnections
+from olivecourse.ops.handover_codec import BadMessage, Decoder, Kind, Message
+from olivecourse.ops.process_lineage import ProcessLineage, TransferredConnections
+from olivecourse.ops.process_record import FolderUnusable, ProcessRecord
+from olivecourse.ops.socket_handover import Link
 
 
 class Upgrade:
@@ -72,19 +72,19 @@
     def kill(self, gateway):
         """Simulates SIGKILL: closes everything that the system would close for a killed process."""
         self.killed.add(gateway)
-        restart = gateway.component(UpgradeComponent).succession
+        restart = gateway.component(UpgradeComponent).hot_restart
         for link in restart._links():
             link.sock.shutdown(socket.SHUT_RDWR)
             link.sock.close()
         os.close(restart._process_record._lock)
         gateway.front.stop_accepting()
-        gateway.component(OperatorEndpointComponent).doors[0].close()
+        gateway.component(AdminServerComponent).admin_servers[0].close()
 
     def close(self):
         for gateway in self.all:
             if gateway not in self.killed:
-                gateway.component(UpgradeComponent).succession.close()
-                gateway.component(OperatorEndpointComponent).doors[0].close()
+                gateway.component(UpgradeComponent).hot_restart.close()
+                gateway.component(AdminServerComponent).admin_servers[0].close()
                 gateway.front.close()
         for thing in (*self.peers, *(c.sock for c in self.clients)):
             thing.close()
@@ -220,7 +220,7 @@
     assert down(upgrade, "s-00000008") == 200
     new = upgrade.follow()
     assert not new.directory.ready(8), "the drain must hold before the first request"
-    assert figures(upgrade)["app_cluster_unhealthy"] == 1
+    assert read_metrics(upgrade)["app_cluster_unhealthy"] == 1
     # `down` now calls the successor; the predecessor must follow.
     assert down(upgrade, "s-00000008", "up") == down(upgrade, "s-00000001") == 200
     upgrade.until(lambda: old.directory.ready(8) and not old.directory.ready(1))
@@ -233,7 +233,7 @@
     assert "record_unusable" in again.names() and "handover_unanswered" not in again.names()
     left = sorted(p.suffix for p in (tmp_path / "olivecourse-n0").iterdir())
     assert left == [".json", ".lock", ".sock"], "the files of dead processes must be removed"
-    again.gateway.component(UpgradeComponent).succession.close()
+    again.gateway.component(UpgradeComponent).hot_restart.close()
     again.close()
 
 
@@ -244,7 +244,7 @@
         ProcessRecord(str(tmp_path), "n0", lambda event, **v: None)
     stage = Stage(mgmt="127.0.0.1:0", env={"TMPDIR": str(tmp_path)})
     assert (
-        stage.gateway.component(UpgradeComponent).succession is None and "presence_unusable" in stage.names()
+        stage.gateway.component(UpgradeComponent).hot_restart is None and "presence_unusable" in stage.names()
     )
     stage.close()
 
@@ -403,7 +403,7 @@
     loop.close()
     new, (left, right) = upgrade.follow(), socket.socketpair()
     head = {"conn": 1, "last": 1, "taken": 1, "open": [1], "in": 200_000}
-    there = new.component(UpgradeComponent).succession
+    there = new.component(UpgradeComponent).hot_restart
     there.message_received(
         there._links()[0], Message(Kind.CLIENT, head, b"\0" * 200_000, with_socket=True), left
     )
@@ -483,10 +483,10 @@
 def test_a_gateway_drain_holds_in_both_processes_until_it_is_ended_in_either(upgrade):
     """Both processes count as one gateway; otherwise the successor would report that it takes work."""
     old = upgrade.all[0]
-    old.component(OperatorEndpointComponent).desk.set_draining(True)
+    old.component(AdminServerComponent).handlers.set_draining(True)
     new = upgrade.follow(status=503)
     assert new.why_not_ready() == "draining" and new.front.draining
-    new.component(OperatorEndpointComponent).desk.set_draining(False)
+    new.component(AdminServerComponent).handlers.set_draining(False)
     upgrade.until(lambda: old.accepts_requests() and new.accepts_requests())
-    new.component(OperatorEndpointComponent).desk.set_draining(True)
+    new.component(AdminServerComponent).handlers.set_draining(True)
     upgrade.until(lambda: not old.accepts_requests())
