--- a/benchmarks/_fleet.py
+++ b/benchmarks/_fleet.py
@@ -20,15 +20,15 @@
 import yaml
 
 from benchmarks._program import Gateway
-from olivecourse.emulator.board import Board
-from olivecourse.emulator.clients import Crowd, Sort, well
+from olivecourse.emulator.clients import LoadGenerator, TrafficClass, accepts_work
+from olivecourse.emulator.discovery_server import DiscoveryServer
 from olivecourse.emulator.faults import Fault, Network, Player
 from olivecourse.emulator.observer import Observer
 from olivecourse.emulator.settings import settings
-from olivecourse.emulator.stores import Store, World, unix_ms
+from olivecourse.emulator.stores import EmulatorLoop, Store, unix_ms
 
 CLASSES = [("fichiers", 2500, "idempotent", False), ("commande", 2500, "at_most_once", True)]
-SORTS = (Sort("fichiers", 0.95), Sort("commande", 0.05, write=True))
+SORTS = (TrafficClass("fichiers", 0.95), TrafficClass("commande", 0.05, write=True))
 COLD_S = 1.0  # how long an edge store counts as cold after it was restarted
 WORK_S = 0.5  # how long an edge store stays down after an operator has stopped it
 STORE_GROUP = "stores:praia"  # the group whose drain leases the edge stores need
@@ -77,8 +77,8 @@
         self.observer = Observer(0.25, 0.3, frozenset({"commande"}))
         self.edge_stores = [Store(f"box-{n:02d}", delay_s=0.005) for n in range(stores)]
         self.hub, self.archive = Store("hub-1"), Store("archive-1")
-        self.world = World([*self.edge_stores, self.hub, self.archive], self.observer.asked)
-        self.board = Board(self.world)
+        self.world = EmulatorLoop([*self.edge_stores, self.hub, self.archive], self.observer.on_answer)
+        self.board = DiscoveryServer(self.world)
         self.network = Network(self.world, seed)
         self.ports = {n: port() for n in self.names}
         self.doors = {n: port() for n in self.names}
@@ -95,7 +95,7 @@
         self.replacing, self.faulty_version = False, ""
         self.reached: set[str] = set()
         self._leaving: set[str] = set()
-        self.client_groups: dict[str, Crowd] = {}
+        self.client_groups: dict[str, LoadGenerator] = {}
         self._rate = rate
         self._members = {store.name: self._member(store) for store in self.world.stores}
         self.board.publish(pool={"revision": 1, "complete": True, "members": list(self._members.values())})
@@ -271,7 +271,7 @@
 
         def heard(name: str) -> bool:
             if not self.agree:
-                return well(self.ports[name])
+                return accepts_work(self.ports[name])
             found = self.status(name)
             return bool(found) and all(
                 gateway["heard"] and gateway["service"] == "serves" for gateway in found["gateways"]
@@ -283,14 +283,14 @@
         """Starts a group of clients for each gateway; they use other gateways while theirs is down."""
         for index, name in enumerate(self.names):
             ports = [self.ports[n] for n in self.names[index:] + self.names[:index]]
-            self.client_groups[name] = Crowd(
+            self.client_groups[name] = LoadGenerator(
                 self.world,
                 ports,
                 SORTS,
                 self._rate,
                 self.seed + index,
-                self.observer.fault,
-                conns=2,
+                self.observer.record_violation,
+                connection_count=2,
                 objects=4000,
             )
 
@@ -431,7 +431,7 @@
         """Counts all clients' ended requests by outcome: served, refused, failed, nobody."""
         total: Counter[str] = Counter()
         for clients in self.client_groups.values():
-            total.update(clients.ends)
+            total.update(clients.outcomes)
         return total
 
     def close(self) -> None:
--- a/benchmarks/_load.py
+++ b/benchmarks/_load.py
@@ -9,7 +9,7 @@
 import time
 from dataclasses import dataclass
 
-from olivecourse.emulator.stores import World
+from olivecourse.emulator.stores import EmulatorLoop
 from olivecourse.fronts import codec
 
 
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        world: World,
+        world: EmulatorLoop,
         port: int,
         rate: float,
         seed: int,
--- a/benchmarks/_observer.py
+++ b/benchmarks/_observer.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from olivecourse.emulator.clients import Crowd, Sort
-from olivecourse.emulator.stores import Store, World, unix_ms
+from olivecourse.emulator.clients import LoadGenerator, TrafficClass
+from olivecourse.emulator.stores import EmulatorLoop, Store, unix_ms
 
 SOCKETS_S = 0.05  # added to the time allowed after a purge, for delays on sockets
 ROUNDING_MS = 1  # tolerated, because ages and times of purges are sent in whole ms
@@ -92,8 +92,8 @@
 
     def __post_init__(self) -> None:
         self.stores = [*self.edge_stores, Store("parent-1"), Store(ORIGIN)]
-        self.world = World(self.stores, self._record_ask)
-        self.clients: Crowd | None = None
+        self.world = EmulatorLoop(self.stores, self._record_ask)
+        self.clients: LoadGenerator | None = None
         self._running = False
         self._thread: threading.Thread | None = None
 
@@ -131,7 +131,9 @@
 
     def serve(self, port: int, seed: int, rate: float = REQUESTS_PER_S) -> None:
         """Starts a thread that runs the stores, and clients of the gateway at `port`, until `stop`."""
-        self.clients = Crowd(self.world, port, [Sort("fichiers")], rate, seed, self._record_fault)
+        self.clients = LoadGenerator(
+            self.world, port, [TrafficClass("fichiers")], rate, seed, self._record_fault
+        )
         self._running = True
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
@@ -153,7 +155,7 @@
         if self.clients is None:
             return {}
         unanswered = sum(fault.startswith("unanswered") for fault in self.faults)
-        return {**self.clients.ends, "lost": self.clients.lost, "unanswered": unanswered}
+        return {**self.clients.outcomes, "lost": self.clients.lost_requests, "unanswered": unanswered}
 
     def close(self) -> None:
         """Ends the thread, and closes the connections of clients and stores."""
--- a/benchmarks/_processes.py
+++ b/benchmarks/_processes.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from benchmarks._program import ROOT
-from build_native import digest
+from build_native import source_digest
 
 JsonObject = dict[str, Any]
 ANSWER_TIMEOUT_S = 120.0
@@ -26,7 +26,7 @@
 def native() -> bool:
     """Returns whether .native/, the compiled copy of the program, was built from the current sources."""
     stamp = NATIVE / "stamp"
-    return stamp.exists() and stamp.read_text() == digest()
+    return stamp.exists() and stamp.read_text() == source_digest()
 
 
 def native_path() -> str:
--- a/benchmarks/_staff.py
+++ b/benchmarks/_staff.py
@@ -11,7 +11,7 @@
 
 from benchmarks._program import Gateway
 from olivecourse.emulator.settings import settings
-from olivecourse.emulator.stores import Store, World
+from olivecourse.emulator.stores import EmulatorLoop, Store
 
 CLASSES = [("fichiers", 2500, "idempotent", False), ("commande", 2500, "at_most_once", True)]
 LIMITS = {"cores": 1.0, "memory_mb": 80, "sockets": 384}
@@ -30,7 +30,7 @@
         self.folder, self.port = folder, free_port()
         self.edge_stores = [Store(f"petit-{n}", delay_s=0.05) for n in range(4)]
         self.parent, self.origin = Store("parent-1"), Store("origin-1")
-        self.world = World([*self.edge_stores, self.parent, self.origin])
+        self.world = EmulatorLoop([*self.edge_stores, self.parent, self.origin])
         members = [
             {
                 "id": store.name,
--- a/benchmarks/deployments.py
+++ b/benchmarks/deployments.py
@@ -20,11 +20,11 @@
 
 from benchmarks._program import ROOT, Gateway
 from benchmarks._staff import free_port
-from olivecourse.emulator.board import Board
-from olivecourse.emulator.clients import Crowd, well
-from olivecourse.emulator.deployments import DOORS, Drawn, draw
+from olivecourse.emulator.clients import LoadGenerator, accepts_work
+from olivecourse.emulator.deployments import ADMIN_ADDRESS_KEYS, RandomDeployment, draw_deployment
+from olivecourse.emulator.discovery_server import DiscoveryServer
 from olivecourse.emulator.observer import Observer
-from olivecourse.emulator.stores import Store, World, unix_ms
+from olivecourse.emulator.stores import EmulatorLoop, Store, unix_ms
 
 RATE = 40.0  # requests a second of all clients together
 CALM_S, FAULT_INTERVAL_S = 0.5, 0.3  # time before the first fault, and before each further one
@@ -47,24 +47,26 @@
 class DeploymentRun:
     """One drawn deployment on loopback: a gateway process, and emulated stores, clients and discovery."""
 
-    def __init__(self, drawn: Drawn, folder: Path, root: Path) -> None:
-        self.drawn, self.folder = drawn, folder
-        self.observer = Observer(drawn.drain_s, drawn.purge_s, drawn.once)
+    def __init__(self, deployment: RandomDeployment, folder: Path, root: Path) -> None:
+        self.deployment, self.folder = deployment, folder
+        self.observer = Observer(deployment.drain_s, deployment.purge_s, deployment.at_most_once_classes)
         self.stores = [
             Store(
                 name,
                 holds_all=False,
                 fill_s=0.02,
                 delay_s=0.01,
-                reports=drawn.reports,
-                fresh_ms=drawn.fresh_ms,
+                reports=deployment.reports,
+                fresh_ms=deployment.fresh_ms,
             )
-            for name, _, _ in drawn.stores
+            for name, _, _ in deployment.stores
         ]
-        self.world = World(
-            self.stores, self.observer.asked, frozenset(sort.name for sort in drawn.sorts if sort.write)
+        self.world = EmulatorLoop(
+            self.stores,
+            self.observer.on_answer,
+            frozenset(sort.name for sort in deployment.traffic_classes if sort.write),
         )
-        self.board = Board(self.world)
+        self.board = DiscoveryServer(self.world)
         members = [
             {
                 "id": name,
@@ -76,17 +78,17 @@
                 "size": 4,
                 "up_since_ms": 0,
             }
-            for store, (name, kind, zone) in zip(self.stores, drawn.stores, strict=True)
+            for store, (name, kind, zone) in zip(self.stores, deployment.stores, strict=True)
         ]
         self.members = {member["id"]: member for member in members}
-        if drawn.changes_at_start:
+        if deployment.changes_at_start:
             self._pool([members[0]], complete=True)
             self._pool(members[1:])
         else:
             self._pool(members, complete=True)
-        self.port, self.doors = free_port(), {door_role: free_port() for door_role in drawn.doors}
+        self.port, self.doors = free_port(), {door_role: free_port() for door_role in deployment.doors}
         self.config = folder / "config.json"
-        self._write(drawn.settings)
+        self._write(deployment.settings)
         (folder / "tmp").mkdir()
         self.gateway = Gateway(
             None,
@@ -95,7 +97,7 @@
             root=root,
             native=root == ROOT,
             TMPDIR=str(folder / "tmp"),
-            **{DOORS[role]: f"127.0.0.1:{door_port}" for role, door_port in self.doors.items()},
+            **{ADMIN_ADDRESS_KEYS[role]: f"127.0.0.1:{door_port}" for role, door_port in self.doors.items()},
         )
 
     def _pool(self, members: list[dict[str, Any]], complete: bool = False) -> float:
@@ -130,7 +132,7 @@
             for paths in PATHS.values():
                 for path in paths:
                     if (status := call(port, "GET", path)) != 200:
-                        self.observer.fault("door", f"{path}: {status}")
+                        self.observer.record_violation("door", f"{path}: {status}")
 
     def inject_fault(self, name: str) -> None:
         """Injects the fault `name`, one of FAULTS in the emulator's `deployments`."""
@@ -139,64 +141,73 @@
             self.world.at(time.monotonic() + 0.4, self.board.resume)
         elif name == "drain by hand":
             management_port = next(iter(self.doors.values()))
-            store = self.drawn.stores[0][0]
+            store = self.deployment.stores[0][0]
             if (
                 not 200
                 <= (status := call(management_port, "PUT", "/ops/stores/down", f'{{"id": "{store}"}}'))
                 < 300
             ):
-                self.observer.fault("door", f"a store out by hand: {status}")
-            self.observer.drained(store, time.monotonic())
+                self.observer.record_violation("door", f"a store out by hand: {status}")
+            self.observer.record_drain(store, time.monotonic())
         elif name in ("file replaced", "file spoilt"):
-            self._write(self.drawn.replaced if name == "file replaced" else '{"settings": {"profiles": [')
+            self._write(
+                self.deployment.replaced if name == "file replaced" else '{"settings": {"profiles": ['
+            )
             self.gateway.process.send_signal(signal.SIGHUP)
         elif name == "store resets":
             self.world.reset(self.stores[-2 if len(self.stores) > 2 else 0])
 
-    def drain_and_purge(self, clients: Crowd) -> None:
+    def drain_and_purge(self, clients: LoadGenerator) -> None:
         """Publishes by discovery that a store is terminating, and purges of the most requested objects."""
-        name = self.drawn.stores[1][0]
-        self.observer.drained(name, self._pool([{**self.members[name], "phase": "Terminating"}]))
+        name = self.deployment.stores[1][0]
+        self.observer.record_drain(name, self._pool([{**self.members[name], "phase": "Terminating"}]))
         for asset in (f"{number:016x}" for number in range(1, 5)):
             published_ms = unix_ms()
             at = self.board.publish(flush={"asset": asset, "ms": published_ms})
-            self.observer.purged(asset, at, published_ms)
+            self.observer.record_purge(asset, at, published_ms)
 
     def run(self) -> dict[str, int]:
         """Runs the deployment with its faults; returns the count of violations by rule, {} without any."""
         observer, began = self.observer, time.monotonic()
         try:
-            while not well(self.port):
+            while not accepts_work(self.port):
                 self.world.run(0.05)
                 if self.gateway.process.poll() is not None or time.monotonic() - began > 8:
-                    observer.fault("start", str(self.gateway.lines[-1:]))
-                    return dict(observer.broken)
-            clients = Crowd(self.world, self.port, self.drawn.sorts, RATE, self.drawn.seed, observer.fault)
+                    observer.record_violation("start", str(self.gateway.lines[-1:]))
+                    return dict(observer.violations)
+            clients = LoadGenerator(
+                self.world,
+                self.port,
+                self.deployment.traffic_classes,
+                RATE,
+                self.deployment.seed,
+                observer.record_violation,
+            )
             self.world.run(CALM_S)
             self._check_management_ports()
             self.drain_and_purge(clients)
-            for name in self.drawn.troubles:
+            for name in self.deployment.troubles:
                 self.world.run(FAULT_INTERVAL_S)
                 self.inject_fault(name)
-            self.world.run(self.drawn.drain_s + 0.5)
+            self.world.run(self.deployment.drain_s + 0.5)
             self._check_management_ports()
             clients.settle(3.0)
-            asked = sum(clients.ends.values())
-            if clients.ends["served"] < MIN_SERVED_SHARE * asked or not asked:
-                observer.fault("served", f"{dict(clients.ends)}")
-            if clients.lost:
-                observer.fault("lost", f"{clients.lost} on connections that ended")
+            asked = sum(clients.outcomes.values())
+            if clients.outcomes["served"] < MIN_SERVED_SHARE * asked or not asked:
+                observer.record_violation("served", f"{dict(clients.outcomes)}")
+            if clients.lost_requests:
+                observer.record_violation("lost", f"{clients.lost_requests} on connections that ended")
             if self.gateway.process.poll() is not None:
-                observer.fault("crash", str(self.gateway.lines[-1:]))
+                observer.record_violation("crash", str(self.gateway.lines[-1:]))
             clients.close()
             self.gateway.process.send_signal(signal.SIGTERM)
             if (code := self.gateway.process.wait(20)) != 0:
-                observer.fault("crash", f"ended with {code}")
+                observer.record_violation("crash", f"ended with {code}")
         finally:
             self.gateway.kill()
             self.board.close()
             self.world.close()
-        return dict(observer.broken)
+        return dict(observer.violations)
 
 
 def play(seed: int, root: Path = ROOT) -> tuple[int, dict[str, int], list[str]]:
@@ -205,8 +216,8 @@
     Returns the seed, the count of violations by rule, and descriptions of violations.
     """
     with tempfile.TemporaryDirectory() as name:
-        deployment_run = DeploymentRun(draw(seed), Path(name), root)
-        return seed, deployment_run.run(), deployment_run.observer.told
+        deployment_run = DeploymentRun(draw_deployment(seed), Path(name), root)
+        return seed, deployment_run.run(), deployment_run.observer.first_violations
 
 
 def run(short: bool, seed: int, trials: int) -> dict[str, Any]:
--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -25,7 +25,7 @@
 
 from benchmarks._program import Gateway
 from olivecourse.emulator.settings import settings
-from olivecourse.emulator.stores import Store, World
+from olivecourse.emulator.stores import EmulatorLoop, Store
 from olivecourse.fronts import tokens
 
 PUBLIC = "https://calendriers.example"
@@ -38,7 +38,7 @@
 class OrderClient:
     """Sends orders to a gateway over HTTP; `answers` maps an order's name to its HTTP status."""
 
-    def __init__(self, world: World, port: int) -> None:
+    def __init__(self, world: EmulatorLoop, port: int) -> None:
         self.world, self.port = world, port
         self.answers: dict[str, int] = {}
         self.sockets: list[socket.socket] = []
@@ -83,7 +83,7 @@
     """
     seed, first, count = job
     store = Store("petit-1", delay_s=0.004)
-    world = World([store, Store("parent-1"), Store("origin-1")])
+    world = EmulatorLoop([store, Store("parent-1"), Store("origin-1")])
     total: Counter[str] = Counter()
     issued: dict[str, str] = {}
     used_tokens: list[str] = []
@@ -118,7 +118,7 @@
             replayed = plan.sample(used_tokens, min(REPLAYS, len(used_tokens)))
             gateway = Gateway(operator)
             client = OrderClient(world, gateway.port())
-            ran_before = dict(store.orders)
+            ran_before = dict(store.write_counts)
             for token in replayed:
                 client.post(token, issued[token])
             for number in range(orders):
@@ -141,7 +141,7 @@
             total["turned away as used"] += sum(client.answers.get(token_id) == 401 for token_id in replayed)
             total["answered 200"] += sum(a == 200 for a in client.answers.values())
             total["shown again, good and run once"] += sum(
-                token_id not in ran_before and store.orders.get(token_id) == 1 for token_id in replayed
+                token_id not in ran_before and store.write_counts.get(token_id) == 1 for token_id in replayed
             )
             total["opened by a token that had run"] += sum(
                 token_id in ran_before and client.answers.get(token_id) == 200 for token_id in replayed
@@ -153,8 +153,8 @@
                 for record in gateway.logged(event_name)
             )
             total["faults logged"] += len(gateway.logged("router_fault")) + len(gateway.logged("text"))
-    total["orders run"] = len(store.orders)
-    total["orders run twice"] = sum(number > 1 for number in store.orders.values())
+    total["orders run"] = len(store.write_counts)
+    total["orders run twice"] = sum(number > 1 for number in store.write_counts.values())
     world.close()
     return dict(total)
 
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -23,7 +23,7 @@
 from benchmarks._load import Load
 from benchmarks._program import Gateway
 from olivecourse.emulator.settings import settings
-from olivecourse.emulator.stores import Store, World
+from olivecourse.emulator.stores import EmulatorLoop, Store
 
 RATE = 100.0
 MEASURE_S = 5.0
@@ -62,7 +62,7 @@
         stores[store_index].mode = mode
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        world = World(stores)
+        world = EmulatorLoop(stores)
         operator = _files(folder, stores, kind.endswith("with"))
         if kind.endswith("with"):  # the other kinds have no stored memory, so learning would be lost
             gateway = Gateway(operator)
@@ -76,10 +76,12 @@
                 store.mode = "failing" if store.mode == "good" else "good"
         gateway = Gateway(operator)
         port = gateway.port()
-        before = {stand_in.name: stand_in.asked for stand_in in stores}
+        before = {stand_in.name: stand_in.request_count for stand_in in stores}
         load = Load(world, port, RATE, seed + 1000)
         world.run(MEASURE_S)
-        bad = sum(stand_in.asked - before[stand_in.name] for stand_in in stores if stand_in.mode != "good")
+        bad = sum(
+            stand_in.request_count - before[stand_in.name] for stand_in in stores if stand_in.mode != "good"
+        )
         load.stop()
         world.run(1.0)  # lets the last requests be answered
         tally = load.tally
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -18,7 +18,7 @@
 
 from benchmarks import _charts
 from benchmarks._fleet import Fleet
-from olivecourse.emulator.faults import draw
+from olivecourse.emulator.faults import draw_fault_script
 from olivecourse.modelcheck import lease_model as model
 
 SCRIPT_S = 2.5  # length of a run's fault script
@@ -32,7 +32,7 @@
     Returns the run's results by name; `over` counts samples with more stores out than the budget allows.
     """
     rng = random.Random(seed)
-    faults = draw(seed, fleet.names, SCRIPT_S)
+    faults = draw_fault_script(seed, fleet.names, SCRIPT_S)
     over_at_start, began = fleet.over_budget_samples, time.monotonic()
     wanted = rng.sample(fleet.edge_stores, rng.randint(3, 5))
     grants: dict[str, float] = {}
@@ -102,7 +102,7 @@
         "soak_s": 30.0,
         "gates": False,
     }
-    fleet.network.weather.loss = 0.1
+    fleet.network.link_conditions.loss_share = 0.1
     steps = [
         fleet.run_release_command(planned_at, "plan", plan=plan),
         fleet.run_release_command(planned_at, "start"),
@@ -122,10 +122,10 @@
             fleet.end(name)
         for name in rng.sample(fleet.names, len(fleet.names)):
             fleet.start(name)
-        fleet.network.weather.loss = 0.0
+        fleet.network.link_conditions.loss_share = 0.0
         fleet.until(lambda: all(fleet.status(n) for n in fleet.names), 6)
         found["halts_lost"] = sum(not fleet.until(lambda n=n: held(n), 3) for n in fleet.names)
-    fleet.network.weather.loss = 0.0
+    fleet.network.link_conditions.loss_share = 0.0
     fleet.until(lambda: fleet.run_release_command(planned_at, "rollback").get("ok"), 8)
     found["ended"] = fleet.until(
         lambda: fleet.status(planned_at).get("release", {}).get("state") == "done", SETTLE_S
@@ -153,11 +153,11 @@
                 if run["over"] or not run["ended"] or run["halts_lost"]:
                     print(f"seed {seed}, {gateways} gateways: {run}")
                     print({n: fleet.status(n).get("groups") for n in fleet.names})
-                    print(*map(str, draw(seed, fleet.names, SCRIPT_S)), sep="\n  ")
+                    print(*map(str, draw_fault_script(seed, fleet.names, SCRIPT_S)), sep="\n  ")
                 if not run["ended"] or not fleet.ready(10):
                     break
         finally:
-            found.append({"unsafe": fleet.observer.broken["twice"]})
+            found.append({"unsafe": fleet.observer.violations["twice"]})
             fleet.close()
     return found
 
@@ -203,7 +203,7 @@
             fleet.world.run(0.5)
             ends = fleet.outcome_counts()
             ends.subtract(calm)
-            lost = sum(clients.lost for clients in fleet.client_groups.values())
+            lost = sum(clients.lost_requests for clients in fleet.client_groups.values())
             return {
                 "reached": sum(v == "v2" for v in fleet.versions.values()) / gateways,
                 "service": ends["served"] / max(sum(ends.values()) + lost, 1),
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -62,9 +62,9 @@
                 site.world.run(0.02)
                 _record_resource_peaks(found, old, new)
                 if hand_over and requests_at_grace_end < 0 and time.monotonic() > drained_at + GRACE_S:
-                    requests_at_grace_end = drained.asked
+                    requests_at_grace_end = drained.request_count
             if hand_over:
-                found["sent_to_banned"] += drained.asked - requests_at_grace_end
+                found["sent_to_banned"] += drained.request_count - requests_at_grace_end
                 site.call(new, "PUT", "/ops/stores/up", f'{{"id": "{drained.name}"}}')
             found["upgrades"] += old.process.poll() == 0
             old.end()
@@ -79,7 +79,7 @@
             "unanswered": load.open,
             "served_in_time": tally.in_time,
             "orders_run_twice": sum(
-                run_count > 1 for store in site.world.stores for run_count in store.orders.values()
+                run_count > 1 for store in site.world.stores for run_count in store.write_counts.values()
             ),
         }
         load.close()
--- a/build_native.py
+++ b/build_native.py
@@ -53,7 +53,7 @@
 )
 
 
-def digest() -> str:
+def source_digest() -> str:
     """The SHA-256 of the Python version, this script and all sources; a change of it requires a new build."""
     total = hashlib.sha256(sys.version.encode())
     for path in [Path(__file__), *sorted((ROOT / "olivecourse").rglob("*.py"))]:
@@ -95,7 +95,7 @@
     if sys.argv[1:] == ["compile"]:
         compile_in_place()
         return 0
-    stamp, current_digest = TARGET / "stamp", digest()
+    stamp, current_digest = TARGET / "stamp", source_digest()
     if stamp.exists() and stamp.read_text() == current_digest:
         return 0
     copy_sources()
--- a/olivecourse/demo.py
+++ b/olivecourse/demo.py
@@ -24,7 +24,7 @@
 import click
 
 from olivecourse.emulator.settings import settings
-from olivecourse.emulator.stores import Store, World
+from olivecourse.emulator.stores import EmulatorLoop, Store
 from olivecourse.fronts import tokens
 
 OBJECT = "7f3a9c21e0b4d655"
@@ -98,7 +98,7 @@
     stores = [
         Store(store_name, holds_all=False) for store_name in ("box-1", "box-2", "box-3", "hub-1", "archive-1")
     ]
-    world, port = World(stores, _print_store_event), _free_port()
+    world, port = EmulatorLoop(stores, _print_store_event), _free_port()
     public = f"http://127.0.0.1:{port}"
     log_lines: deque[dict[str, Any]] = deque(maxlen=1000)
     stop_signals: list[int] = []
@@ -133,7 +133,7 @@
 
 
 def _serve(
-    world: World,
+    world: EmulatorLoop,
     log_lines: deque[dict[str, Any]],
     stop_signals: list[int],
     gateway: subprocess.Popen[str],
--- a/olivecourse/emulator/clients.py
+++ b/olivecourse/emulator/clients.py
@@ -14,14 +14,14 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from olivecourse.emulator.stores import World, content
+from olivecourse.emulator.stores import EmulatorLoop, content
 from olivecourse.fronts import codec
 
 ANSWER_TOLERANCE_S = 0.1  # a request is reported as unanswered only this long after its deadline
 
 
 @dataclass(frozen=True)
-class Sort:
+class TrafficClass:
     """A request class as emulated clients send it.
 
     `share` is its weight relative to the other classes' shares, and `deadline_ms` the time from sending a
@@ -36,41 +36,48 @@
     sized_per_ten: int = 10
 
 
-class Crowd:
-    """Clients with `conns` connections, which together send `rate` requests a second on average.
+class LoadGenerator:
+    """Clients with `connection_count` connections, which together send `rate` requests a second on average.
 
-    With several ports each connection goes to the first gateway that accepts it. `ends` counts requests by
-    outcome: served, refused, failed, and nobody (no gateway could be reached). A request that does not get
+    With several ports each connection goes to the first gateway that accepts it. `outcomes` counts requests
+    by outcome: served, refused, failed, and nobody (no gateway could be reached). A request that does not get
     exactly one answer in time, or gets wrong bytes, is reported to `report_violation(rule, description)`,
     where the rule is "unanswered" or "answers".
     """
 
     def __init__(
         self,
-        world: World,
+        world: EmulatorLoop,
         port: int | Sequence[int],
-        sorts: Sequence[Sort],
+        traffic_classes: Sequence[TrafficClass],
         rate: float,
         seed: int,
         report_violation: Callable[[str, str], None],
-        conns: int = 4,
+        connection_count: int = 4,
         objects: int = 400,
     ) -> None:
         self._ports = [port] if isinstance(port, int) else list(port)
-        self._world, self._classes, self._rate, self._report_violation = world, sorts, rate, report_violation
+        self._world, self._classes, self._rate, self._report_violation = (
+            world,
+            traffic_classes,
+            rate,
+            report_violation,
+        )
         self.random = random.Random(seed)
         self._objects = objects
-        self.ends: Counter[str] = Counter()
-        self.outcomes_by_class: dict[str, Counter[str]] = {s.name: Counter() for s in sorts}
-        self.lost = 0  # requests without an answer when their connection ended, as when the gateway is killed
+        self.outcomes: Counter[str] = Counter()
+        self.outcomes_by_class: dict[str, Counter[str]] = {s.name: Counter() for s in traffic_classes}
+        self.lost_requests = (
+            0  # requests without an answer when their connection ended, as when the gateway is killed
+        )
         self.latencies_s: list[float] = []  # from sending to the answer, of served requests
         self.running = True
-        self._open_requests: dict[tuple[int, int], tuple[float, Sort, bytes]] = {}
-        self._last_numbers = [0] * conns
-        self._socks: list[socket.socket | None] = [None] * conns
-        self._buffers = [bytearray() for _ in range(conns)]
-        self._port_indexes = [0] * conns  # for each connection, the index of its port in `_ports`
-        for i in range(conns):
+        self._open_requests: dict[tuple[int, int], tuple[float, TrafficClass, bytes]] = {}
+        self._last_numbers = [0] * connection_count
+        self._socks: list[socket.socket | None] = [None] * connection_count
+        self._buffers = [bytearray() for _ in range(connection_count)]
+        self._port_indexes = [0] * connection_count  # for each connection, the index of its port in `_ports`
+        for i in range(connection_count):
             self._connect(i)
         self._next_send_at = time.monotonic()
         world.at(self._next_send_at, self._send_next)
@@ -104,7 +111,7 @@
             sock.close()
         for key in [key for key in self._open_requests if key[0] == i]:
             del self._open_requests[key]
-            self.lost += 1
+            self.lost_requests += 1
 
     def _send_next(self) -> None:
         if not self.running:
@@ -148,7 +155,7 @@
             with contextlib.suppress(OSError):
                 sock.sendall(frame)
         else:
-            self.ends["nobody"] += 1
+            self.outcomes["nobody"] += 1
         self._next_send_at += self.random.expovariate(self._rate)
         self._world.at(self._next_send_at, self._send_next)
 
@@ -193,11 +200,11 @@
             self.latencies_s.append(time.monotonic() - sent_at)
             if expected_body and served.body != expected_body:
                 self._report_violation("answers", f"{request_class.name}: not the bytes of that part")
-        self.ends[outcome] += 1
+        self.outcomes[outcome] += 1
         self.outcomes_by_class[request_class.name][outcome] += 1
 
     def settle(self, seconds: float) -> None:
-        """Stops sending requests and runs the World until none is open, for at most `seconds`."""
+        """Stops sending requests and runs the EmulatorLoop until none is open, for at most `seconds`."""
         self.running = False
         end = time.monotonic() + seconds
         while self._open_requests and time.monotonic() < end:
@@ -220,7 +227,7 @@
     return sock
 
 
-def well(port: int) -> bool:
+def accepts_work(port: int) -> bool:
     """Whether the gateway at loopback port `port` answers the Thrift health call `isWell` with true.
 
     It waits at most one second to connect, and one for the answer.
--- a/olivecourse/emulator/deployments.py
+++ b/olivecourse/emulator/deployments.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from olivecourse.emulator.clients import Sort
+from olivecourse.emulator.clients import TrafficClass
 
 MS, S = 1_000_000, 1_000_000_000  # nanoseconds in a millisecond, in a second
 HUB_ZONES = ("north", "central", "south", "hub-nord", "hub-sud", "east", "coast")
@@ -27,28 +27,28 @@
 )
 REPORT_FIELDS = ("active", "cpu", "x0", "x1", "avg_ms", "rps", "waiting")
 REPORT_FIELD_ALIASES = {"active": "inflight", "cpu": "util"}  # field names that stores may report instead
-DOORS = {"mgmt": "EDGE_MGMT", "admin": "EDGE_ADMIN"}
+ADMIN_ADDRESS_KEYS = {"mgmt": "EDGE_MGMT", "admin": "EDGE_ADMIN"}
 FAULTS = ("none", "board refuses", "drain by hand", "file replaced", "file spoilt", "store resets")
 
 
 @dataclass(frozen=True)
-class Drawn:
+class RandomDeployment:
     """A randomly drawn deployment of one gateway.
 
     `stores` holds the name, kind and zone of each store, `reports` the load report fields in their answers,
-    `once` the classes whose requests must not run twice, and `fresh_ms` by class the greatest age in ms of a
-    copy that may be served (0: any age). `doors` are the keys of DOORS whose administration ports are open,
-    `troubles` the faults of FAULTS to inject, in this order, and `replaced` the complete settings that a
-    configuration reload brings. `drain_s` is the time in seconds within which the gateway must stop sending
-    requests to a draining store, and `purge_s` that within which it must stop using purged copies. With
-    `changes_at_start` the first list of stores has only one, and a list of changes adds the others. `office`
-    is the edge zone of the gateway.
+    `at_most_once_classes` the classes whose requests must not run twice, and `fresh_ms` by class the greatest
+    age in ms of a copy that may be served (0: any age). `doors` are the keys of ADMIN_ADDRESS_KEYS whose
+    administration ports are open, `troubles` the faults of FAULTS to inject, in this order, and `replaced`
+    the complete settings that a configuration reload brings. `drain_s` is the time in seconds within which
+    the gateway must stop sending requests to a draining store, and `purge_s` that within which it must stop
+    using purged copies. With `changes_at_start` the first list of stores has only one, and a list of changes
+    adds the others. `office` is the edge zone of the gateway.
     """
 
     seed: int
     settings: dict[str, Any]
-    sorts: tuple[Sort, ...]
-    once: frozenset[str]
+    traffic_classes: tuple[TrafficClass, ...]
+    at_most_once_classes: frozenset[str]
     fresh_ms: dict[str, int]
     stores: tuple[tuple[str, str, str], ...]
     reports: tuple[str, ...]
@@ -61,14 +61,14 @@
     replaced: dict[str, Any] = field(default_factory=dict)
 
 
-def draw(seed: int) -> Drawn:
+def draw_deployment(seed: int) -> RandomDeployment:
     """Draws the deployment that belongs to a seed."""
     rng = random.Random(seed)
     hubs = rng.sample(HUB_ZONES, rng.randint(1, 5))
     offices = rng.sample(EDGE_ZONES, rng.randint(1, 2))
     if rng.random() < 0.1:
         hubs[0] = offices[0]  # one name for a hub zone and an edge zone, which settings may have
-    sorts, profiles, per_class = _classes(rng)
+    traffic_classes, profiles, per_class = _classes(rng)
     parents = rng.randint(0, len(hubs))
     direct = rng.random() < 0.6
     drain_grace_ms, purge_grace_ms = rng.choice([100, 250, 500, 1000]), rng.choice([250, 300, 600])
@@ -135,16 +135,16 @@
     stores += [(f"s-{0x40 + n:08x}", "parent", hubs[n]) for n in range(parents)]
     stores.append(("s-00000099", "origin", hubs[0]))
     troubles = tuple(rng.sample(FAULTS[1:], rng.randint(0, 3)))
-    doors = tuple(rng.sample(sorted(DOORS), rng.choice([0, 1, 1, 2])))
+    doors = tuple(rng.sample(sorted(ADMIN_ADDRESS_KEYS), rng.choice([0, 1, 1, 2])))
     if not doors:
         troubles = tuple(t for t in troubles if t != "drain by hand")
     settings["settings_of"] = seed  # another setting unknown to the gateway, which it must ignore
-    return Drawn(
+    return RandomDeployment(
         seed,
         settings,
         tuple(
-            Sort(traffic.name, traffic.share, traffic.deadline_ms, traffic.write, sized_per_ten)
-            for traffic in sorts
+            TrafficClass(traffic.name, traffic.share, traffic.deadline_ms, traffic.write, sized_per_ten)
+            for traffic in traffic_classes
         ),
         frozenset(p["name"] for p in profiles if p["effect"] == "at_most_once"),
         {p["name"]: per_class["max_age_ns"][i] // MS for i, p in enumerate(profiles)},
@@ -160,7 +160,7 @@
     )
 
 
-def _classes(rng: random.Random) -> tuple[list[Sort], list[dict[str, Any]], dict[str, list[Any]]]:
+def _classes(rng: random.Random) -> tuple[list[TrafficClass], list[dict[str, Any]], dict[str, list[Any]]]:
     """Draws one to five request classes.
 
     Returns the client traffic of each class, the `profiles` of the gateway's settings, and the `family_info`
@@ -168,7 +168,7 @@
     """
     names = rng.sample(CLASS_NAMES, rng.randint(1, 5))
     write_safety = rng.choice(["mixed", "mixed", "mixed", "all safe", "none safe"])
-    sorts, profiles = [], []
+    traffic_classes, profiles = [], []
     per_class: dict[str, list[Any]] = {
         "max_age_ns": [],
         "grace_for_ns": [],
@@ -196,7 +196,7 @@
         ):
             del profile[omitted]
         profiles.append(profile)
-        sorts.append(Sort(name, rng.uniform(0.2, 1.0), deadline_ms, write))
+        traffic_classes.append(TrafficClass(name, rng.uniform(0.2, 1.0), deadline_ms, write))
         max_age_ns = 0 if write else rng.choice([0, 0, 3, 8]) * S
         for key, value in (
             ("max_age_ns", max_age_ns),
@@ -205,7 +205,7 @@
             ("never_kept", write),
         ):
             per_class[key].append(value)
-    return sorts, profiles, per_class
+    return traffic_classes, profiles, per_class
 
 
 def _replacement_settings(rng: random.Random, settings: dict[str, Any]) -> dict[str, Any]:
--- a/olivecourse/emulator/board.py
+++ b/olivecourse/emulator/discovery_server.py
@@ -10,19 +10,19 @@
 import time
 from typing import Any
 
-from olivecourse.emulator.stores import World
+from olivecourse.emulator.stores import EmulatorLoop
 
 POLL = re.compile(rb"GET /board/poll\?watch=(\d+)&linger=(\d+) HTTP/1\.1\r\n")
 MAX_HEAD_BYTES = 8192
 
 
-class Board:
+class DiscoveryServer:
     """The emulated discovery server; its clients are gateways.
 
     `rev` is the number (revision) of the last published event, 0 before the first one.
     """
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: EmulatorLoop) -> None:
         self._world = world
         self.rev = 0
         self._events: list[dict[str, Any]] = []
--- a/olivecourse/emulator/faults.py
+++ b/olivecourse/emulator/faults.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from olivecourse.emulator.stores import World
+from olivecourse.emulator.stores import EmulatorLoop
 
 MAX_READ_BYTES = 65536  # read from a socket at once; also the longest datagram
 MAX_DELAYED_DATAGRAMS = 4096  # held by the proxy at once; further ones are lost, as with full network queues
@@ -33,22 +33,22 @@
     reordered. Loss and duplication do not apply to streams.
     """
 
-    loss: float = 0.0
+    loss_share: float = 0.0
     duplicate_share: float = 0.0
     max_delay_s: float = 0.0
 
 
 @dataclass
 class Network:
-    """A proxy for the links between named processes, run by the event loop of a World.
+    """A proxy for the links between named processes, run by the event loop of an EmulatorLoop.
 
-    `weather` holds the conditions that apply to every link, and `cuts` the links that pass no data at
+    `link_conditions` holds the conditions that apply to every link, and `cuts` the links that pass no data at
     present. `passed` and `lost` count the datagrams that the proxy delivered and dropped.
     """
 
-    world: World
+    world: EmulatorLoop
     seed: int
-    weather: LinkConditions = field(default_factory=LinkConditions)
+    link_conditions: LinkConditions = field(default_factory=LinkConditions)
     cuts: set[Link] = field(default_factory=set)
     passed: int = 0
     lost: int = 0
@@ -80,16 +80,16 @@
                 data = sock.recv(MAX_READ_BYTES)
             except OSError:
                 return
-            for _ in range(1 + (self._random.random() < self.weather.duplicate_share)):
+            for _ in range(1 + (self._random.random() < self.link_conditions.duplicate_share)):
                 if (
                     link in self.cuts
-                    or self._random.random() < self.weather.loss
+                    or self._random.random() < self.link_conditions.loss_share
                     or self._delayed >= MAX_DELAYED_DATAGRAMS
                 ):
                     self.lost += 1
                     continue
                 self._delayed += 1
-                when = time.monotonic() + self._random.random() * self.weather.max_delay_s
+                when = time.monotonic() + self._random.random() * self.link_conditions.max_delay_s
                 self.world.at(when, partial(self._deliver, sock, link, data, address))
 
     def _deliver(self, sock: socket.socket, link: Link, data: bytes, address: tuple[str, int]) -> None:
@@ -154,7 +154,7 @@
                     self.world.selector.unregister(sock)
                 sock.close()
             return
-        delay = self._random.random() * self.weather.max_delay_s
+        delay = self._random.random() * self.link_conditions.max_delay_s
         self.world.at(time.monotonic() + delay, lambda: self._write(target_sock, data))
 
     def _resume_after_heal(
@@ -224,7 +224,7 @@
         return f"{self.at_s:.2f} {self.what} {'+'.join(self.who)} {self.figures or ''}".rstrip()
 
 
-def draw(
+def draw_fault_script(
     seed: int, names: Sequence[str], seconds: float, min_faults: int = 2, max_faults: int = 5
 ) -> list[Fault]:
     """Draws a fault script of `seconds` for the named processes, sorted by time.
@@ -299,7 +299,7 @@
     def apply(self, fault: Fault) -> None:
         """Carries out one step of a fault script now, whatever its `at_s`."""
         if fault.what == "weather":
-            self._network.weather = LinkConditions(*fault.figures)
+            self._network.link_conditions = LinkConditions(*fault.figures)
         elif fault.what == "heal":
             self._network.heal()
         elif fault.what == "part":
@@ -322,7 +322,7 @@
                 self._start(name)
 
     def script(self, faults: Sequence[Fault]) -> None:
-        """Schedules each fault `at_s` seconds from now on the network's World, which the caller must run."""
+        """Schedules each fault `at_s` seconds from now on the network's loop, which the caller must run."""
         started_at = time.monotonic()
         for fault in faults:
             self._network.world.at(started_at + fault.at_s, partial(self.apply, fault))
--- a/olivecourse/emulator/stores.py
+++ b/olivecourse/emulator/stores.py
@@ -35,8 +35,8 @@
     With `holds_all`, every read is a hit with a copy that the origin issued at this moment; otherwise the
     store keeps at most `max_copies` copies. `asked` counts the received requests, `open` those whose
     answer has not been sent.
-    `orders` counts the executions of each write by its body, as soon as the body is complete.
-    `held` maps each copy to the Unix time in ms at which the origin issued it.
+    `write_counts` counts the executions of each write by its body, as soon as the body is complete.
+    `copies` maps each copy to the Unix time in ms at which the origin issued it.
     `fresh_ms` is the greatest age of a class's copies for requests that state none (0: any age).
     `reports` names the fields of the load report that each answer carries; without fields there is no report.
     """
@@ -47,12 +47,12 @@
     fill_s: float = 0.03
     holds_all: bool = True
     max_copies: int = 1000
-    asked: int = 0
-    orders: dict[str, int] = field(default_factory=dict)
+    request_count: int = 0
+    write_counts: dict[str, int] = field(default_factory=dict)
     open: int = 0
     reports: tuple[str, ...] = ()
     fresh_ms: dict[str, int] = field(default_factory=dict)
-    held: OrderedDict[str, int] = field(default_factory=OrderedDict)
+    copies: OrderedDict[str, int] = field(default_factory=OrderedDict)
     sock: socket.socket = field(default_factory=lambda: socket.create_server(("127.0.0.1", 0), backlog=128))
 
     @property
@@ -67,10 +67,10 @@
         """
         if self.holds_all:
             return unix_ms()
-        stamp = self.held.get(key)
+        stamp = self.copies.get(key)
         if stamp is None or oldest_ms and unix_ms() - stamp > oldest_ms:
             return None
-        self.held.move_to_end(key)
+        self.copies.move_to_end(key)
         return stamp
 
     def add_copy(self, key: str, stamp: int) -> None:
@@ -78,9 +78,9 @@
 
         If the store then holds more than `max_copies`, it evicts the least recently used copy.
         """
-        self.held[key] = stamp
-        if len(self.held) > self.max_copies:
-            self.held.popitem(last=False)
+        self.copies[key] = stamp
+        if len(self.copies) > self.max_copies:
+            self.copies.popitem(last=False)
 
     def load(self) -> str:
         """The load report in field `l` of answers: NAME:VALUE for each of `reports`, joined by ";"."""
@@ -101,7 +101,7 @@
     return f"calendar {asset} part {part}\n".encode() * 4
 
 
-class World:
+class EmulatorLoop:
     """An event loop with timers that runs the stores and whatever else is registered on its selector.
 
     `on_answer(store, request, word, fields)` is called when a store has decided on its answer, before the
@@ -175,12 +175,12 @@
     def _handle_request(
         self, store: Store, conn: socket.socket, request: str, encoded_fields: str, body: bytes
     ) -> None:
-        store.asked += 1
+        store.request_count += 1
         fields = dict(pair.partition("=")[::2] for pair in encoded_fields.split(","))
         is_write = fields.get("sort") in self._writes
         if is_write:
             body_text = body.decode("utf-8", "replace")
-            store.orders[body_text] = store.orders.get(body_text, 0) + 1
+            store.write_counts[body_text] = store.write_counts.get(body_text, 0) + 1
         if store.mode == "silent":
             return
         word, answer_fields, data, delay = self._answer(store, fields, is_write)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -78,7 +78,7 @@
     )
 
 
-class Drive:
+class RouterDriver:
     """A Router with a simulated clock (`now`, in ns), and methods that pass it the events of a test."""
 
     def __init__(self, members=None, **settings):
@@ -86,18 +86,18 @@
         self.router = Router(make_settings(**settings), self.now)
         self.started = self.router.start()
         self.count = 0
-        self.list(members if members is not None else fleet(), interface.ListKind.HELD)
+        self.update_members(members if members is not None else fleet(), interface.ListKind.HELD)
 
     def event(self, event, after=0):
         """Advances the clock by `after` ns and passes an event to the router; returns its actions."""
         self.now += after
         return self.router.handle(event, self.now)
 
-    def list(self, members, kind=interface.ListKind.CHANGES):
+    def update_members(self, members, kind=interface.ListKind.CHANGES):
         """Passes a discovery list to the router, by default as changes of the list it has."""
         return self.event(interface.CacheList(1, kind, tuple(members)))
 
-    def ask(self, key="a", after=0, cls=0, **fields):
+    def send_request(self, key="a", after=0, cls=0, **fields):
         """Passes a request for the object `key` to the router `after` ns later; returns its actions.
 
         The request gets a new id, which is kept in `self.id`.
@@ -106,7 +106,7 @@
         self.id = f"{self.count:016x}"
         return self.event(interface.Request(self.id, cls, object=key, **fields), after)
 
-    def end(self, status, attempt=0, cache=None, request=None, after=1 * MS, closed=None, **fields):
+    def end_attempt(self, status, attempt=0, cache=None, request=None, after=1 * MS, closed=None, **fields):
         """Tells the router that a store's attempt ended with `status`; returns the router's actions.
 
         By default it is attempt 0 of the latest request, at the cache that the router chose. `closed` tells
@@ -133,5 +133,5 @@
 
 @pytest.fixture
 def drive():
-    """The `Drive` class itself, for tests that choose their own list of stores and settings."""
-    return Drive
+    """The `RouterDriver` class itself, for tests that choose their own list of stores and settings."""
+    return RouterDriver
--- a/tests/stage.py
+++ b/tests/harness.py
@@ -80,7 +80,7 @@
 }
 
 
-class Peer:
+class ScriptedServer:
     """A scripted store or discovery server: the test writes its answers; `data` holds the received bytes."""
 
     def __init__(self, backlog=16):
@@ -110,7 +110,7 @@
         self.data = bytearray(rest)
         return line.decode() or self.line()
 
-    def say(self, data, conn=-1):
+    def send(self, data, conn=-1):
         """Sends bytes on the connection with index `conn`, by default on the one accepted last."""
         self.conns[conn].sendall(data)
 
@@ -209,7 +209,7 @@
     }
 
 
-class Stage:
+class GatewayHarness:
     """A gateway in the test process, with one cache, one parent and the origin as scripted servers.
 
     With `board` the discovery server is a scripted server too. `overrides` replace entries of the gateway's
@@ -217,8 +217,8 @@
     """
 
     def __init__(self, board=False, env=None, **overrides):
-        self.cache, self.parent, self.origin = Peer(), Peer(), Peer()
-        self.board = Peer() if board else None
+        self.cache, self.parent, self.origin = ScriptedServer(), ScriptedServer(), ScriptedServer()
+        self.board = ScriptedServer() if board else None
         self.logged, self.peers = [], [self.cache, self.parent, self.origin]
         members = [
             member("s-00000001", self.cache.address),
@@ -269,13 +269,13 @@
         self.clients.append(Client(self.gateway.front.port))
         return self.clients[-1]
 
-    def tell(self, rev, **event_body):
+    def publish(self, rev, **event_body):
         """Answers the gateway's open poll as the discovery server, with one event of the revision `rev`."""
         body = json.dumps({"rev": rev, "notices": [{"rev": rev, **event_body}]}).encode()
         self.board.data.clear()
-        self.board.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
+        self.board.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
-    def names(self):
+    def event_names(self):
         """The names of the events that the gateway has logged since its start, in order."""
         return [event for event, _ in self.logged]
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -6,8 +6,8 @@
 import time
 
 import pytest
-from stage import OBJECT, Client, Stage
-from test_signed import PATH, SignedStage
+from harness import OBJECT, Client, GatewayHarness
+from test_signed import PATH, SignedGatewayHarness
 
 from olivecourse.fronts import codec, listener
 
@@ -15,157 +15,157 @@
 
 
 @pytest.fixture(params=["thrift", "signed"])
-def stage(request, tmp_path, monkeypatch):
+def harness(request, tmp_path, monkeypatch):
     monkeypatch.setattr(listener, "FIRST_REQUEST_TIMEOUT_NS", 300_000_000)
     monkeypatch.setattr(listener, "PARTIAL_REQUEST_TIMEOUT_NS", 300_000_000)
-    created = SignedStage(tmp_path) if request.param == "signed" else Stage()
+    created = SignedGatewayHarness(tmp_path) if request.param == "signed" else GatewayHarness()
     created.kind = request.param
     yield created
     created.close()
 
 
-def ask(stage, number, client=None, timeout_ms=5000):
+def ask(harness, number, client=None, timeout_ms=5000):
     """Sends request `number` and waits until it reaches the store; returns the client and the request's id.
 
     An HTTP request is sent on a new connection, a Thrift request on one if `client` is None.
     """
-    if stage.kind == "signed":
+    if harness.kind == "signed":
         path = PATH.replace(OBJECT, f"{number:016x}")
-        client = stage.ask(stage.link(path), request_timeout_ms=timeout_ms)
+        client = harness.ask(harness.link(path), request_timeout_ms=timeout_ms)
     else:
-        client = client or stage.client()
+        client = client or harness.client()
         client.call(number, i=f"{number:016x}", o=f"{number:016x}", d=str(timeout_ms))
-    return client, stage.until(stage.cache.line).split(" ")[1]
+    return client, harness.until(harness.cache.line).split(" ")[1]
 
 
-def serve(stage, client, request):
+def serve(harness, client, request):
     """Answers a request at the store and waits until bytes of the response have reached the client."""
     length_before = len(client.poll())
-    stage.cache.say(f"{request} data version=v1,stamp=1,n=HIT 2\r\nhi\r\n".encode())
-    stage.until(lambda: len(client.poll()) > length_before)
+    harness.cache.send(f"{request} data version=v1,stamp=1,n=HIT 2\r\nhi\r\n".encode())
+    harness.until(lambda: len(client.poll()) > length_before)
 
 
-def wait_closed(stage, client):
+def wait_closed(harness, client):
     """Waits until the gateway has closed the client's connection."""
-    stage.until(lambda: client.poll() is not None and client.closed)
+    harness.until(lambda: client.poll() is not None and client.closed)
 
 
-def test_connections_without_a_whole_request_are_closed_in_time_unless_one_is_open(stage):
-    waiting, request = ask(stage, 1)
-    silent, incomplete = stage.client(), stage.client()
-    incomplete.sock.sendall(INCOMPLETE_REQUEST[stage.kind])
-    wait_closed(stage, silent)
-    wait_closed(stage, incomplete)
+def test_connections_without_a_whole_request_are_closed_in_time_unless_one_is_open(harness):
+    waiting, request = ask(harness, 1)
+    silent, incomplete = harness.client(), harness.client()
+    incomplete.sock.sendall(INCOMPLETE_REQUEST[harness.kind])
+    wait_closed(harness, silent)
+    wait_closed(harness, incomplete)
     assert not waiting.closed
-    serve(stage, waiting, request)
+    serve(harness, waiting, request)
 
 
-def test_a_connection_that_sends_single_bytes_without_a_request_is_closed_in_time(stage):
-    client, end = stage.client(), time.monotonic() + 20
+def test_a_connection_that_sends_single_bytes_without_a_request_is_closed_in_time(harness):
+    client, end = harness.client(), time.monotonic() + 20
 
     def send_one_byte():
         try:
-            client.sock.send(INCOMPLETE_REQUEST[stage.kind][:1] if stage.kind == "signed" else b"\0")
+            client.sock.send(INCOMPLETE_REQUEST[harness.kind][:1] if harness.kind == "signed" else b"\0")
         except OSError:
             pass
         client.poll()
         return client.closed
 
-    stage.until(send_one_byte)
+    harness.until(send_one_byte)
     assert time.monotonic() < end
 
 
-def test_an_incomplete_request_after_an_answered_one_is_closed_in_time(stage):
-    client, request = ask(stage, 1)
-    serve(stage, client, request)
-    client.sock.sendall(INCOMPLETE_REQUEST[stage.kind])
-    wait_closed(stage, client)
+def test_an_incomplete_request_after_an_answered_one_is_closed_in_time(harness):
+    client, request = ask(harness, 1)
+    serve(harness, client, request)
+    client.sock.sendall(INCOMPLETE_REQUEST[harness.kind])
+    wait_closed(harness, client)
 
 
-def test_an_idle_client_is_closed(stage, monkeypatch):
-    client, request = ask(stage, 1)
-    serve(stage, client, request)
+def test_an_idle_client_is_closed(harness, monkeypatch):
+    client, request = ask(harness, 1)
+    serve(harness, client, request)
     monkeypatch.setattr(listener, "IDLE_TIMEOUT_NS", 100_000_000)
-    wait_closed(stage, client)
+    wait_closed(harness, client)
 
 
-def test_at_the_limit_silent_then_idle_clients_are_closed_but_none_with_an_open_request(stage):
-    front = stage.gateway.front
+def test_at_the_limit_silent_then_idle_clients_are_closed_but_none_with_an_open_request(harness):
+    front = harness.gateway.front
     front._max_clients = 3
-    working, request = ask(stage, 1)
-    idle, idle_request = ask(stage, 2)
-    serve(stage, idle, idle_request)
-    silent = stage.client()
-    stage.until(lambda: len(front.clients) == 3)
+    working, request = ask(harness, 1)
+    idle, idle_request = ask(harness, 2)
+    serve(harness, idle, idle_request)
+    silent = harness.client()
+    harness.until(lambda: len(front.clients) == 3)
     silent_client = next(iter(front._new_clients))
     front._new_clients[silent_client] -= listener.MIN_EVICTION_AGE_NS  # as if it had connected earlier
-    newcomer, third = ask(stage, 3)
-    wait_closed(stage, silent)
+    newcomer, third = ask(harness, 3)
+    wait_closed(harness, silent)
     assert not idle.closed
-    latest, fourth = ask(stage, 4)
-    wait_closed(stage, idle)
-    last = stage.client()  # all other clients have open requests, so it is closed at once
-    wait_closed(stage, last)
-    assert "too_many_clients" in stage.names()
+    latest, fourth = ask(harness, 4)
+    wait_closed(harness, idle)
+    last = harness.client()  # all other clients have open requests, so it is closed at once
+    wait_closed(harness, last)
+    assert "too_many_clients" in harness.event_names()
     for client, request_id in ((working, request), (newcomer, third), (latest, fourth)):
         length_before = len(client.poll())
-        for conn in range(len(stage.cache.conns)):
-            stage.cache.say(f"{request_id} data version=v1,stamp=1,n=HIT 2\r\nhi\r\n".encode(), conn)
-        stage.until(lambda client=client, length_before=length_before: len(client.poll()) > length_before)
+        for conn in range(len(harness.cache.conns)):
+            harness.cache.send(f"{request_id} data version=v1,stamp=1,n=HIT 2\r\nhi\r\n".encode(), conn)
+        harness.until(lambda client=client, length_before=length_before: len(client.poll()) > length_before)
 
 
-def test_a_client_with_one_request_is_closed_before_a_regular_client(stage):
-    front = stage.gateway.front
+def test_a_client_with_one_request_is_closed_before_a_regular_client(harness):
+    front = harness.gateway.front
     front._max_clients = 2
-    usual, request = ask(stage, 1)
-    serve(stage, usual, request)
+    usual, request = ask(harness, 1)
+    serve(harness, usual, request)
     (connection,) = front.clients
     connection.request_count = 2  # as if it had sent two requests, so as a regular client; it is idle longest
     connection.update_group()
-    once, request = ask(stage, 2)
-    serve(stage, once, request)
-    newcomer, request = ask(stage, 3)
-    wait_closed(stage, once)
+    once, request = ask(harness, 2)
+    serve(harness, once, request)
+    newcomer, request = ask(harness, 3)
+    wait_closed(harness, once)
     assert not usual.closed
 
 
-def test_a_client_whose_request_has_just_arrived_is_not_closed_for_a_new_client(stage):
-    front = stage.gateway.front
+def test_a_client_whose_request_has_just_arrived_is_not_closed_for_a_new_client(harness):
+    front = harness.gateway.front
     front._max_clients = 1
-    client = stage.client()
-    stage.until(lambda: front.clients)
+    client = harness.client()
+    harness.until(lambda: front.clients)
     (connection,) = front._new_clients
     front._new_clients[connection] -= listener.MIN_EVICTION_AGE_NS
-    if stage.kind == "signed":
-        client.sock.sendall(f"GET {stage.link()} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
+    if harness.kind == "signed":
+        client.sock.sendall(f"GET {harness.link()} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
     else:
         client.call()
     newcomer = Client(front.port)
-    stage.clients.append(newcomer)
+    harness.clients.append(newcomer)
     front._accept(1)  # the new client is accepted before the first client's request is read
-    wait_closed(stage, newcomer)
-    request = stage.until(stage.cache.line).split(" ")[1]
-    serve(stage, client, request)
+    wait_closed(harness, newcomer)
+    request = harness.until(harness.cache.line).split(" ")[1]
+    serve(harness, client, request)
 
 
-def test_a_client_that_does_not_read_its_responses_is_closed(stage):
-    front = stage.gateway.front
+def test_a_client_that_does_not_read_its_responses_is_closed(harness):
+    front = harness.gateway.front
     front._max_unread_bytes = 500_000
-    client, reader = stage.client(), stage.client()
-    stage.until(lambda: len(front.clients) == 2)
+    client, reader = harness.client(), harness.client()
+    harness.until(lambda: len(front.clients) == 2)
     slow = next(c for c in front.clients if c.sock.getpeername() == client.sock.getsockname())
     while len(slow.outbox) < 600_000:  # what the socket buffers hold does not count as unread
         slow.write(b"x" * 100_000)
-    stage.until(lambda: "client_does_not_read" in stage.names())
+    harness.until(lambda: "client_does_not_read" in harness.event_names())
     assert not slow.open and not reader.closed
 
 
-def test_requests_that_are_cancelled_at_once_do_not_keep_a_connection_open(stage):
-    if stage.kind == "signed":
+def test_requests_that_are_cancelled_at_once_do_not_keep_a_connection_open(harness):
+    if harness.kind == "signed":
         pytest.skip("HTTP withdraws by closing")
-    client = stage.client()
+    client = harness.client()
     for number in range(1, 20):
         client.call(number, i=f"{number:016x}")
         client.call(number, "forget", 4, codec.ForgetArgs(seqid=number))
-    wait_closed(stage, client)
-    assert stage.cache.line() is None
+    wait_closed(harness, client)
+    assert harness.cache.line() is None
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -5,9 +5,9 @@
 
 import hypothesis
 import pytest
+from harness import OBJECT, REQUEST, SETTINGS, GatewayHarness, S, member
 from hypothesis import given
 from hypothesis import strategies as st
-from stage import OBJECT, REQUEST, SETTINGS, S, Stage, member
 from test_ops import call, read_metrics, total
 
 from benchmarks.deployments import run as run_deployments
@@ -21,9 +21,9 @@
 
 
 @pytest.fixture
-def stage():
+def harness():
     """A gateway with an administration address and default settings."""
-    made = Stage(admin="127.0.0.1:0")
+    made = GatewayHarness(admin="127.0.0.1:0")
     yield made
     made.close()
 
@@ -33,45 +33,45 @@
     client.call(number, args=codec.ServeArgs(fields=FIELDS | request_fields))
 
 
-def accepts_work(stage):
+def accepts_work(harness):
     """Whether the gateway accepts work, as a client asks on a new connection."""
-    client = stage.client()
+    client = harness.client()
     client.call(1, "isWell", 1, codec.IsWellArgs(unused=True))
-    frame = stage.until(lambda: client.poll() if client.answers() else b"")
+    frame = harness.until(lambda: client.poll() if client.answers() else b"")
     return codec.decode(frame[4:], {"isWell": codec.Result})[3].success.good
 
 
-def test_a_request_without_a_stated_size_is_served_and_its_size_stays_unknown(stage):
-    client = stage.client()
+def test_a_request_without_a_stated_size_is_served_and_its_size_stays_unknown(harness):
+    client = harness.client()
     send_read(client)
-    stage.until(stage.cache.line)
-    assert stage.gateway.local.router.pending_requests[REQUEST].request.size_kb is None
-    stage.cache.say(HIT)
-    assert stage.until(client.answers) == [(1, "success", {}, b"hello")]
+    harness.until(harness.cache.line)
+    assert harness.gateway.local.router.pending_requests[REQUEST].request.size_kb is None
+    harness.cache.send(HIT)
+    assert harness.until(client.answers) == [(1, "success", {}, b"hello")]
     send_read(client, 2, i="00" * 8, m="3.5")
-    stage.until(stage.cache.line)
-    assert stage.gateway.local.router.pending_requests["00" * 8].request.size_kb == 3.5, (
+    harness.until(harness.cache.line)
+    assert harness.gateway.local.router.pending_requests["00" * 8].request.size_kb == 3.5, (
         "the client states a size for some requests only"
     )
 
 
 def test_both_admin_addresses_accept_the_calls_of_both_deployments():
-    stage = Stage(admin="127.0.0.1:0", env={"EDGE_MGMT": "localhost:0"})
+    harness = GatewayHarness(admin="127.0.0.1:0", env={"EDGE_MGMT": "localhost:0"})
     try:
-        admin_servers = stage.gateway.component(AdminServerComponent).admin_servers
+        admin_servers = harness.gateway.component(AdminServerComponent).admin_servers
         assert len(admin_servers) == 2
         for _ in range(2):
             admin_servers.reverse()  # `call` uses the first address
             for path in ("/ready", "/ops/readiness", "/metrics", "/ops/stats"):
-                assert call(stage, f"GET {path}")[0] == 200
+                assert call(harness, f"GET {path}")[0] == 200
             for request_parts in (
                 ("POST /servers/out/s-00000001",),
                 ("PUT /ops/stores/down", b'{"id":"s-00000001"}'),
             ):
-                assert call(stage, *request_parts)[0] == 200 and not stage.gateway.directory.ready(1)
-                assert call(stage, "POST /servers/in/s-00000001")[0] == 200 and stage.gateway.directory.ready(
-                    1
-                )
+                assert call(harness, *request_parts)[0] == 200 and not harness.gateway.directory.ready(1)
+                assert call(harness, "POST /servers/in/s-00000001")[
+                    0
+                ] == 200 and harness.gateway.directory.ready(1)
             for request_parts, status in (
                 ("POST /servers/out/s-0000000f", 404),
                 ("POST /servers/out/", 404),
@@ -80,39 +80,41 @@
                 ("GET /drain", 405),
                 (f"POST /servers/out/{'x' * 300}", 400),
             ):
-                assert call(stage, request_parts)[0] == status, request_parts
-        refused = [v for e, v in stage.logged if e == "ops_call_refused"]
+                assert call(harness, request_parts)[0] == status, request_parts
+        refused = [v for e, v in harness.logged if e == "ops_call_refused"]
         assert refused[0] == {"call": "POST /servers/out/s-0000000f", "status": 404, "body": "b''"}
     finally:
-        stage.close()
+        harness.close()
 
 
-def test_a_draining_gateway_reports_not_ready_closes_idle_clients_and_answers_open_requests(stage):
-    idle, busy = stage.client(), stage.client()
-    assert accepts_work(stage)
+def test_a_draining_gateway_reports_not_ready_closes_idle_clients_and_answers_open_requests(harness):
+    idle, busy = harness.client(), harness.client()
+    assert accepts_work(harness)
     send_read(busy)
-    stage.until(stage.cache.line)
-    assert call(stage, "POST /drain") == (200, b'{"ok": true, "draining": true}\n')
-    assert json.loads(call(stage, "GET /ready")[1]) == {"ready": False, "why": "draining"}
-    assert not accepts_work(stage)
-    stage.until(lambda: idle.poll() is not None and idle.closed)
+    harness.until(harness.cache.line)
+    assert call(harness, "POST /drain") == (200, b'{"ok": true, "draining": true}\n')
+    assert json.loads(call(harness, "GET /ready")[1]) == {"ready": False, "why": "draining"}
+    assert not accepts_work(harness)
+    harness.until(lambda: idle.poll() is not None and idle.closed)
     assert not busy.closed
     # A client that does not know of the drain yet gets an answer and is then disconnected.
-    late = stage.client()
+    late = harness.client()
     send_read(late, i="00" * 8)
-    stage.until(stage.cache.line)
-    stage.cache.say(HIT, 0)
-    stage.cache.say(HIT.replace(REQUEST.encode(), b"00" * 8))
+    harness.until(harness.cache.line)
+    harness.cache.send(HIT, 0)
+    harness.cache.send(HIT.replace(REQUEST.encode(), b"00" * 8))
     for client in (busy, late):
-        assert stage.until(client.answers) == [(1, "success", {}, b"hello")]
-        stage.until(lambda client=client: client.poll() is not None and client.closed)
+        assert harness.until(client.answers) == [(1, "success", {}, b"hello")]
+        harness.until(lambda client=client: client.poll() is not None and client.closed)
     assert (
-        call(stage, "POST /undrain")[0] == 200 and call(stage, "GET /ready")[0] == 200 and accepts_work(stage)
+        call(harness, "POST /undrain")[0] == 200
+        and call(harness, "GET /ready")[0] == 200
+        and accepts_work(harness)
     )
-    send_read(stage.client(), i="11" * 8)
-    assert stage.until(stage.cache.line)
-    assert read_metrics(stage)[total("answered")] == 2
-    assert [e for e in stage.names() if e.startswith("drain_")] == ["drain_begins", "drain_ends"]
+    send_read(harness.client(), i="11" * 8)
+    assert harness.until(harness.cache.line)
+    assert read_metrics(harness)[total("answered")] == 2
+    assert [e for e in harness.event_names() if e.startswith("drain_")] == ["drain_begins", "drain_ends"]
 
 
 def class_profile(name, effect="idempotent", **overrides):
@@ -129,7 +131,7 @@
 
 
 def settings(*profiles, **limits):
-    """The settings of `Stage` with other classes; the lists with one value per class are adapted."""
+    """The settings of `GatewayHarness` with other classes; the lists with one value per class are adapted."""
     family_info = SETTINGS["family_info"] | {
         name: [value] * len(profiles)
         for name, value in (("max_age_ns", 0), ("grace_for_ns", 0), ("stale_earns", 0.7))
@@ -142,87 +144,87 @@
     }
 
 
-def reload(stage, **overrides):
+def reload(harness, **overrides):
     """Reloads the gateway with changed configuration keys."""
-    stage.gateway.reload(stage.config(stage.raw | overrides))
+    harness.gateway.reload(harness.config(harness.raw | overrides))
 
 
-def outcome_of(stage, client, number, cls):
+def outcome_of(harness, client, number, cls):
     """Sends a read of a class and returns the kind of its answer; a store that is asked holds the object."""
     send_read(client, number, i=f"{number:016x}", c=cls)
 
     def ended():
-        while line := stage.cache.line():
+        while line := harness.cache.line():
             if line.startswith("fetch"):
                 assert f"sort={cls}," in line
-                stage.cache.say(f"{line.split()[1]} data version=aa,stamp=1,n=HIT 1\r\nx\r\n".encode())
+                harness.cache.send(f"{line.split()[1]} data version=aa,stamp=1,n=HIT 1\r\nx\r\n".encode())
         return [a[1] for a in client.answers() if a[0] == number]
 
-    return stage.until(ended)[0]
+    return harness.until(ended)[0]
 
 
-def test_a_reload_takes_new_settings_and_classes_keep_their_counts_and_open_requests(stage):
-    client = stage.client()
+def test_a_reload_takes_new_settings_and_classes_keep_their_counts_and_open_requests(harness):
+    client = harness.client()
     send_read(client)
-    assert "fetch" in stage.until(stage.cache.line)
+    assert "fetch" in harness.until(harness.cache.line)
     orders, files, pages = (
         class_profile("commande", "at_most_once"),
         class_profile("fichiers"),
         class_profile("pages"),
     )
-    reload(stage, settings=settings(orders, pages, class_profile("videos"), max_attempts=2))
-    reload(stage, settings=settings(pages, orders, class_profile("videos"), max_attempts=2))
-    assert stage.gateway.local.router.settings.max_attempts == 2
-    stage.cache.say(HIT)
-    assert stage.until(client.answers) == [(1, "success", {}, b"hello")], (
+    reload(harness, settings=settings(orders, pages, class_profile("videos"), max_attempts=2))
+    reload(harness, settings=settings(pages, orders, class_profile("videos"), max_attempts=2))
+    assert harness.gateway.local.router.settings.max_attempts == 2
+    harness.cache.send(HIT)
+    assert harness.until(client.answers) == [(1, "success", {}, b"hello")], (
         "the request was accepted under the old settings"
     )
-    assert [outcome_of(stage, client, n, c) for n, c in ((2, "videos"), (3, "fichiers"), (4, "pages"))] == [
+    assert [outcome_of(harness, client, n, c) for n, c in ((2, "videos"), (3, "fichiers"), (4, "pages"))] == [
         "success"
     ] * 3, "clients that still use a removed class are served for a while"
-    stage.until(lambda: "fichiers" not in stage.gateway.front.classes)
-    assert [outcome_of(stage, client, n, c) for n, c in ((5, "fichiers"), (6, "videos"))] == [
+    harness.until(lambda: "fichiers" not in harness.gateway.front.classes)
+    assert [outcome_of(harness, client, n, c) for n, c in ((5, "fichiers"), (6, "videos"))] == [
         "fault",
         "success",
     ]
-    reload(stage, settings=settings(files, orders, max_attempts=2))
-    assert outcome_of(stage, client, 7, "fichiers") == "success", "the class is back at its old index"
-    metrics = read_metrics(stage)
+    reload(harness, settings=settings(files, orders, max_attempts=2))
+    assert outcome_of(harness, client, 7, "fichiers") == "success", "the class is back at its old index"
+    metrics = read_metrics(harness)
     assert [metrics[total("answered", c)] for c in ("fichiers", "commande", "pages", "videos")] == [
         3,
         0,
         1,
         2,
     ]
-    reload_events = [v for e, v in stage.logged if e == "reloaded"]
+    reload_events = [v for e, v in harness.logged if e == "reloaded"]
     assert reload_events[0] == {"moved": ["max_attempts", "classes"], "needs_restart": []}
-    assert "router_fault" not in stage.names()
+    assert "router_fault" not in harness.event_names()
 
 
-def test_a_request_whose_class_becomes_at_most_once_before_its_answer_is_lost_is_not_repeated(stage):
-    client = stage.client()
+def test_a_request_whose_class_becomes_at_most_once_before_its_answer_is_lost_is_not_repeated(harness):
+    client = harness.client()
     send_read(client)
-    assert "fetch" in stage.until(stage.cache.line)
+    assert "fetch" in harness.until(harness.cache.line)
     reload(
-        stage,
+        harness,
         settings=settings(
             class_profile("fichiers", "at_most_once"), class_profile("commande", "at_most_once")
         ),
     )
-    stage.cache.conns[-1].close()
-    stage.cache.conns.pop()
-    assert stage.until(client.answers)[0][1] == "failed"
-    assert stage.cache.line() is None
+    harness.cache.conns[-1].close()
+    harness.cache.conns.pop()
+    assert harness.until(client.answers)[0][1] == "failed"
+    assert harness.cache.line() is None
 
 
-def test_reloads_limit_class_names_and_report_settings_that_need_a_restart(stage):
-    old_config = stage.gateway.config
+def test_reloads_limit_class_names_and_report_settings_that_need_a_restart(harness):
+    old_config = harness.gateway.config
     with pytest.raises(ValueError, match="names of classes"):
-        reload(stage, settings=settings(*(class_profile(f"c{i}") for i in range(MAX_CLASSES))))
-    assert stage.gateway.config is old_config
-    reload(stage, settings=SETTINGS | {"az": 0, "zones": ["hub-nord", "edge-1", "edge-2"]})
-    assert [v for e, v in stage.logged if e == "reloaded"][0]["needs_restart"] == ["zones", "zone"]
-    assert stage.gateway.local.router.settings.zone == 1
+        reload(harness, settings=settings(*(class_profile(f"c{i}") for i in range(MAX_CLASSES))))
+    assert harness.gateway.config is old_config
+    reload(harness, settings=SETTINGS | {"az": 0, "zones": ["hub-nord", "edge-1", "edge-2"]})
+    assert [v for e, v in harness.logged if e == "reloaded"][0]["needs_restart"] == ["zones", "zone"]
+    assert harness.gateway.local.router.settings.zone == 1
 
 
 UNUSABLE = st.one_of(
@@ -254,9 +256,9 @@
 
 def test_load_reports_are_read_under_both_field_names_and_malformed_ones_are_ignored():
     report_settings = SETTINGS | {"stats": {"how": "piggyback", "fields": ["active", "cpu", "x0"]}}
-    stage = Stage(settings=report_settings)
+    harness = GatewayHarness(settings=report_settings)
     try:
-        client = stage.client()
+        client = harness.client()
         for number, report in enumerate(
             (
                 "inflight:8;util:0.5;x0:1",
@@ -269,47 +271,47 @@
             1,
         ):
             send_read(client, number, i=f"{number:016x}")
-            stage.until(stage.cache.line)
-            node = stage.gateway.local.router.nodes[1]
+            harness.until(harness.cache.line)
+            node = harness.gateway.local.router.nodes[1]
             node.reported_capacity = 0.0
             answer = f"{number:016x} data version=aa,stamp=1,n=HIT,l={report} 1\r\nx\r\n"
-            stage.cache.say(answer.encode())
-            stage.until(lambda n=number: [a for a in client.answers() if a[0] == n])
-            stage.turn()
+            harness.cache.send(answer.encode())
+            harness.until(lambda n=number: [a for a in client.answers() if a[0] == n])
+            harness.turn()
             assert node.reported_capacity == (8.0 if number < 3 else 0.0), report
         assert [a[1] for a in client.answers()] == ["success"] * 6
     finally:
-        stage.close()
+        harness.close()
 
 
 def test_a_store_is_assigned_to_a_zone_by_its_kind_when_a_hub_has_the_name_of_an_office():
     """Every store of the office was once assigned to the zone of the hub with the same name."""
-    stage = Stage(settings=SETTINGS | {"zones": ["edge-1", "edge-1"]})
+    harness = GatewayHarness(settings=SETTINGS | {"zones": ["edge-1", "edge-1"]})
     try:
-        members = stage.gateway.directory.members
+        members = harness.gateway.directory.members
         assert [members[n].zone for n in (1, 8, 9)] == [1, None, None], "no zone is named hub-nord"
-        stage.gateway.on_events(
-            [{"pool": {"members": [member("s-00000008", stage.parent.address, "parent", "edge-1")]}}]
+        harness.gateway.on_events(
+            [{"pool": {"members": [member("s-00000008", harness.parent.address, "parent", "edge-1")]}}]
         )
         assert members[8].zone == 0
-        client = stage.client()
+        client = harness.client()
         send_read(client)
-        assert stage.until(stage.cache.line)
+        assert harness.until(harness.cache.line)
     finally:
-        stage.close()
+        harness.close()
 
 
-def test_metrics_are_published_under_the_names_of_both_deployments(stage):
-    client = stage.client()
+def test_metrics_are_published_under_the_names_of_both_deployments(harness):
+    client = harness.client()
     for number in (1, 2):
-        assert outcome_of(stage, client, number, "fichiers") == "success"
+        assert outcome_of(harness, client, number, "fichiers") == "success"
     reload(
-        stage,
+        harness,
         settings=settings(
             class_profile("fichiers"), class_profile("commande", "at_most_once"), max_attempts=3
         ),
     )
-    text = call(stage, "GET /metrics")[1].decode()
+    text = call(harness, "GET /metrics")[1].decode()
     values = dict(line.rsplit(" ", 1) for line in text.splitlines() if not line.startswith("#"))
     for name, other_name in (
         (total("answered"), 'lb_served_total{class="fichiers"}'),
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -7,7 +7,7 @@
 from types import SimpleNamespace
 
 import pytest
-from stage import OBJECT, Stage, member
+from harness import OBJECT, GatewayHarness, member
 
 from olivecourse import interface
 from olivecourse.discovery.event_stream import (
@@ -26,15 +26,15 @@
 
 
 @pytest.fixture
-def stage(request):
-    made = Stage(**getattr(request, "param", {}))
+def harness(request):
+    made = GatewayHarness(**getattr(request, "param", {}))
     yield made
     made.close()
 
 
 def with_discovery(test):
     """Runs a test on a stage with an emulated discovery server."""
-    return pytest.mark.parametrize("stage", [{"board": True}], indirect=True)(test)
+    return pytest.mark.parametrize("harness", [{"board": True}], indirect=True)(test)
 
 
 def purges(first, count, made_at_ms):
@@ -55,9 +55,9 @@
 # Bulk purges ---------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("stage", [{}, {"planner": "/nonexistent/planner"}], indirect=True)
-def test_cost_of_a_purge_does_not_grow_with_the_number_of_purges(stage):
-    gateway, made_at_ms = stage.gateway, int(time.time() * 1000)
+@pytest.mark.parametrize("harness", [{}, {"planner": "/nonexistent/planner"}], indirect=True)
+def test_cost_of_a_purge_does_not_grow_with_the_number_of_purges(harness):
+    gateway, made_at_ms = harness.gateway, int(time.time() * 1000)
 
     def send_purges(first):
         for event in purges(first, 2_000, made_at_ms):
@@ -111,30 +111,30 @@
     assert table.settled_dropped == table.merged == 0
 
 
-def test_an_hour_of_purges_at_once_fits_bounded_tables_that_keep_the_unsettled_ones(stage):
+def test_an_hour_of_purges_at_once_fits_bounded_tables_that_keep_the_unsettled_ones(harness):
     now_ms = int(time.time() * 1000)
-    stage.gateway.on_events(purges(2, 20_000, now_ms - 3_600_000))
-    stage.gateway.on_events(purges(20_002, 500, now_ms))
-    stage.gateway.decide()
-    router, tracker = stage.gateway.local.router, stage.gateway.tracker
+    harness.gateway.on_events(purges(2, 20_000, now_ms - 3_600_000))
+    harness.gateway.on_events(purges(20_002, 500, now_ms))
+    harness.gateway.decide()
+    router, tracker = harness.gateway.local.router, harness.gateway.tracker
     for table in (router.purges, tracker.purged):
         assert len(table) <= 16_384 and not table.merged and table.settled_dropped
         assert all(f"{n:016x}" in table for n in range(20_002, 20_502))
 
 
-def test_merged_purges_are_logged(stage):
+def test_merged_purges_are_logged(harness):
     now_ms = time.time_ns() // MS
-    stage.gateway.on_events(purges(2, MAX_UNSETTLED, now_ms))
-    assert "purges_folded" not in stage.names()
-    stage.gateway.on_events(purges(2 + MAX_UNSETTLED, 7, now_ms))
-    assert ("purges_folded", {"since_start": 7}) in stage.logged
+    harness.gateway.on_events(purges(2, MAX_UNSETTLED, now_ms))
+    assert "purges_folded" not in harness.event_names()
+    harness.gateway.on_events(purges(2 + MAX_UNSETTLED, 7, now_ms))
+    assert ("purges_folded", {"since_start": 7}) in harness.logged
 
 
-def test_reconnected_planner_receives_the_bound_for_all_objects(stage):
+def test_reconnected_planner_receives_the_bound_for_all_objects(harness):
     emitted = []
-    control = stage.gateway.control
+    control = harness.gateway.control
     control._emit = emitted.append
-    control.purges.global_bound = (stage.gateway.loop.clock.now() - S, stage.gateway.loop.clock.now() + S)
+    control.purges.global_bound = (harness.gateway.loop.clock.now() - S, harness.gateway.loop.clock.now() + S)
     control.sync_planner()
     assert {event.group for event in emitted if isinstance(event, interface.Purged)} == set(range(GROUPS))
 
@@ -251,29 +251,29 @@
     sent.
     """
 
-    def __init__(self, stage, data):
-        self.stage, self.data = stage, memoryview(data)
+    def __init__(self, harness, data):
+        self.harness, self.data = harness, memoryview(data)
 
     def __call__(self):
         try:
             while self.data:
-                self.data = self.data[self.stage.board.conns[-1].send(self.data) :]
+                self.data = self.data[self.harness.board.conns[-1].send(self.data) :]
         except BlockingIOError:
             pass
         return not self.data
 
 
 @with_discovery
-def test_long_response_is_processed_in_slices_with_requests_answered_in_between(stage):
-    stage.until(lambda: b"watch=1&" in stage.board.poll())
-    stage.tell(1)
-    stage.until(lambda: b"linger=1500" in stage.board.poll())
+def test_long_response_is_processed_in_slices_with_requests_answered_in_between(harness):
+    harness.until(lambda: b"watch=1&" in harness.board.poll())
+    harness.publish(1)
+    harness.until(lambda: b"linger=1500" in harness.board.poll())
     count, made_at_ms, slices = 70_000, int(time.time() * 1000), []
     body = json.dumps({"notices": purges(2, count, made_at_ms - 60_000), "rev": count + 1}).encode()
     assert len(body) > 4 * 2**20
-    on_events = stage.gateway.discovery._on_events
-    stage.gateway.discovery._on_events = lambda events: (slices.append(len(events)), on_events(events))
-    send, client, largest_turn = ResponseSender(stage, http_response(body)), stage.client(), 0
+    on_events = harness.gateway.discovery._on_events
+    harness.gateway.discovery._on_events = lambda events: (slices.append(len(events)), on_events(events))
+    send, client, largest_turn = ResponseSender(harness, http_response(body)), harness.client(), 0
     sent = served = 0
 
     def step():
@@ -282,60 +282,60 @@
         if sent == served:
             sent += 1
             client.call(sent, i=f"{sent:016x}", o="00000000000fffff")
-        while (line := stage.cache.line()) is not None:
-            stage.cache.say(f"{line.split()[1]} data version=aa,stamp=1,n=HIT 2\r\nhi\r\n".encode())
+        while (line := harness.cache.line()) is not None:
+            harness.cache.send(f"{line.split()[1]} data version=aa,stamp=1,n=HIT 2\r\nhi\r\n".encode())
         served = len(client.answers())
         largest_turn, slices[:] = max(largest_turn, sum(slices)), []
-        return stage.gateway.discovery.rev == count + 1
+        return harness.gateway.discovery.rev == count + 1
 
-    stage.until(step)
+    harness.until(step)
     assert largest_turn <= 1_500, "events processed in one turn of the loop"
-    assert served >= 5 and "discovery_disconnected" not in stage.names()
-    stage.until(lambda: b"watch=%d&" % (count + 1) in stage.board.poll())
+    assert served >= 5 and "discovery_disconnected" not in harness.event_names()
+    harness.until(lambda: b"watch=%d&" % (count + 1) in harness.board.poll())
 
 
 @with_discovery
-def test_interrupted_long_response_is_resumed_after_its_last_complete_event(stage):
-    stage.until(lambda: b"watch=1&" in stage.board.poll())
+def test_interrupted_long_response_is_resumed_after_its_last_complete_event(harness):
+    harness.until(lambda: b"watch=1&" in harness.board.poll())
     body = json.dumps({"rev": 9_000, "notices": purges(2, 9_000, 5)}).encode()
     cut = body.index(b'{"rev": 7000,') + 20
-    send = ResponseSender(stage, http_response(body)[: cut + len(http_response(body)) - len(body)])
-    stage.until(send)
-    stage.board.conns.pop().close()
-    stage.until(lambda: b"watch=6999&" in stage.board.poll())
-    send = ResponseSender(stage, http_response(body[: cut - 20] + b"}" + body[cut - 20 :]))
-    stage.until(send)
-    stage.until(lambda: "discovery_response_invalid" in stage.names())
-    stage.board.data.clear()
-    stage.until(lambda: b"watch=6999&" in stage.board.poll())
-    assert stage.names().count("discovery_response_invalid") == 1
+    send = ResponseSender(harness, http_response(body)[: cut + len(http_response(body)) - len(body)])
+    harness.until(send)
+    harness.board.conns.pop().close()
+    harness.until(lambda: b"watch=6999&" in harness.board.poll())
+    send = ResponseSender(harness, http_response(body[: cut - 20] + b"}" + body[cut - 20 :]))
+    harness.until(send)
+    harness.until(lambda: "discovery_response_invalid" in harness.event_names())
+    harness.board.data.clear()
+    harness.until(lambda: b"watch=6999&" in harness.board.poll())
+    assert harness.event_names().count("discovery_response_invalid") == 1
 
 
 @with_discovery
-def test_long_response_times_out_only_when_no_more_data_arrives(stage):
-    stage.until(lambda: b"watch=1&" in stage.board.poll())
+def test_long_response_times_out_only_when_no_more_data_arrives(harness):
+    harness.until(lambda: b"watch=1&" in harness.board.poll())
     events_json = json.dumps(purges(2, 4_000, 5)).encode()
-    stage.board.say(b'HTTP/1.1 200 OK\r\nContent-Length: 999999\r\n\r\n{"rev":9,"notices":')
+    harness.board.send(b'HTTP/1.1 200 OK\r\nContent-Length: 999999\r\n\r\n{"rev":9,"notices":')
     started_at, sent_bytes = time.monotonic(), 0
     # two and a half times as long as the gateway waits for a response that sends nothing
     while time.monotonic() - started_at < 1.8:
-        stage.turn()
+        harness.turn()
         due_bytes = int((time.monotonic() - started_at) / 0.2) * 20_000
         if sent_bytes < due_bytes:
-            stage.board.say(events_json[sent_bytes:due_bytes])
+            harness.board.send(events_json[sent_bytes:due_bytes])
             sent_bytes = due_bytes
-    assert "discovery_disconnected" not in stage.names() and stage.gateway.discovery.rev > 1_000
-    stage.until(lambda: ("discovery_disconnected", {"why": "no answer in time"}) in stage.logged)
+    assert "discovery_disconnected" not in harness.event_names() and harness.gateway.discovery.rev > 1_000
+    harness.until(lambda: ("discovery_disconnected", {"why": "no answer in time"}) in harness.logged)
 
 
 @pytest.mark.parametrize(("chance", "min_ms", "max_ms"), [(0.0, 20, 20), (0.5, 30, 30), (0.999, 39, 40)])
 @with_discovery
-def test_retries_are_jittered_and_the_first_comes_after_20_to_40_ms(stage, chance, min_ms, max_ms):
-    stage.until(lambda: b"watch=1&" in stage.board.poll())
-    client, delays = stage.gateway.discovery, []
-    after = stage.gateway.loop.after
+def test_retries_are_jittered_and_the_first_comes_after_20_to_40_ms(harness, chance, min_ms, max_ms):
+    harness.until(lambda: b"watch=1&" in harness.board.poll())
+    client, delays = harness.gateway.discovery, []
+    after = harness.gateway.loop.after
     client._random = lambda: chance
-    stage.gateway.loop.after = lambda delay_ns, call: (
+    harness.gateway.loop.after = lambda delay_ns, call: (
         delays.append((delay_ns / MS, call)),
         after(delay_ns, call),
     )[1]
@@ -344,11 +344,13 @@
 
 
 @with_discovery
-def test_poll_contains_the_owners_query_parameters(stage):
-    stage.until(lambda: b"watch=1&" in stage.board.poll())
-    stage.gateway.discovery.query = lambda: "&low=1&count=3"
-    stage.tell(2, flush={"asset": OBJECT, "ms": 1})
-    stage.until(lambda: b"GET /board/poll?watch=2&linger=1500&low=1&count=3 HTTP/1.1" in stage.board.poll())
+def test_poll_contains_the_owners_query_parameters(harness):
+    harness.until(lambda: b"watch=1&" in harness.board.poll())
+    harness.gateway.discovery.query = lambda: "&low=1&count=3"
+    harness.publish(2, flush={"asset": OBJECT, "ms": 1})
+    harness.until(
+        lambda: b"GET /board/poll?watch=2&linger=1500&low=1&count=3 HTTP/1.1" in harness.board.poll()
+    )
 
 
 # Pacing ---------------------------------------------------------------------------------------------
@@ -412,24 +414,24 @@
 
 
 @with_discovery
-def test_reload_applies_new_graces_to_polling(stage):
-    stage.until(lambda: b"watch=1&" in stage.board.poll())
-    assert stage.gateway.discovery.pacer.grace_ns == 250 * MS
-    raw = json.loads(json.dumps(stage.raw))
+def test_reload_applies_new_graces_to_polling(harness):
+    harness.until(lambda: b"watch=1&" in harness.board.poll())
+    assert harness.gateway.discovery.pacer.grace_ns == 250 * MS
+    raw = json.loads(json.dumps(harness.raw))
     raw["settings"]["family_info"]["purge_grace_ns"] = 120 * MS
-    stage.gateway.reload(stage.config(raw))
-    assert stage.gateway.discovery.pacer.grace_ns == 120 * MS
+    harness.gateway.reload(harness.config(raw))
+    assert harness.gateway.discovery.pacer.grace_ns == 120 * MS
 
 
 @with_discovery
-def test_drain_among_150_purges_a_second_takes_effect_within_its_grace(stage):
+def test_drain_among_150_purges_a_second_takes_effect_within_its_grace(harness):
     """An observer at the store checks the time of each fetch. The discovery server answers a poll with all
     events up to then.
     """
-    stage.until(lambda: b"watch=1&" in stage.board.poll())
-    stage.tell(1)
+    harness.until(lambda: b"watch=1&" in harness.board.poll())
+    harness.publish(1)
     observer = Observer(0.25, 0.3, frozenset())
-    client, events, started_at, answers = stage.client(), [], time.monotonic(), 0
+    client, events, started_at, answers = harness.client(), [], time.monotonic(), 0
     changes = [
         (1.1 + 0.73 * number + delay_s, phase)
         for number in range(6)
@@ -437,36 +439,36 @@
     ]
     sent = drains = fetches_after_drain = 0
     while time.monotonic() - started_at < 5.6:
-        stage.turn()
+        harness.turn()
         elapsed_s = time.monotonic() - started_at
         while len(events) < elapsed_s * 150:
             events.append({"rev": len(events) + 2, "flush": {"asset": f"{len(events):016x}", "ms": 1}})
         if changes and elapsed_s > changes[0][0]:
             drained = changes.pop(0)[1] == "Terminating"
-            changed = member("s-00000001", stage.cache.address, phase="Terminating" if drained else "Ready")
+            changed = member("s-00000001", harness.cache.address, phase="Terminating" if drained else "Ready")
             events.append({"rev": len(events) + 2, "pool": {"revision": 2, "members": [changed]}})
             drains += drained
             if drained:
-                observer.drained("s-00000001", time.monotonic())
+                observer.record_drain("s-00000001", time.monotonic())
             else:
-                observer.back("s-00000001")
-        polls = stage.board.poll().split(b"GET /board/poll?watch=")
+                observer.record_ready("s-00000001")
+        polls = harness.board.poll().split(b"GET /board/poll?watch=")
         if polls[-1].endswith(b"\r\n\r\n") and events:
             revision = int(polls[-1].split(b"&")[0])
             if revision <= len(events):
-                stage.board.data.clear()
+                harness.board.data.clear()
                 body = json.dumps({"rev": len(events) + 1, "notices": events[revision - 1 :]}).encode()
-                stage.board.say(http_response(body))
+                harness.board.send(http_response(body))
                 answers += 1
         if sent < elapsed_s * 100:
             sent += 1
             client.call(sent, i=f"{sent:016x}", o=f"{sent:016x}")
-        while (line := stage.cache.line()) is not None:
+        while (line := harness.cache.line()) is not None:
             words = line.split()
             if words[0] == "fetch":
                 fetches_after_drain += bool(drains)
-                observer.asked(SimpleNamespace(name="s-00000001"), words[1], "data", {})
-                stage.cache.say(f"{words[1]} data version=aa,stamp=9,n=HIT 2\r\nhi\r\n".encode())
-    assert drains == 6 and fetches_after_drain > 50 and not observer.broken, observer.told
+                observer.on_answer(SimpleNamespace(name="s-00000001"), words[1], "data", {})
+                harness.cache.send(f"{words[1]} data version=aa,stamp=9,n=HIT 2\r\nhi\r\n".encode())
+    assert drains == 6 and fetches_after_drain > 50 and not observer.violations, observer.first_violations
     assert answers < 75, "one poll per purge would be about 600"
-    assert len(stage.gateway.tracker.purged) > 500
+    assert len(harness.gateway.tracker.purged) > 500
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,7 +5,7 @@
 from random import Random
 
 import pytest
-from conftest import MS, Drive, S, finals, fleet, make_class, member, sends
+from conftest import MS, RouterDriver, S, finals, fleet, make_class, member, sends
 
 from olivecourse import interface
 
@@ -20,12 +20,12 @@
 def send_miss(d, key, after, origin_wait_ns=50 * MS):
     """Sends a read that no store holds; the origin fills it unless the router only asks a parent for a
     copy."""
-    actions = sends(d.ask(key, size_kb=300.0))
+    actions = sends(d.send_request(key, size_kb=300.0))
     if d.router.attempts[d.id, 0][1].parent_only:
         assert actions[0].source == actions[0].cache or actions[0].how & interface.How.HELD_ONLY
-        d.end(interface.Status.MISS, note=interface.Note.SOURCE_LACKS)
+        d.end_attempt(interface.Status.MISS, note=interface.Note.SOURCE_LACKS)
     else:
-        d.end(
+        d.end_attempt(
             interface.Status.SERVED,
             after=after,
             note=interface.Note.FILLED_BY_ORIGIN,
@@ -36,12 +36,12 @@
 def test_an_overdue_fill_counts_as_late_before_it_ends(drive):
     d = router_in_large_fleet(drive, classes=(make_class(deadline_ns=6 * S),))
     for i in range(4):
-        d.ask(f"slow{i}", size_kb=300.0)
+        d.send_request(f"slow{i}", size_kb=300.0)
     d.event(interface.TimerFired(0), after=1 * S)  # every fill is past its latency target, and none has ended
     share_before_end = d.router.fill_shares[0]
     assert share_before_end < 0.5
     for request, attempt in list(d.router.attempts):
-        d.end(
+        d.end_attempt(
             interface.Status.SERVED, attempt, request=request, after=MS, note=interface.Note.FILLED_BY_ORIGIN
         )
     assert d.router.fill_shares[0] == share_before_end  # no fill is counted twice
@@ -66,7 +66,7 @@
         send_miss(d, f"mixed{i}", SLOW if i % 3 == 0 else QUICK)
         limited_count += d.router.fill_shares[0] < 1.0
     assert limited_count > 150
-    assert sends(d.ask("next", size_kb=300.0))
+    assert sends(d.send_request("next", size_kb=300.0))
 
 
 def test_copies_at_parents_are_used_while_fills_from_the_origin_are_limited(drive):
@@ -75,15 +75,15 @@
         send_miss(d, f"slow{i}", SLOW)
     before, served, refused = d.router.fill_shares[0], 0, 0
     for i in range(40):
-        (action,) = sends(d.ask(f"n{i}", size_kb=300.0))
+        (action,) = sends(d.send_request(f"n{i}", size_kb=300.0))
         if not action.how & interface.How.HELD_ONLY:
-            d.end(interface.Status.SERVED, note=interface.Note.HIT)
+            d.end_attempt(interface.Status.SERVED, note=interface.Note.HIT)
         elif i % 2:
-            d.end(interface.Status.SERVED, after=QUICK, note=interface.Note.FILLED)
+            d.end_attempt(interface.Status.SERVED, after=QUICK, note=interface.Note.FILLED)
             served += 1
         else:  # refused at once: no second attempt bypasses the parent
             refused += isinstance(
-                d.end(interface.Status.MISS, note=interface.Note.SOURCE_LACKS)[-1], interface.Refuse
+                d.end_attempt(interface.Status.MISS, note=interface.Note.SOURCE_LACKS)[-1], interface.Refuse
             )
     assert served > 10 and refused > 10
     assert d.router.fill_shares[0] == before, "hits at a parent say nothing about the origin"
@@ -93,9 +93,9 @@
 def test_a_failed_parent_does_not_limit_fills(drive):
     d = router_in_large_fleet(drive, notes="all", max_attempts=8)
     for i in range(20):
-        d.ask(f"k{i}", size_kb=300.0)
-        d.end(interface.Status.ERROR, after=5 * MS, note=interface.Note.SOURCE_UNREACHED)
-        d.end(interface.Status.SERVED, 1, after=QUICK, note=interface.Note.FILLED_BY_ORIGIN)
+        d.send_request(f"k{i}", size_kb=300.0)
+        d.end_attempt(interface.Status.ERROR, after=5 * MS, note=interface.Note.SOURCE_UNREACHED)
+        d.end_attempt(interface.Status.SERVED, 1, after=QUICK, note=interface.Note.FILLED_BY_ORIGIN)
     assert min(d.router.fill_shares) >= 1.0
 
 
@@ -114,18 +114,18 @@
     d = router_in_large_fleet(drive, classes=(make_class(), write_class))
     failing_cache = d.router.caches[0]
     for i in range(400):  # reads that succeed elsewhere show that the store is at fault and not the read
-        d.ask(f"k{i}", size_kb=300.0, after=10 * MS)
+        d.send_request(f"k{i}", size_kb=300.0, after=10 * MS)
         for attempt in range(3):
             cache = d.router.attempts[d.id, attempt][2]
             if cache is not failing_cache:
-                d.end(interface.Status.SERVED, attempt, note=interface.Note.HIT)
+                d.end_attempt(interface.Status.SERVED, attempt, note=interface.Note.HIT)
                 break
-            d.end(interface.Status.ERROR, attempt)
+            d.end_attempt(interface.Status.ERROR, attempt)
     assert d.router._error_score(failing_cache) > 0.5
     for i in range(200):
-        (action,) = sends(d.ask(f"o{i}", cls=1))
+        (action,) = sends(d.send_request(f"o{i}", cls=1))
         assert action.cache != failing_cache.member.cache
-        d.end(interface.Status.SERVED)
+        d.end_attempt(interface.Status.SERVED)
 
 
 def test_a_late_fill_weighs_more_when_more_gateways_share_the_origin(drive):
@@ -144,15 +144,18 @@
     cold = member(50, 1, 0, start, weight=20.0) if parent else member(1, 0, 1, start)
     others = [m for m in fleet() if m.cache != cold.cache and (m.kind != 1 or not parent)]
     drives = [
-        Drive((*others, cold), seed=seed, routers=40, zone_routers=(0, 7)) for seed in range(router_count)
+        RouterDriver((*others, cold), seed=seed, routers=40, zone_routers=(0, 7))
+        for seed in range(router_count)
     ]
     sent = []
     for step in range(300):  # six seconds of the slow start, with fifty requests per second and gateway
         for number, d in enumerate(drives):
-            for action in sends(d.ask(f"{number}/{step}", after=20 * MS, size_kb=500.0)):
+            for action in sends(d.send_request(f"{number}/{step}", after=20 * MS, size_kb=500.0)):
                 if cold.cache in (action.cache, action.source):
                     sent.append((d.now, 0.5))  # sending time in seconds
-                d.end(interface.Status.SERVED, request=action.request, after=0, note=interface.Note.FILLED)
+                d.end_attempt(
+                    interface.Status.SERVED, request=action.request, after=0, note=interface.Note.FILLED
+                )
     settings = drives[0].router.settings
     initial_share, slow_start_ns, budget_multiple = (
         (settings.parent_cold_from, settings.parent_cold_ns, settings.parent_fall_multiple)
@@ -183,7 +186,7 @@
     cold = member(50, 1, 0, start, weight=5.0) if parent else member(1, 0, 1, start, weight=2.0)
     others = [m for m in fleet() if m.cache != cold.cache]
     drives = [
-        Drive(
+        RouterDriver(
             (*others, cold),
             seed=random.getrandbits(40),
             routers=router_count,
@@ -199,9 +202,9 @@
         for number, d in enumerate(drives):
             d.now = at
             for n in range(0 if quiet else 2 if rush else random.random() < request_probabilities[number]):
-                for action in sends(d.ask(f"{number}/{at}/{n}", size_kb=500.0)):
+                for action in sends(d.send_request(f"{number}/{at}/{n}", size_kb=500.0)):
                     sent += [at] if cold.cache in (action.cache, action.source) else []
-                    d.end(
+                    d.end_attempt(
                         interface.Status.SERVED, request=action.request, after=0, note=interface.Note.FILLED
                     )
     settings = drives[0].router.settings
@@ -225,11 +228,11 @@
     for step in range(200):
         old_id, new_id = live_ids.pop(0), 1000 + step
         live_ids.append(new_id)
-        d.list([member(old_id, state=interface.State.GONE), member(new_id, ready_at_ns=d.now)])
-        d.ask(f"k{step}", size_kb=300.0, after=50 * MS)
+        d.update_members([member(old_id, state=interface.State.GONE), member(new_id, ready_at_ns=d.now)])
+        d.send_request(f"k{step}", size_kb=300.0, after=50 * MS)
         token = max(r.timers)
         if (d.id, 0) in r.attempts:
-            d.end(interface.Status.SERVED, note=interface.Note.HIT)
+            d.end_attempt(interface.Status.SERVED, note=interface.Note.HIT)
         d.event(interface.TimerFired(token))
         d.event(interface.TimerFired(0))
     assert len(r.nodes) == 63 and len(r.caches) == 60
@@ -243,12 +246,12 @@
 
 def lose_answer(d):
     """Lets the answer to a read get lost, while the same cache answers another read."""
-    d.ask("a", size_kb=50.0)
+    d.send_request("a", size_kb=50.0)
     lost_request, cache = d.id, d.router.attempts[(d.id, 0)][2]
     while True:
-        d.ask(f"k{d.count}", size_kb=50.0)
+        d.send_request(f"k{d.count}", size_kb=50.0)
         node = d.router.attempts[(d.id, 0)][2]
-        d.end(interface.Status.SERVED, note=interface.Note.HIT, after=10 * MS)
+        d.end_attempt(interface.Status.SERVED, note=interface.Note.HIT, after=10 * MS)
         if node is cache:
             break
     token = next(t for t, r in d.router.timers.items() if r == lost_request)
@@ -264,12 +267,12 @@
 
 def test_a_read_is_repeated_early_once_and_only_after_an_answer_was_lost(drive):
     d = drive()
-    assert not early_repeat_timers(d.ask("x", size_kb=50.0), d), (
+    assert not early_repeat_timers(d.send_request("x", size_kb=50.0), d), (
         "no read is repeated early before an answer was lost"
     )
-    d.end(interface.Status.SERVED, note=interface.Note.HIT)
+    d.end_attempt(interface.Status.SERVED, note=interface.Note.HIT)
     assert len(lose_answer(d)) == 1 and d.router.lost_response_credit > 1.0
-    (timer,) = early_repeat_timers(d.ask("b", size_kb=50.0), d)
+    (timer,) = early_repeat_timers(d.send_request("b", size_kb=50.0), d)
     request, (_, held, cache, _) = d.id, d.router.attempts[(d.id, 0)]
     assert held.sending_ns < timer.delay_ns < held.aim - held.sending_ns, (
         "a repeat can still be answered in time"
@@ -278,25 +281,25 @@
     (cancel,) = d.event(interface.TimerFired(timer.token), after=timer.delay_ns)
     assert (cancel.request, cancel.attempt) == (request, 0)
     (repeat,) = sends(
-        d.end(interface.Status.CANCELLED, request=request, cache=cache.member.cache, closed=False)
+        d.end_attempt(interface.Status.CANCELLED, request=request, cache=cache.member.cache, closed=False)
     )
     assert repeat.cache == cache.member.cache and repeat.how & interface.How.JOIN, (
         "the cache holds the copy, or its fill is under way"
     )
     assert not early_repeat_timers([repeat], d) and not d.router.lost_response_checks
     credit_before = d.router.lost_response_credit
-    d.end(interface.Status.SERVED, attempt=1, request=request, note=interface.Note.HIT)
+    d.end_attempt(interface.Status.SERVED, attempt=1, request=request, note=interface.Note.HIT)
     assert d.router.lost_response_credit == credit_before + 1.0
 
 
 def test_no_early_repeat_at_silent_caches_or_for_large_reads_or_writes(drive):
     d = drive(classes=(make_class(), make_class(interface.Effect.AT_MOST_ONCE, name="order", write=True)))
     lose_answer(d)
-    assert not early_repeat_timers(d.ask("o", cls=1, size_kb=50.0), d)
-    assert not early_repeat_timers(d.ask("big", size_kb=2_000.0), d), (
+    assert not early_repeat_timers(d.send_request("o", cls=1, size_kb=50.0), d)
+    assert not early_repeat_timers(d.send_request("big", size_kb=2_000.0), d), (
         "a repeat of this read could not be answered in time"
     )
-    (timer,) = early_repeat_timers(d.ask("c", size_kb=50.0), d)
+    (timer,) = early_repeat_timers(d.send_request("c", size_kb=50.0), d)
     assert d.event(interface.TimerFired(timer.token), after=timer.delay_ns) == [], (
         "the cache has not answered any request since"
     )
@@ -312,7 +315,7 @@
 
     def __init__(self, seed, load, slow=(), broken=(), seconds=30, slots=6):
         self.random, self.heap, self.count = Random(seed), [], 0
-        self.drive = Drive(seed=seed, routers=3, zone_routers=(0, 1))
+        self.drive = RouterDriver(seed=seed, routers=3, zone_routers=(0, 1))
         self.slow, self.broken, self.slots = slow, broken, slots
         self.open = dict.fromkeys(range(1, 5), 0)
         self.asked, self.served = [], set()
@@ -343,7 +346,7 @@
 
     def _ask(self, size):
         """Passes a read of `size` KB to the router."""
-        actions = self.drive.ask(f"{self.random.paretovariate(0.8):.0f}", size_kb=size)
+        actions = self.drive.send_request(f"{self.random.paretovariate(0.8):.0f}", size_kb=size)
         self.asked.append((size, self.drive.id))
         return actions
 
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -65,12 +65,12 @@
         assert result.returncode == 0, result.stdout + result.stderr
 
 
-CONF = (
+CONFIG = (
     "az=1 zones=hub,edge family_info.zone_hub=0,0 family_info.mid_kind=1 family_info.source_kind=2 "
     "family_info.joins=true limits.max_attempts=4 limits.cancel=true period_ns=2000000 profiles.count=1 "
     "profiles.0.on_time_ns=500000000 profiles.0.deadline_ns=3000000000 profiles.0.effect=idempotent"
 )
-LIST = (
+MEMBERS = (
     "REGISTER 0 5\nCACHE 11 1 0 1 ready 0 0\nCACHE 12 1 0 1 ready 0 0\nCACHE 13 1 0 1 ready 0 0\n"
     "CACHE 21 1 0 0 ready 0 1\nCACHE 31 1 0 0 ready 0 2\n"
 )
@@ -80,8 +80,8 @@
     """The input of a wirehost with these instances: their start and 200 requests for each."""
     lines = [
         "CLOCK 1000",
-        *(f"INIT {i} 5 {CONF}" for i in instances),
-        LIST.rstrip(),
+        *(f"INIT {i} 5 {CONFIG}" for i in instances),
+        MEMBERS.rstrip(),
         *(f"ENDPOINTS {i} 1 warm_copy 0" for i in instances),
         "FLUSH",
         "",
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -14,15 +14,15 @@
 from pathlib import Path
 
 import pytest
-from stage import SETTINGS, member
+from harness import SETTINGS, member
 
-from olivecourse.emulator.board import Board
-from olivecourse.emulator.clients import Crowd, Sort, well
+from olivecourse.emulator.clients import LoadGenerator, TrafficClass, accepts_work
+from olivecourse.emulator.discovery_server import DiscoveryServer
 from olivecourse.emulator.observer import Observer
-from olivecourse.emulator.stores import Store, World
+from olivecourse.emulator.stores import EmulatorLoop, Store
 
 ROOT = Path(__file__).resolve().parent.parent
-CLASSES = [Sort("fichiers", 0.9, 5000), Sort("commande", 0.1, 2900, write=True)]
+CLASSES = [TrafficClass("fichiers", 0.9, 5000), TrafficClass("commande", 0.1, 2900, write=True)]
 
 
 class Process:
@@ -43,7 +43,7 @@
         """Asks the process once whether it accepts work, and records its port and startup time."""
         if self.startup_s is None:
             found = re.search(r'"listen": "127.0.0.1:(\d+)"', self.log.read_text())
-            if found and well(int(found[1])):
+            if found and accepts_work(int(found[1])):
                 self.port, self.startup_s = int(found[1]), time.monotonic() - self.started_at
         return self.startup_s is not None
 
@@ -59,13 +59,13 @@
         ]
         self.observer = Observer(0.25, 0.3, frozenset({"commande"}))
         self.requests = []
-        self.world = World(self.stores, self.on_answer)
-        self.board = Board(self.world)
+        self.world = EmulatorLoop(self.stores, self.on_answer)
+        self.board = DiscoveryServer(self.world)
 
     def on_answer(self, store, request, word, fields):
         """Records the time and store of each request, and passes the request to the observer."""
         self.requests.append((time.time(), store.name))
-        self.observer.asked(store, request, word, fields)
+        self.observer.on_answer(store, request, word, fields)
 
     def members(self, *names, **overrides):
         """The named stores as members of a discovery list."""
@@ -98,9 +98,19 @@
         self.processes.append(Process(path, self.folder / f"{len(self.processes)}.log", **popen_arguments))
         return self.processes[-1]
 
-    def crowd(self, process, rate, seed, sorts=CLASSES):
+    def crowd(self, process, rate, seed, traffic_classes=CLASSES):
         """Starts a load generator that sends `rate` requests per second to a process."""
-        self.crowds.append(Crowd(self.world, process.port, sorts, rate, seed, self.observer.fault, conns=2))
+        self.crowds.append(
+            LoadGenerator(
+                self.world,
+                process.port,
+                traffic_classes,
+                rate,
+                seed,
+                self.observer.record_violation,
+                connection_count=2,
+            )
+        )
         return self.crowds[-1]
 
     def run(self, seconds, until=lambda: False):
@@ -169,8 +179,8 @@
         crowd.settle(3)
     assert fleet.run(10, lambda: all(p.process.poll() is not None for p in old_processes))
     assert [p.process.returncode for p in old_processes] == [0] * 20
-    assert not fleet.observer.broken, fleet.observer.told
-    assert sum(c.lost for c in crowds) == 0 and sum(c.ends["served"] for c in crowds) > 200
+    assert not fleet.observer.violations, fleet.observer.first_violations
+    assert sum(c.lost_requests for c in crowds) == 0 and sum(c.outcomes["served"] for c in crowds) > 200
 
 
 @pytest.mark.parametrize("instances", [20, 30])
@@ -181,7 +191,7 @@
     processes = [fleet.start(n, instances, settings) for n in range(instances)]
     wait_until_ready(fleet, processes)
     for n, process in enumerate(processes):
-        fleet.crowd(process, (2, 6, 18)[n % 3], n, [Sort("fichiers", 1.0, 5000)])
+        fleet.crowd(process, (2, 6, 18)[n % 3], n, [TrafficClass("fichiers", 1.0, 5000)])
     fleet.run(1.5)
     started_at = int(time.time() * 1000)
     fleet.board.publish(
@@ -198,7 +208,7 @@
     restarted = [fleet.start(n, instances, settings) for n in range(5)]
     assert fleet.run(10, lambda: all([p.check_ready() for p in restarted]))
     for n, process in enumerate(restarted):
-        fleet.crowd(process, 18, 100 + n, [Sort("fichiers", 1.0, 5000)])
+        fleet.crowd(process, 18, 100 + n, [TrafficClass("fichiers", 1.0, 5000)])
     fleet.run(3)
     contract, work_s = settings["contract"], 60 / 80.0  # the load generator states a mean size of 60 KB
     window = contract["overload_for_ns"] / 1e9
@@ -211,7 +221,7 @@
         n = contract["tip_multiple"] * capacity_share * 4 * window / work_s
         requests_in_window = sum(window_start <= c < window_start + window for c in request_times)
         assert requests_in_window <= n + 2 * math.sqrt(n) + 2, (window_start, requests_in_window, n)
-    assert not fleet.observer.broken, fleet.observer.told
+    assert not fleet.observer.violations, fleet.observer.first_violations
 
 
 @pytest.mark.parametrize("socket_limit", [128, 1024])  # 1024 is more than the system grants
@@ -226,13 +236,15 @@
     later_idle = [socket.create_connection(("127.0.0.1", process.port)) for _ in range(200)]
     fleet.board.resume()
     (drained,) = fleet.members("s-00000001", phase="Terminating")
-    fleet.observer.drained(
+    fleet.observer.record_drain(
         "s-00000001", fleet.board.publish(pool={"revision": 2, "complete": False, "members": [drained]}) + 1.0
     )  # the drain counts from one second later: by then the gateway must reach the discovery server again
     fleet.run(3)
     crowd.settle(5)
-    assert fleet.observer.asks["s-00000001"] and not fleet.observer.broken, fleet.observer.told
-    assert crowd.ends["served"] > 40 and crowd.ends["served"] >= 0.95 * sum(crowd.ends.values())
+    assert fleet.observer.request_counts["s-00000001"] and not fleet.observer.violations, (
+        fleet.observer.first_violations
+    )
+    assert crowd.outcomes["served"] > 40 and crowd.outcomes["served"] >= 0.95 * sum(crowd.outcomes.values())
     process_stat = Path(f"/proc/{process.process.pid}/stat").read_text().rpartition(")")[2].split()
     cpu_seconds = (int(process_stat[11]) + int(process_stat[12])) / os.sysconf("SC_CLK_TCK")
     assert cpu_seconds < 0.5 * (time.monotonic() - process.started_at)  # the process does not busy-loop
@@ -303,7 +315,7 @@
     made, path, text = start_waiting_for_config(fleet, [sys.executable, "-m", "olivecourse"])
     # At the signal the process already uses the old file.
     write_config(made, path, text, lambda: made.process.send_signal(signal.SIGHUP))
-    moved = Board(fleet.world)
+    moved = DiscoveryServer(fleet.world)
     write_config(made, path, text.replace(fleet.board.address, moved.address))
     assert fleet.run(20, lambda: '"moved": ["board"]' in made.log.read_text()), made.log.read_text()
     assert fleet.run(20, lambda: moved._connections)
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -91,8 +91,8 @@
 def request_repeatedly(driver, key, count, interval_ns=10 * MS):
     caches = []
     for _ in range(count):
-        caches.append(sends(driver.ask(key, after=interval_ns))[0].cache)
-        driver.end(interface.Status.SERVED, note=interface.Note.HIT)
+        caches.append(sends(driver.send_request(key, after=interval_ns))[0].cache)
+        driver.end_attempt(interface.Status.SERVED, note=interface.Note.HIT)
     return caches
 
 
@@ -123,18 +123,18 @@
         "write", aim_ns=S, deadline_ns=3 * S, effect=interface.Effect.IDEMPOTENT, write=True
     )
     driver = drive(classes=(make_settings().classes[0], write))
-    driver.ask("a")
-    driver.end(interface.Status.ERROR, closed=False)  # the router's retry
-    driver.ask("a", flags=interface.Flag.REPEAT)  # the client's repeat
-    driver.ask("a", flags=interface.Flag.WRITE)
-    driver.ask("a", cls=1)
+    driver.send_request("a")
+    driver.end_attempt(interface.Status.ERROR, closed=False)  # the router's retry
+    driver.send_request("a", flags=interface.Flag.REPEAT)  # the client's repeat
+    driver.send_request("a", flags=interface.Flag.WRITE)
+    driver.send_request("a", cls=1)
     assert driver.router.counter.count("a") == 1
 
 
 def test_reported_sizes_weight_the_object_counts(drive):
     driver = drive()
-    driver.ask("big", size_kb=5000.0)
-    driver.ask("small", size_kb=50.0)
+    driver.send_request("big", size_kb=5000.0)
+    driver.send_request("small", size_kb=50.0)
     assert driver.router.counter.count("big") == 100 * driver.router.counter.count("small")
 
 
@@ -142,8 +142,8 @@
     driver = drive(members=fleet(6))
     caches = set()
     for part in range(12):
-        caches.add(sends(driver.ask("video", part=part, after=S))[0].cache)
-        driver.end(interface.Status.SERVED)
+        caches.add(sends(driver.send_request("video", part=part, after=S))[0].cache)
+        driver.end_attempt(interface.Status.SERVED)
     assert len(caches) >= 3
 
 
@@ -159,8 +159,8 @@
 
 
 def hit(driver, key, latency_ns, **more):
-    driver.ask(key, 200 * MS)
-    driver.end(interface.Status.SERVED, after=latency_ns, note=interface.Note.HIT, **more)
+    driver.send_request(key, 200 * MS)
+    driver.end_attempt(interface.Status.SERVED, after=latency_ns, note=interface.Note.HIT, **more)
 
 
 def test_unreported_sizes_are_learned_per_object_and_large_objects_get_less_room(drive):
@@ -169,19 +169,19 @@
         hit(driver, "small", 10 * MS)
         hit(driver, "large", 900 * MS)
         hit(driver, "large", 2_000 * MS)  # the link is busy, so only the shortest time counts
-    driver.ask("large", part=7)
+    driver.send_request("large", part=7)
     large = driver.router.pending_requests[driver.id]
     assert 0.9 * S <= large.sending_ns <= 1.1 * S and large.size_known, (
         "another part of the object, never requested before"
     )
-    driver.ask("small")
+    driver.send_request("small")
     small = driver.router.pending_requests[driver.id]
     assert 9 * MS <= small.sending_ns <= 11 * MS and small.limit_factor > 1.0 > large.limit_factor
-    driver.ask("other")
+    driver.send_request("other")
     assert not driver.router.pending_requests[driver.id].size_known
     hit(driver, "small", 1 * MS, same=True)  # answered without content, so nothing is learned
     hit(driver, "small", 0)
-    driver.ask("small")
+    driver.send_request("small")
     assert driver.router.pending_requests[driver.id].sending_ns >= 9 * MS
 
 
@@ -202,5 +202,5 @@
     assert not any(n.reported_capacity for n in driver.router.caches)
     hit(driver, "a", 10 * MS, report=(40.0, 0.4, 0.0, 0.0))
     assert max(n.reported_capacity for n in driver.router.caches) == 50.0 > 2 * initial_limit
-    actions = [driver.ask("a") for _ in range(40)]
+    actions = [driver.send_request("a") for _ in range(40)]
     assert sum(bool(sends(a)) for a in actions) == 40
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 import pytest
-from stage import OBJECT, SETTINGS, Client, Peer, member
+from harness import OBJECT, SETTINGS, Client, ScriptedServer, member
 from test_signed import jwk
 
 from olivecourse.fronts import codec
@@ -66,7 +66,7 @@
     """Provides a folder with configuration files, a cache, and a function that starts programs, which are
     killed at the end.
     """
-    cache, programs = Peer(), []
+    cache, programs = ScriptedServer(), []
     members = [
         member("s-00000001", cache.address),
         member("s-00000008", "127.0.0.1:9", "parent", "hub-nord"),
@@ -128,7 +128,7 @@
     program.process.send_signal(signal.SIGTERM)
     client.call(2, "isWell", 1, codec.IsWellArgs(unused=True))
     until(client.answers)
-    cache.say(f"{request} data version=aa,stamp=1,n=HIT 5\r\nhello\r\n".encode())
+    cache.send(f"{request} data version=aa,stamp=1,n=HIT 5\r\nhello\r\n".encode())
     until(lambda: len(client.answers()) == 2)
     assert client.answers()[1] == (1, "success", {}, b"hello")
     assert program.process.wait(30) == 0
@@ -136,7 +136,7 @@
 
 def test_sighup_reloads_the_configuration_and_an_invalid_one_changes_nothing(world):
     folder, cache, start = world
-    path, boards = folder / "config.json", [Peer(), Peer()]
+    path, boards = folder / "config.json", [ScriptedServer(), ScriptedServer()]
     config = json.loads(path.read_text())
     path.write_text(json.dumps({**config, "board": boards[0].address}))
     program = start(EDGE_CONFIG=str(path))
@@ -152,7 +152,7 @@
     reloaded = program.event("reloaded")
     assert (reloaded["moved"], reloaded["needs_restart"]) == (["board"], ["listen"])
     until(lambda: b"watch=1&" in boards[1].poll())
-    cache.say(f"{request} data version=aa,stamp=1,n=HIT 5\r\nhello\r\n".encode())
+    cache.send(f"{request} data version=aa,stamp=1,n=HIT 5\r\nhello\r\n".encode())
     assert until(client.answers) == [(1, "success", {}, b"hello")]
     assert program.end() == 0
     for board in boards:
@@ -222,7 +222,7 @@
     client = forwarder.client()
     client.call(1)
     request = until(cache.line).split(" ")[1]
-    cache.say(f"{request} data version=aa,stamp=1,n=HIT 5\r\nhello\r\n".encode())
+    cache.send(f"{request} data version=aa,stamp=1,n=HIT 5\r\nhello\r\n".encode())
     assert until(client.answers) == [(1, "success", {}, b"hello")]
     # After the planner is lost, a read is refused with a time to retry. An order that was sent may have run,
     # so it fails.
@@ -316,7 +316,7 @@
     assert old.event("handed_over")["clients"] == 1
     client.call(2, i="22" * 8)  # from here on the new process reads the connection
     assert f"fetch {'22' * 8}" in until(cache.line)
-    cache.say(f"{request} data version=aa,stamp=1,n=HIT 5\r\nhello\r\n".encode(), 0)
+    cache.send(f"{request} data version=aa,stamp=1,n=HIT 5\r\nhello\r\n".encode(), 0)
     assert until(client.answers) == [(1, "success", {}, b"hello")]
     assert old.process.wait(30) == 0 and not client.closed
     stats = run("ops", "stats", "--address", new_address).stdout
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -13,13 +13,13 @@
 from pathlib import Path
 from random import Random
 
+import harness as gateways
 import pytest
-import stage as gateways
 
 from olivecourse.config.address import parse_address
 from olivecourse.config.gateway_config import InvalidConfig, load_operator
-from olivecourse.emulator.board import Board
-from olivecourse.emulator.stores import World
+from olivecourse.emulator.discovery_server import DiscoveryServer
+from olivecourse.emulator.stores import EmulatorLoop
 from olivecourse.net.discovery_client import DiscoveryClient
 from olivecourse.net.loop import Loop
 from olivecourse.relay.section import RelayConfig, RelaySection, read_relay
@@ -95,8 +95,8 @@
     """
 
     def __init__(self):
-        self.world = World([], lambda *asked: None)
-        self.board = Board(self.world)
+        self.world = EmulatorLoop([], lambda *asked: None)
+        self.board = DiscoveryServer(self.world)
         self.board.publish(pool=WHOLE_LIST)
         self.relays, self.watchers, self.logged = [], [], []
 
@@ -511,8 +511,8 @@
 
     def __init__(self, folder):
         self.folder, self.started = folder, []
-        self.world = World([], lambda *asked: None)
-        self.board = Board(self.world)
+        self.world = EmulatorLoop([], lambda *asked: None)
+        self.board = DiscoveryServer(self.world)
         self.board.publish(pool=WHOLE_LIST)
 
     def write(self, number, *upstreams, **extra):
@@ -646,7 +646,7 @@
     assert config.section.upstreams == ["127.0.0.1:7000", "127.0.0.1:7001"]
 
 
-class RelayedGateway(gateways.Stage):
+class RelayedGateway(gateways.GatewayHarness):
     """A test stage whose gateway polls a relay in place of the notice board (the discovery service)."""
 
     def __init__(self, address):
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -11,9 +11,9 @@
 import msgspec
 import pytest
 from fleetsim import GATEWAYS, STORES, Fleet, S
+from harness import GatewayHarness
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from stage import Stage
 
 from benchmarks._fleet import Fleet as Processes
 from benchmarks.rollout import play as play_processes
@@ -484,7 +484,7 @@
     )
     finished = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True)
     assert finished.stdout.strip() == "[]", finished.stdout + finished.stderr
-    stage = Stage()
+    stage = GatewayHarness()
     try:
         assert not stage.gateway.directory.leased_out and GATEWAYS not in str(stage.gateway.components)
     finally:
--- a/tests/test_signed.py
+++ b/tests/test_signed.py
@@ -5,7 +5,7 @@
 
 import jwt
 import pytest
-from stage import OBJECT, SETTINGS, Client, Stage
+from harness import OBJECT, SETTINGS, Client, GatewayHarness
 
 from olivecourse.components import WatchedFilesComponent
 from olivecourse.config.gateway_config import InvalidConfig, load_operator
@@ -22,7 +22,7 @@
     return {"kty": "oct", "kid": kid, "alg": "HS256", "k": key, **extra_claims}
 
 
-class SignedStage(Stage):
+class SignedGatewayHarness(GatewayHarness):
     """A gateway with the HTTP server, whose stores come from a CSV inventory."""
 
     def __init__(self, folder, **extra_claims):
@@ -79,38 +79,38 @@
     def serve(self, status_word="data", body=b"hi"):
         """Waits for a request at the store and answers it with this status word and body."""
         request = self.until(self.cache.line).split(" ")[1]
-        self.cache.say(
+        self.cache.send(
             f"{request} {status_word} version=v1,stamp=1,n=HIT {len(body)}\r\n".encode() + body + b"\r\n"
         )
 
 
 @pytest.fixture
-def stage(tmp_path):
-    created = SignedStage(tmp_path)
+def harness(tmp_path):
+    created = SignedGatewayHarness(tmp_path)
     yield created
     created.close()
 
 
-def test_a_valid_link_is_served_and_an_unchanged_copy_is_a_304(stage):
-    client = stage.ask(stage.link())
-    stage.serve(body=b"calendar")
-    assert stage.status(client) == 200 and client.data.endswith(b"\r\n\r\ncalendar")
+def test_a_valid_link_is_served_and_an_unchanged_copy_is_a_304(harness):
+    client = harness.ask(harness.link())
+    harness.serve(body=b"calendar")
+    assert harness.status(client) == 200 and client.data.endswith(b"\r\n\r\ncalendar")
     assert b'ETag: "v1"' in client.data
-    client = stage.ask(stage.link(), If_None_Match='"v1"')
-    line = stage.until(stage.cache.line)
+    client = harness.ask(harness.link(), If_None_Match='"v1"')
+    line = harness.until(harness.cache.line)
     assert "holds=v1" in line
-    stage.cache.say(f"{line.split(' ')[1]} unchanged version=v1,stamp=1,n=HIT 0\r\n\r\n".encode())
-    assert stage.status(client) == 304
+    harness.cache.send(f"{line.split(' ')[1]} unchanged version=v1,stamp=1,n=HIT 0\r\n\r\n".encode())
+    assert harness.status(client) == 304
 
 
-def test_links_that_do_not_permit_the_request_are_rejected(stage):
-    now, good = time.time(), stage.link()
+def test_links_that_do_not_permit_the_request_are_rejected(harness):
+    now, good = time.time(), harness.link()
     package = f"{tokens.PACKAGE}="
     token = good.split(package)[1]
     head, claims, signature = token.split(".")
     altered_signature = ("A" if signature[5] != "A" else "B").join((signature[:5], signature[6:]))
     foreign_key = tokens.Key("union", "k1", "HS256", b"another key, another key, another")
-    other_issuer_key = tokens.Key("somebody", "k2", "HS256", stage.key.key)
+    other_issuer_key = tokens.Key("somebody", "k2", "HS256", harness.key.key)
     rejected = {
         "no token": (PATH, 401),
         "forged": (tokens.signed_uri(PATH, tokens.issue(foreign_key, PUBLIC + PATH, 60, now)), 403),
@@ -127,79 +127,79 @@
             tokens.signed_uri(PATH, tokens.issue(other_issuer_key, PUBLIC + PATH, 60, now)),
             403,
         ),
-        "expired": (stage.link(now=now - 70), 403),
-        "early": (stage.link(not_before=now + 30), 403),
-        "for another object": (stage.link(container="regex:https://[^/]*/pages/.*"), 403),
-        "unknown critical claim": (stage.link(cdnicrit="cdnix"), 403),
+        "expired": (harness.link(now=now - 70), 403),
+        "early": (harness.link(not_before=now + 30), 403),
+        "for another object": (harness.link(container="regex:https://[^/]*/pages/.*"), 403),
+        "unknown critical claim": (harness.link(cdnicrit="cdnix"), 403),
         "two packages": (f"{good}&{package}{token}", 403),
         "no json": (f"{PATH}&{package}a.b.c", 403),
     }
     for case, (target, status) in rejected.items():
-        assert stage.status(stage.ask(target)) == status, case
-    assert stage.cache.line() is None and stage.gateway.tracker.open == 0
-    assert not any(part in str(stage.logged) for part in (claims, signature))
+        assert harness.status(harness.ask(target)) == status, case
+    assert harness.cache.line() is None and harness.gateway.tracker.open == 0
+    assert not any(part in str(harness.logged) for part in (claims, signature))
 
 
-def test_clock_skew_of_a_few_seconds_is_within_the_leeway(stage):
+def test_clock_skew_of_a_few_seconds_is_within_the_leeway(harness):
     now = time.time()
-    for link in (stage.link(now=now + 2.5), stage.link(now=now - 61.5), stage.link(not_before=now + 2)):
-        client = stage.ask(link)
-        stage.serve()
-        assert stage.status(client) == 200
+    for link in (harness.link(now=now + 2.5), harness.link(now=now - 61.5), harness.link(not_before=now + 2)):
+        client = harness.ask(link)
+        harness.serve()
+        assert harness.status(client) == 200
 
 
-def test_a_regex_container_permits_only_the_uris_that_it_matches(stage):
-    link = stage.link(
+def test_a_regex_container_permits_only_the_uris_that_it_matches(harness):
+    link = harness.link(
         container=r"regex:https://calendriers\.example/fichiers/[[:xdigit:]]{16}/[0-9]+\?shard=17"
     )
     token = link.split(f"{tokens.PACKAGE}=")[1]
-    client = stage.ask(tokens.signed_uri(f"/fichiers/{OBJECT}/4?shard=17", token))
-    stage.serve()
-    assert stage.status(client) == 200
-    assert stage.status(stage.ask(tokens.signed_uri(f"/fichiers/{OBJECT}/4?shard=17&kb=1", token))) == 403
+    client = harness.ask(tokens.signed_uri(f"/fichiers/{OBJECT}/4?shard=17", token))
+    harness.serve()
+    assert harness.status(client) == 200
+    assert harness.status(harness.ask(tokens.signed_uri(f"/fichiers/{OBJECT}/4?shard=17&kb=1", token))) == 403
 
 
-def test_a_link_that_expires_during_a_fill_is_still_answered(stage):
+def test_a_link_that_expires_during_a_fill_is_still_answered(harness):
     clock = [time.time()]
-    stage.tokens._clock = lambda: clock[0]
-    link = stage.link(ttl=10)
-    client = stage.ask(link)
-    request = stage.until(stage.cache.line).split(" ")[1]
+    harness.tokens._clock = lambda: clock[0]
+    link = harness.link(ttl=10)
+    client = harness.ask(link)
+    request = harness.until(harness.cache.line).split(" ")[1]
     clock[0] += 14  # past the link's expiry (10 s) and the leeway (3 s)
-    stage.cache.say(f"{request} data version=v1,stamp=1,n=MISS 2\r\nhi\r\n".encode())
-    assert stage.status(client) == 200
-    assert stage.status(stage.ask(link)) == 403
+    harness.cache.send(f"{request} data version=v1,stamp=1,n=MISS 2\r\nhi\r\n".encode())
+    assert harness.status(client) == 200
+    assert harness.status(harness.ask(link)) == 403
 
 
-def test_links_signed_with_a_removed_key_are_rejected(stage):
-    link = stage.link()
-    keys = stage.folder / "keys.json"
+def test_links_signed_with_a_removed_key_are_rejected(harness):
+    link = harness.link()
+    keys = harness.folder / "keys.json"
     keys.write_text(json.dumps({"union": {"keys": [jwk("k2"), jwk("k3")]}}))
-    stage.gateway.component(WatchedFilesComponent).keys_seen = 0
-    stage.until(lambda: "keys_read" in stage.names())
-    assert stage.status(stage.ask(link)) == 403
+    harness.gateway.component(WatchedFilesComponent).keys_seen = 0
+    harness.until(lambda: "keys_read" in harness.event_names())
+    assert harness.status(harness.ask(link)) == 403
     keys.write_text("{")
-    stage.gateway.component(WatchedFilesComponent).keys_seen = 0
-    stage.until(lambda: "file_unusable" in stage.names())
-    assert set(stage.tokens.keys) == {"k2", "k3"}
+    harness.gateway.component(WatchedFilesComponent).keys_seen = 0
+    harness.until(lambda: "file_unusable" in harness.event_names())
+    assert set(harness.tokens.keys) == {"k2", "k3"}
 
 
-def test_an_order_token_permits_one_write_only(stage):
-    stage.tokens._clock = lambda: time.time() + 5
-    token = stage.order()
-    client = stage.ask(ORDER, "POST", b"a dozen", Authorization=f"Bearer {token}")
-    request = stage.until(lambda: (line := stage.cache.line()) and line.split(" ")[1])
+def test_an_order_token_permits_one_write_only(harness):
+    harness.tokens._clock = lambda: time.time() + 5
+    token = harness.order()
+    client = harness.ask(ORDER, "POST", b"a dozen", Authorization=f"Bearer {token}")
+    request = harness.until(lambda: (line := harness.cache.line()) and line.split(" ")[1])
     # The order token is used again while its write runs, and once more after the write has ended.
-    assert stage.status(stage.ask(ORDER, "POST", b"again", Authorization=f"Bearer {token}")) == 401
-    stage.cache.say(f"{request} data n=MISS_ORIGIN 2\r\nok\r\n".encode())
-    assert stage.status(client) == 200
-    assert stage.status(stage.ask(ORDER, "POST", b"again", Authorization=f"Bearer {token}")) == 401
-    assert b"again" not in stage.cache.poll()
+    assert harness.status(harness.ask(ORDER, "POST", b"again", Authorization=f"Bearer {token}")) == 401
+    harness.cache.send(f"{request} data n=MISS_ORIGIN 2\r\nok\r\n".encode())
+    assert harness.status(client) == 200
+    assert harness.status(harness.ask(ORDER, "POST", b"again", Authorization=f"Bearer {token}")) == 401
+    assert b"again" not in harness.cache.poll()
 
 
-def test_order_tokens_that_could_run_a_write_twice_are_rejected(stage):
+def test_order_tokens_that_could_run_a_write_twice_are_rejected(harness):
     clock_time = time.time() + 5
-    stage.tokens._clock = lambda: clock_time
+    harness.tokens._clock = lambda: clock_time
     for case, extra_claims, status in (
         ("another gateway", {"aud": "n1"}, 403),
         ("several", {"aud": ["n0", "n1"]}, 401),
@@ -208,47 +208,49 @@
         ("a long life", {"ttl": 86_400}, 401),
         ("a link's", {"container": "hash:x"}, 403),
     ):
-        answer = stage.status(
-            stage.ask(ORDER, "POST", b"x", Authorization=f"Bearer {stage.order(**extra_claims)}")
+        answer = harness.status(
+            harness.ask(ORDER, "POST", b"x", Authorization=f"Bearer {harness.order(**extra_claims)}")
         )
         assert answer == status, case
-    assert stage.status(stage.ask(ORDER, "POST", b"x")) == 401
-    link = tokens.signed_uri(ORDER, tokens.issue(stage.key, PUBLIC + ORDER, 60, time.time()))
-    assert stage.status(stage.ask(link, "POST", b"x")) == 401
-
-
-def test_a_refused_write_may_be_repeated_with_its_token(stage):
-    stage.tokens._clock = lambda: time.time() + 5
-    token = stage.order()
-    stage.cache.sock.close()  # the store is gone, so the write cannot run
-    client = stage.ask(ORDER, "POST", b"x", Authorization=f"Bearer {token}")
-    assert stage.status(client) == 503 and b"Retry-After: 1\r\n" in client.data
-    assert stage.status(stage.ask(ORDER, "POST", b"x", Authorization=f"Bearer {token}")) == 503
-
-
-def test_a_write_with_unknown_outcome_fails_and_its_token_is_used_up(stage):
-    stage.tokens._clock = lambda: time.time() + 5
-    token = stage.order()
-    client = stage.ask(ORDER, "POST", b"x", Authorization=f"Bearer {token}")
-    stage.until(stage.cache.line)
-    stage.cache.conns.pop().close()
-    assert stage.status(client) == 502
-    assert stage.status(stage.ask(ORDER, "POST", b"x", Authorization=f"Bearer {token}")) == 401
-
-
-def test_a_late_read_is_refused_and_a_late_write_is_a_504(stage):
-    client = stage.ask(stage.link(), Request_Timeout_Ms="100")
-    assert stage.status(client) == 503
-    stage.tokens._clock = lambda: time.time() + 5
-    client = stage.ask(ORDER, "POST", b"x", Authorization=f"Bearer {stage.order()}", Request_Timeout_Ms="100")
-    assert stage.status(client) == 504
+    assert harness.status(harness.ask(ORDER, "POST", b"x")) == 401
+    link = tokens.signed_uri(ORDER, tokens.issue(harness.key, PUBLIC + ORDER, 60, time.time()))
+    assert harness.status(harness.ask(link, "POST", b"x")) == 401
+
+
+def test_a_refused_write_may_be_repeated_with_its_token(harness):
+    harness.tokens._clock = lambda: time.time() + 5
+    token = harness.order()
+    harness.cache.sock.close()  # the store is gone, so the write cannot run
+    client = harness.ask(ORDER, "POST", b"x", Authorization=f"Bearer {token}")
+    assert harness.status(client) == 503 and b"Retry-After: 1\r\n" in client.data
+    assert harness.status(harness.ask(ORDER, "POST", b"x", Authorization=f"Bearer {token}")) == 503
+
+
+def test_a_write_with_unknown_outcome_fails_and_its_token_is_used_up(harness):
+    harness.tokens._clock = lambda: time.time() + 5
+    token = harness.order()
+    client = harness.ask(ORDER, "POST", b"x", Authorization=f"Bearer {token}")
+    harness.until(harness.cache.line)
+    harness.cache.conns.pop().close()
+    assert harness.status(client) == 502
+    assert harness.status(harness.ask(ORDER, "POST", b"x", Authorization=f"Bearer {token}")) == 401
+
+
+def test_a_late_read_is_refused_and_a_late_write_is_a_504(harness):
+    client = harness.ask(harness.link(), Request_Timeout_Ms="100")
+    assert harness.status(client) == 503
+    harness.tokens._clock = lambda: time.time() + 5
+    client = harness.ask(
+        ORDER, "POST", b"x", Authorization=f"Bearer {harness.order()}", Request_Timeout_Ms="100"
+    )
+    assert harness.status(client) == 504
 
 
-def test_a_disconnected_client_cancels_its_request(stage):
-    client = stage.ask(stage.link())
-    request = stage.until(stage.cache.line).split(" ")[1]
+def test_a_disconnected_client_cancels_its_request(harness):
+    client = harness.ask(harness.link())
+    request = harness.until(harness.cache.line).split(" ")[1]
     client.sock.close()
-    assert stage.until(stage.cache.line) == f"abort {request}"
+    assert harness.until(harness.cache.line) == f"abort {request}"
 
 
 @pytest.mark.parametrize(
@@ -265,28 +267,28 @@
         "GET //x/y HTTP/1.1\r\n\r\n",
     ],
 )
-def test_malformed_requests_get_a_400(stage, head):
-    stage.clients.append(Client(stage.gateway.front.port))
-    stage.clients[-1].sock.sendall(head.encode())
-    assert stage.status(stage.clients[-1]) == 400
-
-
-def test_requests_on_one_connection_are_answered_in_order(stage):
-    client = stage.ask(stage.link())
-    client.sock.sendall(f"GET {stage.link()} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
-    stage.serve(body=b"one")
-    stage.serve(body=b"two")
-    stage.until(lambda: client.poll().count(b"HTTP/1.1 200") == 2)
+def test_malformed_requests_get_a_400(harness, head):
+    harness.clients.append(Client(harness.gateway.front.port))
+    harness.clients[-1].sock.sendall(head.encode())
+    assert harness.status(harness.clients[-1]) == 400
+
+
+def test_requests_on_one_connection_are_answered_in_order(harness):
+    client = harness.ask(harness.link())
+    client.sock.sendall(f"GET {harness.link()} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
+    harness.serve(body=b"one")
+    harness.serve(body=b"two")
+    harness.until(lambda: client.poll().count(b"HTTP/1.1 200") == 2)
     assert client.data.index(b"one") < client.data.index(b"two")
 
 
-def test_a_store_removed_from_the_inventory_gets_no_requests(stage):
-    path = stage.folder / "stores.csv"
+def test_a_store_removed_from_the_inventory_gets_no_requests(harness):
+    path = harness.folder / "stores.csv"
     path.write_text("".join(x for x in path.read_text().splitlines(True) if "s-00000001" not in x))
-    stage.gateway.component(WatchedFilesComponent).inventory_seen = 0
-    stage.until(lambda: "inventory_read" in stage.names())
-    assert stage.status(stage.ask(stage.link())) == 503
-    assert stage.cache.line() is None
+    harness.gateway.component(WatchedFilesComponent).inventory_seen = 0
+    harness.until(lambda: "inventory_read" in harness.event_names())
+    assert harness.status(harness.ask(harness.link())) == 503
+    assert harness.cache.line() is None
 
 
 @pytest.mark.parametrize(
@@ -309,20 +311,20 @@
     assert expected in str(error.value) and "\n" not in str(error.value)
 
 
-def test_a_reload_applies_new_keys_and_keeps_the_record_of_used_order_tokens(stage):
-    stage.tokens._clock = lambda: time.time() + 5
-    token = stage.order()
-    stage.ask(ORDER, "POST", b"a dozen", authorization=f"Bearer {token}")
-    stage.until(stage.cache.line)
-    (stage.folder / "keys.json").write_text(json.dumps({"union": {"keys": [jwk("k1"), jwk("k3")]}}))
-    operator = stage.folder / "operator.yaml"
+def test_a_reload_applies_new_keys_and_keeps_the_record_of_used_order_tokens(harness):
+    harness.tokens._clock = lambda: time.time() + 5
+    token = harness.order()
+    harness.ask(ORDER, "POST", b"a dozen", authorization=f"Bearer {token}")
+    harness.until(harness.cache.line)
+    (harness.folder / "keys.json").write_text(json.dumps({"union": {"keys": [jwk("k1"), jwk("k3")]}}))
+    operator = harness.folder / "operator.yaml"
     operator.write_text(operator.read_text().replace("leeway_s: 3", "leeway_s: 30"))
-    stage.gateway.reload(load_operator(str(operator), {}))
-    assert set(stage.tokens.keys) == {"k1", "k3"} and stage.tokens.leeway_s == 3
-    assert ("reloaded", {"moved": [], "needs_restart": ["signed"]}) in stage.logged
-    assert stage.status(stage.ask(ORDER, "POST", b"a dozen", authorization=f"Bearer {token}")) == 401
-    assert ("token_rejected", {"status": 401, "why": "used already"}) in stage.logged
-    (stage.folder / "keys.json").write_text("{")
+    harness.gateway.reload(load_operator(str(operator), {}))
+    assert set(harness.tokens.keys) == {"k1", "k3"} and harness.tokens.leeway_s == 3
+    assert ("reloaded", {"moved": [], "needs_restart": ["signed"]}) in harness.logged
+    assert harness.status(harness.ask(ORDER, "POST", b"a dozen", authorization=f"Bearer {token}")) == 401
+    assert ("token_rejected", {"status": 401, "why": "used already"}) in harness.logged
+    (harness.folder / "keys.json").write_text("{")
     with pytest.raises(ValueError):
-        stage.gateway.reload(load_operator(str(operator), {}))
-    assert set(stage.tokens.keys) == {"k1", "k3"}
+        harness.gateway.reload(load_operator(str(operator), {}))
+    assert set(harness.tokens.keys) == {"k1", "k3"}
--- a/tests/test_spent.py
+++ b/tests/test_spent.py
@@ -13,7 +13,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from test_memory import SnapshotterHarness, fixed
-from test_signed import ORDER, SignedStage
+from test_signed import ORDER, SignedGatewayHarness
 
 from olivecourse.components import MemoryComponent
 from olivecourse.config.gateway_config import load_operator
@@ -272,7 +272,7 @@
 # With a whole gateway ----------------------------------------------------------------------------------
 
 
-class MemoryStage(SignedStage):
+class MemoryGatewayHarness(SignedGatewayHarness):
     """A gateway for signed requests that keeps its state in a folder."""
 
     def __init__(self, folder):
@@ -293,27 +293,27 @@
 
 
 def test_a_token_issued_before_a_restart_is_valid_exactly_if_it_was_not_spent(tmp_path):
-    stage = MemoryStage(tmp_path)
+    harness = MemoryGatewayHarness(tmp_path)
     now = time.time() + 4
-    used, unused = (stage.order(jti=f"token-number-{n}", now=now) for n in range(2))
-    client = stage.ask(ORDER, "POST", b"cards", Authorization=f"Bearer {used}")
-    line = stage.until(stage.cache.line)
+    used, unused = (harness.order(jti=f"token-number-{n}", now=now) for n in range(2))
+    client = harness.ask(ORDER, "POST", b"cards", Authorization=f"Bearer {used}")
+    line = harness.until(harness.cache.line)
     assert line.startswith("fetch")
     # The token was durable before the order was sent to the store.
-    assert stage.gateway.spent.group_commit.entries
-    stage.close()
-    stage = MemoryStage(tmp_path)
-    client = stage.ask(ORDER, "POST", b"cards", Authorization=f"Bearer {used}")
-    assert stage.status(client) == 401 and b"used already" in client.data
-    client = stage.ask(ORDER, "POST", b"cards", Authorization=f"Bearer {unused}")
-    assert stage.until(stage.cache.line).startswith("fetch")
-    stage.close()
+    assert harness.gateway.spent.group_commit.entries
+    harness.close()
+    harness = MemoryGatewayHarness(tmp_path)
+    client = harness.ask(ORDER, "POST", b"cards", Authorization=f"Bearer {used}")
+    assert harness.status(client) == 401 and b"used already" in client.data
+    client = harness.ask(ORDER, "POST", b"cards", Authorization=f"Bearer {unused}")
+    assert harness.until(harness.cache.line).startswith("fetch")
+    harness.close()
 
 
 def test_an_order_waits_for_the_sync_of_its_token_and_a_client_that_leaves_frees_the_token(
     tmp_path, monkeypatch
 ):
-    stage, commit, blocking = MemoryStage(tmp_path), TokenStore.commit, [True]
+    harness, commit, blocking = MemoryGatewayHarness(tmp_path), TokenStore.commit, [True]
 
     def blocked(self, group):
         while blocking[0]:
@@ -321,18 +321,18 @@
         commit(self, group)
 
     monkeypatch.setattr(TokenStore, "commit", blocked)
-    token = stage.order()
-    client = stage.ask(ORDER, "POST", b"cards", Authorization=f"Bearer {token}")
-    stage.until(lambda: stage.gateway.front.recording)
+    token = harness.order()
+    client = harness.ask(ORDER, "POST", b"cards", Authorization=f"Bearer {token}")
+    harness.until(lambda: harness.gateway.front.recording)
     client.sock.close()
-    stage.until(lambda: not stage.gateway.front.clients)
-    assert stage.cache.poll() == b"" and not stage.gateway.tracker.open
+    harness.until(lambda: not harness.gateway.front.clients)
+    assert harness.cache.poll() == b"" and not harness.gateway.tracker.open
     blocking[0] = False
-    stage.until(lambda: not stage.gateway.front.recording)
-    assert stage.cache.poll() == b""
-    client = stage.ask(ORDER, "POST", b"cards", Authorization=f"Bearer {token}")
-    assert stage.until(stage.cache.line).startswith("fetch")
-    stage.close()
+    harness.until(lambda: not harness.gateway.front.recording)
+    assert harness.cache.poll() == b""
+    client = harness.ask(ORDER, "POST", b"cards", Authorization=f"Bearer {token}")
+    assert harness.until(harness.cache.line).startswith("fetch")
+    harness.close()
 
 
 def test_thirty_kills_at_random_moments_run_no_order_twice_and_damage_no_file():
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -7,7 +7,7 @@
 import time
 
 import pytest
-from stage import OBJECT, REQUEST, SETTINGS, Peer, S, Stage, member
+from harness import OBJECT, REQUEST, SETTINGS, GatewayHarness, S, ScriptedServer, member
 
 from olivecourse import gateway as gateway_module
 from olivecourse import interface, logs
@@ -20,15 +20,15 @@
 
 
 @pytest.fixture
-def stage(request):
+def harness(request):
     """A gateway with scripted servers; the test's parametrization may change its settings."""
-    made = Stage(**getattr(request, "param", {}))
+    made = GatewayHarness(**getattr(request, "param", {}))
     yield made
     made.close()
 
 
 def settings(write_class=None, **limits):
-    """The settings of `Stage`, with other limits and other values for the class of writes."""
+    """The settings of `GatewayHarness`, with other limits and other values for the class of writes."""
     changed_settings = json.loads(json.dumps(SETTINGS))
     changed_settings["profiles"][1].update(write_class or {})
     changed_settings["limits"].update(limits)
@@ -37,7 +37,7 @@
 
 def with_settings(*args, **limits):
     """Runs a test on a stage with changed settings; the arguments are those of `settings`."""
-    return pytest.mark.parametrize("stage", [{"settings": settings(*args, **limits)}], indirect=True)
+    return pytest.mark.parametrize("harness", [{"settings": settings(*args, **limits)}], indirect=True)
 
 
 def fetches(peer):
@@ -69,10 +69,10 @@
     )
 
 
-def run_turns(stage, turns=20):
+def run_turns(harness, turns=20):
     """Runs the gateway for a fixed number of turns."""
     for _ in range(turns):
-        stage.turn()
+        harness.turn()
 
 
 class SelectorHook:
@@ -97,15 +97,15 @@
         return sorted(ready, key=lambda pair: pair[0].fileobj not in self.first)
 
 
-def peer_with_full_backlog(stage):
+def peer_with_full_backlog(harness):
     """Returns a listener with a full backlog, so that connection attempts stay pending, and a function that
     frees the backlog."""
-    peer = Peer(backlog=0)
+    peer = ScriptedServer(backlog=0)
     filling_socks = [socket.socket() for _ in range(2)]
     for sock in filling_socks:
         sock.setblocking(False)
         sock.connect_ex(peer.sock.getsockname())
-    stage.peers.append(peer)
+    harness.peers.append(peer)
 
     def free_backlog():
         for sock in filling_socks:
@@ -120,58 +120,58 @@
 
 
 @pytest.mark.parametrize("requests", [1, 32, 600])
-def test_requests_of_a_client_that_leaves_before_they_are_read_are_not_sent(stage, requests):
-    client = stage.client()
-    run_turns(stage, 3)  # the connection is accepted, and none of its data is read yet
+def test_requests_of_a_client_that_leaves_before_they_are_read_are_not_sent(harness, requests):
+    client = harness.client()
+    run_turns(harness, 3)  # the connection is accepted, and none of its data is read yet
     client.sock.setblocking(True)
     client.sock.sendall(frames(range(1, requests + 1)))
     client.sock.close()
-    run_turns(stage)
-    assert not stage.gateway.front.clients and not stage.gateway.tracker.open
-    assert fetches(stage.cache) == [] and not stage.gateway.tracker.accepted
+    run_turns(harness)
+    assert not harness.gateway.front.clients and not harness.gateway.tracker.open
+    assert fetches(harness.cache) == [] and not harness.gateway.tracker.accepted
 
 
-def test_no_attempt_is_sent_for_a_client_that_leaves_in_the_turn_of_the_send(stage):
+def test_no_attempt_is_sent_for_a_client_that_leaves_in_the_turn_of_the_send(harness):
     """The connection that the attempt waits for is established, and the selector reports it first."""
-    client = stage.client()
+    client = harness.client()
     client.call()
-    stage.until(lambda: stage.gateway.tracker.open)
-    (streams,) = stage.gateway.pool._connections.values()
+    harness.until(lambda: harness.gateway.tracker.open)
+    (streams,) = harness.gateway.pool._connections.values()
     assert streams[0].connecting and streams[0].waiting
-    SelectorHook(stage.gateway.loop, first=[streams[0].sock])
+    SelectorHook(harness.gateway.loop, first=[streams[0].sock])
     client.sock.close()
-    run_turns(stage)
-    assert fetches(stage.cache) == [] and not stage.gateway.tracker.open
+    run_turns(harness)
+    assert fetches(harness.cache) == [] and not harness.gateway.tracker.open
 
 
 @pytest.mark.parametrize("how", ["closes", "cancels"])
-def test_no_attempt_is_sent_for_a_client_that_leaves_while_the_process_is_delayed(stage, how):
-    client = stage.client()
+def test_no_attempt_is_sent_for_a_client_that_leaves_while_the_process_is_delayed(harness, how):
+    client = harness.client()
     client.call()
-    stage.until(lambda: stage.gateway.tracker.open)
-    (streams,) = stage.gateway.pool._connections.values()
+    harness.until(lambda: harness.gateway.tracker.open)
+    (streams,) = harness.gateway.pool._connections.values()
     leave = (
         client.sock.close
         if how == "closes"
         else lambda: client.call(2, "forget", 4, codec.ForgetArgs(seqid=1))
     )
-    SelectorHook(stage.gateway.loop, leave, lambda sock: sock is streams[0].sock)
-    run_turns(stage)
-    assert fetches(stage.cache) == [] and not stage.gateway.tracker.open
+    SelectorHook(harness.gateway.loop, leave, lambda sock: sock is streams[0].sock)
+    run_turns(harness)
+    assert fetches(harness.cache) == [] and not harness.gateway.tracker.open
 
 
-def test_no_retry_is_sent_for_a_client_that_left_before_the_failure_was_read(stage):
-    client = stage.client()
+def test_no_retry_is_sent_for_a_client_that_left_before_the_failure_was_read(harness):
+    client = harness.client()
     client.call()
-    stage.until(lambda: fetches(stage.cache))
-    stage.cache.say(f"{REQUEST} full - 0\r\n\r\n".encode())
+    harness.until(lambda: fetches(harness.cache))
+    harness.cache.send(f"{REQUEST} full - 0\r\n\r\n".encode())
     client.sock.close()
-    run_turns(stage)
-    assert fetches(stage.cache) == [] and fetches(stage.parent) == []
+    run_turns(harness)
+    assert fetches(harness.cache) == [] and fetches(harness.parent) == []
 
 
-def test_an_unwritten_attempt_is_checked_again_before_it_is_sent(stage, monkeypatch):
-    client, original_send = stage.client(), Stream._send
+def test_an_unwritten_attempt_is_checked_again_before_it_is_sent(harness, monkeypatch):
+    client, original_send = harness.client(), Stream._send
     blocked = [True]
     monkeypatch.setattr(
         Stream,
@@ -181,53 +181,53 @@
         ),
     )
     client.call()
-    stage.until(lambda: stage.gateway.tracker.open)
-    run_turns(stage, 5)
-    (attempt,) = stage.gateway.tracker.entries[REQUEST].open_attempts.values()
+    harness.until(lambda: harness.gateway.tracker.open)
+    run_turns(harness, 5)
+    (attempt,) = harness.gateway.tracker.entries[REQUEST].open_attempts.values()
     assert not attempt.sent  # a write could still be refused
     client.sock.close()
-    stage.until(lambda: not stage.gateway.tracker.open)
+    harness.until(lambda: not harness.gateway.tracker.open)
     blocked.clear()
-    run_turns(stage)
-    assert fetches(stage.cache) == []
+    run_turns(harness)
+    assert fetches(harness.cache) == []
 
 
-def test_a_flood_on_one_connection_does_not_delay_others_and_is_answered_completely(stage):
-    flood, other = stage.client(), stage.client()
-    run_turns(stage, 3)
+def test_a_flood_on_one_connection_does_not_delay_others_and_is_answered_completely(harness):
+    flood, other = harness.client(), harness.client()
+    run_turns(harness, 3)
     flood.sock.setblocking(True)
     flood.sock.sendall(frames(range(1, 301)))
     flood.sock.setblocking(False)
     other.call(i="9b1f03aa5c7e2d42", o="7f3a9c21e0b4d656")
-    (worst,) = [c for c in stage.gateway.front.clients if c.sock.getpeername() == flood.sock.getsockname()]
+    (worst,) = [c for c in harness.gateway.front.clients if c.sock.getpeername() == flood.sock.getsockname()]
     last_numbers = [worst.last_number]
-    stage.until(lambda: last_numbers.append(worst.last_number) or worst.last_number == 300)
+    harness.until(lambda: last_numbers.append(worst.last_number) or worst.last_number == 300)
     assert (
         max(b - a for a, b in zip(last_numbers, last_numbers[1:], strict=False)) <= thrift.MAX_FRAMES_PER_TURN
     )
-    assert any("9b1f03aa5c7e2d42" in line for line in fetches(stage.cache))
-    stage.until(lambda: len(flood.answers()) >= 300 - thrift.MAX_OPEN_REQUESTS)
+    assert any("9b1f03aa5c7e2d42" in line for line in fetches(harness.cache))
+    harness.until(lambda: len(flood.answers()) >= 300 - thrift.MAX_OPEN_REQUESTS)
     assert {kind for _, kind, *_ in flood.answers()} == {"refused"}
 
 
 # Closing of connections -----------------------------------------------------------------------------
 
 
-def served(stage, client, number=1, **more):
+def served(harness, client, number=1, **more):
     """Sends a read, answers it at the cache and waits for the client's answer."""
     client.call(number, **more)
-    line = stage.until(lambda: next(iter(fetches(stage.cache)), None))
-    stage.cache.say((ANSWER % line.split(" ")[1]).encode())
-    stage.until(lambda: len(client.answers()) == number)
+    line = harness.until(lambda: next(iter(fetches(harness.cache)), None))
+    harness.cache.send((ANSWER % line.split(" ")[1]).encode())
+    harness.until(lambda: len(client.answers()) == number)
 
 
 def test_a_request_that_crosses_the_close_of_an_idle_connection_is_not_sent_and_causes_no_reset(
-    stage, monkeypatch
+    harness, monkeypatch
 ):
-    client = stage.client()
-    served(stage, client)
+    client = harness.client()
+    served(harness, client)
     monkeypatch.setattr(listener, "IDLE_TIMEOUT_NS", 0)
-    (held,) = stage.gateway.front.clients
+    (held,) = harness.gateway.front.clients
     original_check, results = held.is_idle, []
 
     def is_idle():
@@ -238,45 +238,45 @@
 
     monkeypatch.setattr(type(held), "is_idle", lambda self: is_idle())
     client.data = b""
-    stage.until(lambda: client.poll() or client.closed)
+    harness.until(lambda: client.poll() or client.closed)
     assert results == [True] and client.data == b""
-    run_turns(stage, 5)
+    run_turns(harness, 5)
     client.sock.setblocking(True)
     assert client.sock.recv(1) == b""  # an orderly close; a reset would raise an exception
-    assert fetches(stage.cache) == []
+    assert fetches(harness.cache) == []
 
 
-def test_a_request_that_arrives_before_the_idle_check_is_served(stage, monkeypatch):
-    client = stage.client()
-    served(stage, client)
+def test_a_request_that_arrives_before_the_idle_check_is_served(harness, monkeypatch):
+    client = harness.client()
+    served(harness, client)
     monkeypatch.setattr(listener, "IDLE_TIMEOUT_NS", 0)
-    sweep = stage.gateway.front._sweep
+    sweep = harness.gateway.front._sweep
     client.call(2, i="9b1f03aa5c7e2d42", o="7f3a9c21e0b4d656")
     sweep()  # before the loop has read the request
-    stage.until(lambda: fetches(stage.cache))
+    harness.until(lambda: fetches(harness.cache))
     assert not client.closed
 
 
-def test_a_lingering_connection_is_closed_in_time_and_first_when_room_is_needed(stage, monkeypatch):
-    client, other = stage.client(), stage.client()
-    served(stage, client)
+def test_a_lingering_connection_is_closed_in_time_and_first_when_room_is_needed(harness, monkeypatch):
+    client, other = harness.client(), harness.client()
+    served(harness, client)
     monkeypatch.setattr(listener, "IDLE_TIMEOUT_NS", 0)
-    front = stage.gateway.front
-    stage.until(lambda: front._lingering)
+    front = harness.gateway.front
+    harness.until(lambda: front._lingering)
     assert front.evict_client() and not front._lingering and other
-    stage.until(lambda: client.poll() is not None and client.closed)
+    harness.until(lambda: client.poll() is not None and client.closed)
 
 
 @pytest.fixture
-def stage_without_linger(stage, monkeypatch):
+def stage_without_linger(harness, monkeypatch):
     """A stage whose gateway does not wait for late clients when it stops."""
     monkeypatch.setattr(gateway_module, "LINGER_NS", 0)
-    return stage
+    return harness
 
 
-def has_stopped(stage):
+def has_stopped(harness):
     """Whether the gateway's loop has ended."""
-    return not stage.gateway.loop.running
+    return not harness.gateway.loop.running
 
 
 def test_a_client_that_connects_in_the_last_turn_of_a_stop_is_served(stage_without_linger):
@@ -285,7 +285,7 @@
     late_client.call()
     line = stage_without_linger.until(lambda: next(iter(fetches(stage_without_linger.cache)), None))
     assert not has_stopped(stage_without_linger)
-    stage_without_linger.cache.say((ANSWER % line.split(" ")[1]).encode())
+    stage_without_linger.cache.send((ANSWER % line.split(" ")[1]).encode())
     stage_without_linger.until(lambda: has_stopped(stage_without_linger))
     assert late_client.answers()[0][1] == "success"
 
@@ -302,52 +302,52 @@
     assert has_stopped(stage_without_linger) and len(idle_client.answers()) == 1
 
 
-def test_a_request_after_the_last_answers_of_a_stop_is_refused_at_once(stage):
-    client = stage.client()
-    run_turns(stage, 3)
-    stage.gateway._last_answers()
+def test_a_request_after_the_last_answers_of_a_stop_is_refused_at_once(harness):
+    client = harness.client()
+    run_turns(harness, 3)
+    harness.gateway._last_answers()
     client.call(c="commande", body=b"x")
-    assert stage.until(client.answers)[0][1] == "refused"
-    assert fetches(stage.cache) == []
+    assert harness.until(client.answers)[0][1] == "refused"
+    assert fetches(harness.cache) == []
 
 
 # Retries ---------------------------------------------------------------------------------------------
 
 
 @with_settings({"effect": "deduplicated", "memory_span_ns": 400 * MS}, connect_timeout_ns=4 * S)
-def test_a_retry_that_waits_for_a_connection_past_the_deduplication_window_is_not_sent(stage):
-    client = stage.client()
+def test_a_retry_that_waits_for_a_connection_past_the_deduplication_window_is_not_sent(harness):
+    client = harness.client()
     client.call(c="commande", body=b"x", k="763fa061", d="2900")
-    stage.until(lambda: fetches(stage.cache))
-    moved_peer, free_backlog = peer_with_full_backlog(stage)
-    stage.gateway.directory.addresses[1] = ("127.0.0.1", moved_peer.sock.getsockname()[1])
-    stage.cache.conns[0].close()
-    stage.cache.conns.clear()
-    run_turns(stage, 3)
-    entry = stage.gateway.tracker.entries[REQUEST]
+    harness.until(lambda: fetches(harness.cache))
+    moved_peer, free_backlog = peer_with_full_backlog(harness)
+    harness.gateway.directory.addresses[1] = ("127.0.0.1", moved_peer.sock.getsockname()[1])
+    harness.cache.conns[0].close()
+    harness.cache.conns.clear()
+    run_turns(harness, 3)
+    entry = harness.gateway.tracker.entries[REQUEST]
     assert entry.attempt_count == 2 and entry.open_attempts  # the retry is decided at once, within the window
     free_backlog()
-    stage.until(lambda: moved_peer.poll() or client.answers())
+    harness.until(lambda: moved_peer.poll() or client.answers())
     assert fetches(moved_peer) == [] and client.answers()[0][1] in ("refused", "failed")
 
 
 @with_settings(connect_timeout_ns=4 * S)
-def test_an_attempt_that_waits_for_a_connection_uses_one_that_becomes_free(stage):
-    first, second = stage.client(), stage.client()
+def test_an_attempt_that_waits_for_a_connection_uses_one_that_becomes_free(harness):
+    first, second = harness.client(), harness.client()
     first.call(i="9b1f03aa5c7e2d41")
-    stage.until(lambda: fetches(stage.cache))
-    stage.cache.sock.listen(0)
+    harness.until(lambda: fetches(harness.cache))
+    harness.cache.sock.listen(0)
     filling_socks = [socket.socket() for _ in range(2)]
     for sock in filling_socks:
         sock.setblocking(False)
-        sock.connect_ex(stage.cache.sock.getsockname())
-    connection_count = len(stage.cache.conns)
+        sock.connect_ex(harness.cache.sock.getsockname())
+    connection_count = len(harness.cache.conns)
     second.call(i="9b1f03aa5c7e2d42", o="7f3a9c21e0b4d656")
-    stage.until(lambda: stage.gateway.tracker.open == 2)
-    stage.cache.conns[0].sendall((ANSWER % "9b1f03aa5c7e2d41").encode())
+    harness.until(lambda: harness.gateway.tracker.open == 2)
+    harness.cache.conns[0].sendall((ANSWER % "9b1f03aa5c7e2d41").encode())
 
     def sent_on_first_connection():
-        data = stage.cache.conns[0].recv(4096, socket.MSG_DONTWAIT) if connection_count else b""
+        data = harness.cache.conns[0].recv(4096, socket.MSG_DONTWAIT) if connection_count else b""
         return b"9b1f03aa5c7e2d42" in data
 
     def second_request_arrived():
@@ -357,134 +357,138 @@
             return False
 
     # The kernel retries a connection to a full backlog only after one second.
-    stage.until(second_request_arrived, seconds=0.9)
+    harness.until(second_request_arrived, seconds=0.9)
     for sock in filling_socks:
         sock.close()
 
 
-def test_a_write_is_not_sent_on_a_connection_that_the_store_has_just_closed(stage):
-    client = stage.client()
-    served(stage, client)
-    (conn,) = stage.cache.conns
-    stage.cache.conns.clear()
-    (held,) = stage.gateway.front.clients
-    SelectorHook(stage.gateway.loop, conn.close, lambda sock: sock is held.sock)
+def test_a_write_is_not_sent_on_a_connection_that_the_store_has_just_closed(harness):
+    client = harness.client()
+    served(harness, client)
+    (conn,) = harness.cache.conns
+    harness.cache.conns.clear()
+    (held,) = harness.gateway.front.clients
+    SelectorHook(harness.gateway.loop, conn.close, lambda sock: sock is held.sock)
     client.call(2, c="commande", i="9b1f03aa5c7e2d42", o="7f3a9c21e0b4d656", body=b"x")
-    line = stage.until(lambda: next(iter(fetches(stage.cache)), None))
-    stage.cache.say(f"{line.split(' ')[1]} data - 2\r\nok\r\n".encode())
-    assert stage.until(lambda: client.answers()[1:])[0][1] == "success"
+    line = harness.until(lambda: next(iter(fetches(harness.cache)), None))
+    harness.cache.send(f"{line.split(' ')[1]} data - 2\r\nok\r\n".encode())
+    assert harness.until(lambda: client.answers()[1:])[0][1] == "success"
 
 
 # Discovery -------------------------------------------------------------------------------------------
 
 
-with_board = pytest.mark.parametrize("stage", [{"board": True}], indirect=True)
+with_board = pytest.mark.parametrize("harness", [{"board": True}], indirect=True)
 
 
 @with_board
 @pytest.mark.parametrize("other_bad_members", [(), (None, {"id": 5}, member("s-0000000b", "127.0.0.1:9"))])
-def test_an_unusable_member_affects_neither_other_members_nor_later_events(stage, other_bad_members):
-    stage.until(lambda: b"watch=1" in stage.board.poll())
+def test_an_unusable_member_affects_neither_other_members_nor_later_events(harness, other_bad_members):
+    harness.until(lambda: b"watch=1" in harness.board.poll())
     bad_member = member("s-0000000a", "127.0.0.1:9", up_since_ms=float("inf"))
-    draining_member = member("s-00000001", stage.cache.address, phase="Terminating")
+    draining_member = member("s-00000001", harness.cache.address, phase="Terminating")
     known_member = member("s-00000008", "no address", "parent", "hub-nord")
     notices = [
         {"rev": 2, "pool": {"revision": 2, "complete": False, "members": [bad_member, *other_bad_members]}},
         {"rev": 3, "pool": {"revision": 3, "complete": True, "members": [draining_member, known_member]}},
     ]
     body = json.dumps({"rev": 3, "notices": notices}).encode()
-    stage.board.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
-    stage.until(lambda: not stage.gateway.directory.ready(1))
-    assert "discovery_event_invalid" in stage.names()
-    assert stage.gateway.directory.ready(8) and 9 not in stage.gateway.directory.states
+    harness.board.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
+    harness.until(lambda: not harness.gateway.directory.ready(1))
+    assert "discovery_event_invalid" in harness.event_names()
+    assert harness.gateway.directory.ready(8) and 9 not in harness.gateway.directory.states
 
 
 @with_board
-def test_a_poll_that_stalls_in_its_first_second_is_abandoned_soon(stage):
-    stage.until(lambda: b"watch=1" in stage.board.poll())
-    stage.board.say(b"HTTP/1.1 200 OK\r\nContent-Length: 22\r\n\r\n{")  # the rest of the answer never follows
-    stage.until(lambda: stage.board.poll() and len(stage.board.conns) > 1, seconds=1.5)
+def test_a_poll_that_stalls_in_its_first_second_is_abandoned_soon(harness):
+    harness.until(lambda: b"watch=1" in harness.board.poll())
+    harness.board.send(
+        b"HTTP/1.1 200 OK\r\nContent-Length: 22\r\n\r\n{"
+    )  # the rest of the answer never follows
+    harness.until(lambda: harness.board.poll() and len(harness.board.conns) > 1, seconds=1.5)
 
 
 @with_board
-def test_a_poll_that_stalls_after_many_events_is_abandoned_in_time(stage):
+def test_a_poll_that_stalls_after_many_events_is_abandoned_in_time(harness):
     for rev in range(2, 10):  # more events than polls are allowed in a burst, so that the polls are paced
-        stage.until(lambda rev=rev: f"watch={rev - 1}&".encode() in stage.board.poll())
-        stage.tell(rev, flush={"collection": rev, "ms": 5})
-    stage.until(lambda: b"watch=9&" in stage.board.poll())
+        harness.until(lambda rev=rev: f"watch={rev - 1}&".encode() in harness.board.poll())
+        harness.publish(rev, flush={"collection": rev, "ms": 5})
+    harness.until(lambda: b"watch=9&" in harness.board.poll())
     poll_sent_at = time.monotonic()
-    stage.until(lambda: stage.board.poll() and len(stage.board.conns) > 1, seconds=5)
+    harness.until(lambda: harness.board.poll() and len(harness.board.conns) > 1, seconds=5)
     assert time.monotonic() - poll_sent_at >= 1.5, "a poll without new events may take this long"
 
 
-def test_a_request_that_arrives_byte_by_byte_is_served_once(stage):
-    client = stage.client()
+def test_a_request_that_arrives_byte_by_byte_is_served_once(harness):
+    client = harness.client()
     fields = {"c": "fichiers", "i": REQUEST, "o": OBJECT, "d": "5000", "n": "0", "m": "41.5", "shard": "17"}
     for byte in codec.encode("serve", 1, 1, codec.ServeArgs(fields=fields, body=b"")):
         client.sock.sendall(bytes([byte]))
-        stage.turn()
-    line = stage.until(stage.cache.line)
+        harness.turn()
+    line = harness.until(harness.cache.line)
     assert line.startswith(f"fetch {REQUEST} ")
-    stage.cache.say(f"{REQUEST} data version=aa,stamp=1,n=HIT 2\r\nab\r\n".encode())
-    assert stage.until(client.answers) == [(1, "success", {}, b"ab")]
-    assert stage.cache.line() is None
+    harness.cache.send(f"{REQUEST} data version=aa,stamp=1,n=HIT 2\r\nab\r\n".encode())
+    assert harness.until(client.answers) == [(1, "success", {}, b"ab")]
+    assert harness.cache.line() is None
 
 
 # Internal faults -------------------------------------------------------------------------------------
 
 
-def test_a_fault_in_a_connection_a_timer_or_an_action_does_not_affect_the_rest(stage, monkeypatch):
-    failing_client, working_client = stage.client(), stage.client()
-    run_turns(stage, 3)
+def test_a_fault_in_a_connection_a_timer_or_an_action_does_not_affect_the_rest(harness, monkeypatch):
+    failing_client, working_client = harness.client(), harness.client()
+    run_turns(harness, 3)
 
     def fault(*args):
         raise RuntimeError("planted")
 
     failing_connection = next(
-        c for c in stage.gateway.front.clients if c.sock.getpeername() == failing_client.sock.getsockname()
+        c for c in harness.gateway.front.clients if c.sock.getpeername() == failing_client.sock.getsockname()
     )
     monkeypatch.setattr(
         type(failing_connection),
         "_call",
         lambda self, *a: fault() if self is failing_connection else original_call(self, *a),
     )
-    stage.gateway.loop.after(0, fault)
+    harness.gateway.loop.after(0, fault)
     with monkeypatch.context() as patch:
-        patch.setattr(stage.gateway.pool, "close_idle", fault)
-        stage.gateway.batch.append(None)
-        patch.setattr(stage.gateway.local, "decide", lambda events, now: [interface.CloseIdle(1)])
-        stage.gateway.decide()
+        patch.setattr(harness.gateway.pool, "close_idle", fault)
+        harness.gateway.batch.append(None)
+        patch.setattr(harness.gateway.local, "decide", lambda events, now: [interface.CloseIdle(1)])
+        harness.gateway.decide()
     failing_client.call()
-    stage.until(lambda: failing_client.poll() is not None and failing_client.closed)
-    served(stage, working_client, i="9b1f03aa5c7e2d42")
-    stage.until(
+    harness.until(lambda: failing_client.poll() is not None and failing_client.closed)
+    served(harness, working_client, i="9b1f03aa5c7e2d42")
+    harness.until(
         lambda: (
-            sorted(v["where"] for event, v in stage.logged if event == "loop_fault")
+            sorted(v["where"] for event, v in harness.logged if event == "loop_fault")
             == ["action", "socket", "timer"]
         )
     )
 
 
-def test_a_fault_in_a_periodic_task_or_a_send_does_not_prevent_the_next_one(stage, monkeypatch):
+def test_a_fault_in_a_periodic_task_or_a_send_does_not_prevent_the_next_one(harness, monkeypatch):
     def fault(*args):
         raise RuntimeError("planted")
 
     with monkeypatch.context() as patch:
-        patch.setattr(stage.gateway.pool, "may_send", fault)
-        patch.setattr(stage.gateway.pool, "_connections", None)
-        patch.setattr(stage.gateway.front, "clients", None)
-        stage.until(lambda: sum(v.get("where") == "timer" for _, v in stage.logged) > 1)
-    client = stage.client()
+        patch.setattr(harness.gateway.pool, "may_send", fault)
+        patch.setattr(harness.gateway.pool, "_connections", None)
+        patch.setattr(harness.gateway.front, "clients", None)
+        harness.until(lambda: sum(v.get("where") == "timer" for _, v in harness.logged) > 1)
+    client = harness.client()
     with monkeypatch.context() as patch:
-        patch.setattr(stage.gateway.pool, "may_send", fault)
+        patch.setattr(harness.gateway.pool, "may_send", fault)
         client.call()
-        stage.until(lambda: any(v["where"] == "call" for event, v in stage.logged if event == "loop_fault"))
-    (stream,) = stage.gateway.pool._connections[1]
+        harness.until(
+            lambda: any(v["where"] == "call" for event, v in harness.logged if event == "loop_fault")
+        )
+    (stream,) = harness.gateway.pool._connections[1]
     assert not stream._sending
     monkeypatch.setattr(listener, "FIRST_REQUEST_TIMEOUT_NS", 0)
-    idle = stage.client()
+    idle = harness.client()
     # The periodic check for idle clients still runs.
-    stage.until(lambda: idle.poll() is not None and idle.closed)
+    harness.until(lambda: idle.poll() is not None and idle.closed)
 
 
 original_call = thrift.ThriftClient._call
