--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -1,22 +1,22 @@
 """End-to-end tests of a gateway in the test process, against scripted servers and clients on loopback."""
 
 import pytest
-from stage import OBJECT, REQUEST, Peer, Stage, member
+from harness import OBJECT, REQUEST, GatewayHarness, ScriptedServer, member
 
 from olivecourse.fronts import codec
 
 
 @pytest.fixture
-def stage(request):
+def harness(request):
     """A gateway with scripted servers; `with_board` adds a discovery server."""
-    made = Stage(**getattr(request, "param", {}))
+    made = GatewayHarness(**getattr(request, "param", {}))
     yield made
     made.close()
 
 
 def with_board(test):
     """Runs a test on a stage with a scripted discovery server."""
-    return pytest.mark.parametrize("stage", [{"board": True}], indirect=True)(test)
+    return pytest.mark.parametrize("harness", [{"board": True}], indirect=True)(test)
 
 
 def fields_of(line):
@@ -25,10 +25,10 @@
     return dict(pair.split("=", 1) for pair in encoded_fields.split(","))
 
 
-def test_a_read_is_forwarded_and_its_complete_body_is_returned(stage):
-    client, body = stage.client(), bytes(range(256)) * 900
+def test_a_read_is_forwarded_and_its_complete_body_is_returned(harness):
+    client, body = harness.client(), bytes(range(256)) * 900
     client.call(7, mine="4be0c1927d55a6f3")
-    line = stage.until(stage.cache.line)
+    line = harness.until(harness.cache.line)
     assert line.startswith(f"fetch {REQUEST} ") and line.endswith(" 0")
     fetch_fields = fields_of(line)
     assert (fetch_fields["sort"], fetch_fields["asset"], fetch_fields["slice"], fetch_fields["holds"]) == (
@@ -38,172 +38,172 @@
         "4be0c1927d55a6f3",
     )
     assert fetch_fields["fetch"] == "s-00000008" and 4000 < int(fetch_fields["patience"]) <= 5000
-    stage.cache.say(b"%s data version=aa,stamp=1,n=HIT %d\r\n%s\r\n" % (REQUEST.encode(), len(body), body))
-    assert stage.until(client.answers) == [(7, "success", {}, body)]
+    harness.cache.send(b"%s data version=aa,stamp=1,n=HIT %d\r\n%s\r\n" % (REQUEST.encode(), len(body), body))
+    assert harness.until(client.answers) == [(7, "success", {}, body)]
 
 
-def test_an_unchanged_answer_tells_the_client_that_its_copy_is_valid(stage):
-    client = stage.client()
+def test_an_unchanged_answer_tells_the_client_that_its_copy_is_valid(harness):
+    client = harness.client()
     client.call(mine="aa")
-    stage.until(stage.cache.line)
-    stage.cache.say(f"{REQUEST} unchanged version=aa,stamp=1,n=HIT 0\r\n\r\n".encode())
-    assert stage.until(client.answers) == [(1, "success", {"still": "1"}, b"")]
+    harness.until(harness.cache.line)
+    harness.cache.send(f"{REQUEST} unchanged version=aa,stamp=1,n=HIT 0\r\n\r\n".encode())
+    assert harness.until(client.answers) == [(1, "success", {"still": "1"}, b"")]
 
 
-def test_the_idempotency_key_reaches_the_store_unchanged_and_a_malformed_one_is_a_fault(stage):
-    client = stage.client()
+def test_the_idempotency_key_reaches_the_store_unchanged_and_a_malformed_one_is_a_fault(harness):
+    client = harness.client()
     client.call(c="commande", body=b"a dozen", k="763fa061b1d166bbecc24c75a477a81a")
-    assert fields_of(stage.until(stage.cache.line))["op"] == "763fa061b1d166bbecc24c75a477a81a"
+    assert fields_of(harness.until(harness.cache.line))["op"] == "763fa061b1d166bbecc24c75a477a81a"
     client.call(2, i="9b1f03aa5c7e2d42", k="a,b=c")
-    assert stage.until(client.answers) == [(2, "fault", {}, b"")]
+    assert harness.until(client.answers) == [(2, "fault", {}, b"")]
     client.call(3, i="9b1f03aa5c7e2d43", o="7f3a9c21e0b4d656")
     assert "op" not in fields_of(
-        stage.until(
-            lambda: next((line for line in iter(stage.cache.line, None) if line.startswith("fetch")), None)
+        harness.until(
+            lambda: next((line for line in iter(harness.cache.line, None) if line.startswith("fetch")), None)
         )
     )
 
 
-def test_a_write_that_may_have_run_fails_and_is_not_sent_again(stage):
-    client = stage.client()
+def test_a_write_that_may_have_run_fails_and_is_not_sent_again(harness):
+    client = harness.client()
     client.call(c="commande", body=b"a dozen")
-    assert "retain" not in fields_of(stage.until(stage.cache.line))
-    assert stage.until(stage.cache.line) == "a dozen"
-    stage.cache.conns[0].close()
-    stage.cache.conns.clear()
-    assert stage.until(client.answers)[0][1] == "failed"
-    assert stage.cache.line() is None and stage.parent.line() is None and stage.origin.line() is None
+    assert "retain" not in fields_of(harness.until(harness.cache.line))
+    assert harness.until(harness.cache.line) == "a dozen"
+    harness.cache.conns[0].close()
+    harness.cache.conns.clear()
+    assert harness.until(client.answers)[0][1] == "failed"
+    assert harness.cache.line() is None and harness.parent.line() is None and harness.origin.line() is None
 
 
-def test_a_write_rejected_as_full_is_refused_with_a_retry_time(stage):
-    client = stage.client()
+def test_a_write_rejected_as_full_is_refused_with_a_retry_time(harness):
+    client = harness.client()
     client.call(c="commande", body=b"a dozen")
 
     def reject_and_poll():
-        if (line := stage.cache.line()) and line.startswith("fetch"):
-            stage.cache.say(f"{REQUEST} full - 0\r\n\r\n".encode())
+        if (line := harness.cache.line()) and line.startswith("fetch"):
+            harness.cache.send(f"{REQUEST} full - 0\r\n\r\n".encode())
         return client.answers()
 
-    (answer,) = stage.until(reject_and_poll)
+    (answer,) = harness.until(reject_and_poll)
     assert answer[1] == "refused" and answer[2] == {"w": "1000"}
 
 
-def test_a_second_send_of_a_write_is_blocked_even_if_the_decision_module_orders_it(stage):
+def test_a_second_send_of_a_write_is_blocked_even_if_the_decision_module_orders_it(harness):
     from olivecourse import interface as interface
 
-    client = stage.client()
+    client = harness.client()
     client.call(c="commande", body=b"once")
-    stage.until(lambda: stage.cache.line() == "once")
-    stage.gateway.execute([interface.ReadThrough(REQUEST, 1, 10**9, 9, 0, 0, interface.How(0))])
-    assert "second_send_blocked" in stage.names()
-    stage.gateway.execute([interface.Refuse(REQUEST, 0)])
-    assert stage.until(client.answers)[0][1] == "failed"
+    harness.until(lambda: harness.cache.line() == "once")
+    harness.gateway.execute([interface.ReadThrough(REQUEST, 1, 10**9, 9, 0, 0, interface.How(0))])
+    assert "second_send_blocked" in harness.event_names()
+    harness.gateway.execute([interface.Refuse(REQUEST, 0)])
+    assert harness.until(client.answers)[0][1] == "failed"
 
 
-def test_a_write_whose_connection_is_refused_has_not_run_and_is_refused(stage):
-    stage.cache.sock.close()
-    client = stage.client()
+def test_a_write_whose_connection_is_refused_has_not_run_and_is_refused(harness):
+    harness.cache.sock.close()
+    client = harness.client()
     client.call(c="commande")
-    assert stage.until(client.answers)[0][1] == "refused"
+    assert harness.until(client.answers)[0][1] == "refused"
 
 
-def test_forget_cancels_the_attempt_and_a_late_answer_is_dropped(stage):
-    client = stage.client()
+def test_forget_cancels_the_attempt_and_a_late_answer_is_dropped(harness):
+    client = harness.client()
     client.call(3)
-    stage.until(stage.cache.line)
+    harness.until(harness.cache.line)
     client.call(4, "forget", 4, codec.ForgetArgs(seqid=3))
-    assert stage.until(stage.cache.line) == f"abort {REQUEST}"
-    stage.cache.say(f"{REQUEST} data version=aa,stamp=1,n=HIT 2\r\nhi\r\n".encode())
+    assert harness.until(harness.cache.line) == f"abort {REQUEST}"
+    harness.cache.send(f"{REQUEST} data version=aa,stamp=1,n=HIT 2\r\nhi\r\n".encode())
     client.call(5, "isWell", 1, codec.IsWellArgs(unused=True))
-    assert [a[:2] for a in stage.until(client.answers)] == [(5, "success")]
+    assert [a[:2] for a in harness.until(client.answers)] == [(5, "success")]
 
 
-def test_a_disconnected_client_leaves_nothing_open(stage):
-    client = stage.client()
+def test_a_disconnected_client_leaves_nothing_open(harness):
+    client = harness.client()
     client.call()
-    stage.until(stage.cache.line)
+    harness.until(harness.cache.line)
     client.sock.close()
-    assert stage.until(stage.cache.line) == f"abort {REQUEST}"
-    assert stage.gateway.tracker.open == 0
+    assert harness.until(harness.cache.line) == f"abort {REQUEST}"
+    assert harness.gateway.tracker.open == 0
 
 
-def test_the_final_answer_is_sent_before_the_client_deadline(stage):
-    client = stage.client()
+def test_the_final_answer_is_sent_before_the_client_deadline(harness):
+    client = harness.client()
     client.call(d="120")
-    stage.until(stage.cache.line)
-    assert stage.until(client.answers)[0][1] == "refused"
-    assert not stage.gateway.tracker.totals["served"] and "answered_by_guard" not in stage.names()
+    harness.until(harness.cache.line)
+    assert harness.until(client.answers)[0][1] == "refused"
+    assert not harness.gateway.tracker.totals["served"] and "answered_by_guard" not in harness.event_names()
 
 
-def test_a_request_lost_by_the_decision_module_is_still_answered(stage):
-    client = stage.client()
+def test_a_request_lost_by_the_decision_module_is_still_answered(harness):
+    client = harness.client()
     client.call(d="120")
-    stage.until(stage.cache.line)
-    stage.gateway.local.router.pending_requests.clear()
-    assert stage.until(client.answers)[0][1] == "refused"
-    assert "answered_by_guard" in stage.names()
+    harness.until(harness.cache.line)
+    harness.gateway.local.router.pending_requests.clear()
+    assert harness.until(client.answers)[0][1] == "refused"
+    assert "answered_by_guard" in harness.event_names()
 
 
 @with_board
-def test_an_attempt_not_yet_written_is_not_sent_to_a_store_that_starts_to_drain(stage):
-    stage.until(lambda: b"watch=1" in stage.board.poll())
-    client = stage.client()
+def test_an_attempt_not_yet_written_is_not_sent_to_a_store_that_starts_to_drain(harness):
+    harness.until(lambda: b"watch=1" in harness.board.poll())
+    client = harness.client()
     # The drain is published while the second attempt waits behind unsent bytes of its connection.
-    pool = stage.gateway.pool
+    pool = harness.gateway.pool
     client.call()
-    stage.until(lambda: pool._connections.get(1))
+    harness.until(lambda: pool._connections.get(1))
     stream = pool._connections[1][0]
-    stage.until(lambda: not stream.connecting and stage.cache.line())
+    harness.until(lambda: not stream.connecting and harness.cache.line())
     stream.outbox.write(b"x")  # unsent bytes: the next attempt has to wait behind them
     flush, stream.flush = stream.flush, lambda: None
     client.call(2, i="00000000000000aa")
     pool.limits = type(pool.limits)(10**9, 10**10, 100, 1, 1)
-    stage.until(lambda: len(stream.waiting) == 1)
-    stage.tell(
+    harness.until(lambda: len(stream.waiting) == 1)
+    harness.publish(
         2,
         pool={
             "revision": 2,
             "complete": False,
-            "members": [member("s-00000001", stage.cache.address, phase="Terminating")],
+            "members": [member("s-00000001", harness.cache.address, phase="Terminating")],
         },
     )
-    stage.until(lambda: not stage.gateway.directory.ready(1))
+    harness.until(lambda: not harness.gateway.directory.ready(1))
     stream.flush = flush
     stream.flush()
-    assert stage.until(client.answers)[0][:2] == (2, "refused")
-    assert b"00000000000000aa" not in stage.cache.poll()
+    assert harness.until(client.answers)[0][:2] == (2, "refused")
+    assert b"00000000000000aa" not in harness.cache.poll()
 
 
 @with_board
-def test_a_purge_bounds_the_age_of_copies_and_the_next_poll_starts_after_it(stage):
+def test_a_purge_bounds_the_age_of_copies_and_the_next_poll_starts_after_it(harness):
     import time
 
-    stage.until(lambda: b"watch=1&" in stage.board.poll())
-    stage.tell(2, flush={"asset": OBJECT, "ms": int(time.time() * 1000) - 40})
-    stage.until(lambda: b"watch=2&" in stage.board.poll())
-    client = stage.client()
+    harness.until(lambda: b"watch=1&" in harness.board.poll())
+    harness.publish(2, flush={"asset": OBJECT, "ms": int(time.time() * 1000) - 40})
+    harness.until(lambda: b"watch=2&" in harness.board.poll())
+    client = harness.client()
     client.call()
-    fetch_fields = fields_of(stage.until(stage.cache.line))
+    fetch_fields = fields_of(harness.until(harness.cache.line))
     assert 40 <= int(fetch_fields["newer"]) < 20_000 and "coalesce" not in fetch_fields.get("handle", "")
 
 
 @with_board
-def test_a_lost_discovery_connection_is_reopened_from_the_last_revision(stage):
-    stage.until(lambda: b"watch=1&" in stage.board.poll())
-    stage.board.conns.pop().close()
-    stage.board.data.clear()
-    stage.until(lambda: b"watch=1&" in stage.board.poll())
-    stage.tell(5, flush={"collection": 17, "ms": 1})
-    stage.until(lambda: b"watch=5&" in stage.board.poll())
-    assert "discovery_disconnected" in stage.names()
+def test_a_lost_discovery_connection_is_reopened_from_the_last_revision(harness):
+    harness.until(lambda: b"watch=1&" in harness.board.poll())
+    harness.board.conns.pop().close()
+    harness.board.data.clear()
+    harness.until(lambda: b"watch=1&" in harness.board.poll())
+    harness.publish(5, flush={"collection": 17, "ms": 1})
+    harness.until(lambda: b"watch=5&" in harness.board.poll())
+    assert "discovery_disconnected" in harness.event_names()
 
 
 @with_board
-def test_unusable_events_are_logged_and_skipped(stage):
-    stage.until(lambda: b"watch=1&" in stage.board.poll())
-    stage.tell(2, flush={"asset": "x y", "ms": 1}, pool={"members": [{"id": "s-1"}]})
-    stage.until(lambda: b"watch=2&" in stage.board.poll())
-    assert "discovery_event_invalid" in stage.names()
+def test_unusable_events_are_logged_and_skipped(harness):
+    harness.until(lambda: b"watch=1&" in harness.board.poll())
+    harness.publish(2, flush={"asset": "x y", "ms": 1}, pool={"members": [{"id": "s-1"}]})
+    harness.until(lambda: b"watch=2&" in harness.board.poll())
+    assert "discovery_event_invalid" in harness.event_names()
 
 
 @pytest.mark.parametrize(
@@ -219,11 +219,11 @@
         {"shard": "256"},
     ],
 )
-def test_invalid_request_fields_get_a_fault_and_the_connection_stays_open(stage, fields):
-    client = stage.client()
+def test_invalid_request_fields_get_a_fault_and_the_connection_stays_open(harness, fields):
+    client = harness.client()
     client.call(1, **fields)
     client.call(2, "isWell", 1, codec.IsWellArgs(unused=True))
-    stage.until(lambda: len(client.answers()) == 2)
+    harness.until(lambda: len(client.answers()) == 2)
     assert [a[:2] for a in client.answers()] == [(1, "fault"), (2, "success")]
 
 
@@ -238,19 +238,19 @@
         b"\x00\x00\x00\x18\x80\x01\x00\x01\x00\x00\x00\x05serve\x00\x00\x00\x01\x0b\x00\x02\x7f\xff\xff\xff",
     ],
 )
-def test_malformed_frames_close_the_connection(stage, data):
-    client = stage.client()
+def test_malformed_frames_close_the_connection(harness, data):
+    client = harness.client()
     client.sock.sendall(data)
-    stage.until(lambda: client.poll() == b"" and client.closed)
-    assert "client_bad_frame" in stage.names()
+    harness.until(lambda: client.poll() == b"" and client.closed)
+    assert "client_bad_frame" in harness.event_names()
 
 
-def test_an_id_in_use_and_an_unknown_method_are_faults(stage):
-    client = stage.client()
+def test_an_id_in_use_and_an_unknown_method_are_faults(harness):
+    client = harness.client()
     client.call(1)
     client.call(2)
     client.call(3, "steal", 1, codec.IsWellArgs(unused=True))
-    stage.until(lambda: len(client.answers()) == 2)
+    harness.until(lambda: len(client.answers()) == 2)
     assert [a[:2] for a in client.answers()] == [(2, "fault"), (3, "fault")]
 
 
@@ -264,36 +264,36 @@
         b"%s data - 2\r\nabcd" % REQUEST.encode(),
     ],
 )
-def test_a_malformed_store_answer_closes_the_connection(stage, answer):
-    client = stage.client()
+def test_a_malformed_store_answer_closes_the_connection(harness, answer):
+    client = harness.client()
     client.call()
-    stage.until(stage.cache.line)
-    stage.cache.say(answer)
-    stage.until(lambda: "store_broken_answer" in stage.names())
-    assert all(s.open for streams in stage.gateway.pool._connections.values() for s in streams)
+    harness.until(harness.cache.line)
+    harness.cache.send(answer)
+    harness.until(lambda: "store_broken_answer" in harness.event_names())
+    assert all(s.open for streams in harness.gateway.pool._connections.values() for s in streams)
 
 
-def test_a_stopping_gateway_answers_open_requests_and_still_accepts_new_ones(stage):
-    client = stage.client()
+def test_a_stopping_gateway_answers_open_requests_and_still_accepts_new_ones(harness):
+    client = harness.client()
     client.call(1)
-    stage.until(stage.cache.line)
-    stage.gateway.stop()
+    harness.until(harness.cache.line)
+    harness.gateway.stop()
     client.call(2, i="00000000000000aa")
-    assert "00000000000000aa" in stage.until(stage.cache.line)
+    assert "00000000000000aa" in harness.until(harness.cache.line)
     for request in (REQUEST, "00000000000000aa"):
         answer = f"{request} data version=aa,stamp=1,n=HIT 2\r\nhi\r\n".encode()
-        stage.cache.say(answer, conn=0 if request == REQUEST else -1)
-    stage.until(lambda: len(client.answers()) == 2)
-    stage.until(lambda: not stage.gateway.loop.running)
+        harness.cache.send(answer, conn=0 if request == REQUEST else -1)
+    harness.until(lambda: len(client.answers()) == 2)
+    harness.until(lambda: not harness.gateway.loop.running)
     assert {a[1] for a in client.answers()} == {"success"}
 
 
-def test_a_stopping_gateway_refuses_in_time_a_request_that_no_store_answers(stage):
-    client = stage.client()
+def test_a_stopping_gateway_refuses_in_time_a_request_that_no_store_answers(harness):
+    client = harness.client()
     client.call(1, d="6000")
-    stage.until(stage.cache.line)
-    stage.gateway.stop()
-    stage.until(lambda: not stage.gateway.loop.running)
+    harness.until(harness.cache.line)
+    harness.gateway.stop()
+    harness.until(lambda: not harness.gateway.loop.running)
     assert client.answers()[0][1] == "refused"
 
 
@@ -328,66 +328,66 @@
 
 @with_board
 @pytest.mark.parametrize("member_changes", [{"phase": "Gone"}, {"up_since_ms": 1}])
-def test_attempts_at_a_vanished_store_end_when_discovery_reports_it(stage, member_changes):
+def test_attempts_at_a_vanished_store_end_when_discovery_reports_it(harness, member_changes):
     import time
 
-    stage.until(lambda: b"watch=1&" in stage.board.poll())
-    client = stage.client()
+    harness.until(lambda: b"watch=1&" in harness.board.poll())
+    client = harness.client()
     client.call(1, c="commande")
-    stage.until(stage.cache.line)
-    (stream,) = stage.gateway.pool._connections[1]
+    harness.until(harness.cache.line)
+    (stream,) = harness.gateway.pool._connections[1]
     stream.last_received_at -= 10**9  # the store has been silent for longer than an answer takes to arrive
     member_changes = (
         {"up_since_ms": int(time.time() * 1000)} if "up_since_ms" in member_changes else member_changes
     )
-    stage.tell(
+    harness.publish(
         2,
         pool={
             "revision": 2,
             "complete": False,
-            "members": [member("s-00000001", stage.cache.address, **member_changes)],
+            "members": [member("s-00000001", harness.cache.address, **member_changes)],
         },
     )
-    assert stage.until(client.answers)[0][1] == "failed"
+    assert harness.until(client.answers)[0][1] == "failed"
     assert not stream.open
 
 
-def test_concurrent_attempts_at_a_store_wait_for_a_single_connection(stage):
-    client = stage.client()
+def test_concurrent_attempts_at_a_store_wait_for_a_single_connection(harness):
+    client = harness.client()
     for number in range(1, 5):
         client.call(number, i=f"{number:016x}")
-    stage.until(lambda: stage.gateway.tracker.open == 4)
-    stage.until(lambda: b"0000000000000004" in stage.cache.poll())
-    assert len(stage.cache.conns) == 1
+    harness.until(lambda: harness.gateway.tracker.open == 4)
+    harness.until(lambda: b"0000000000000004" in harness.cache.poll())
+    assert len(harness.cache.conns) == 1
 
 
 @with_board
-def test_a_reload_continues_the_poll_at_the_new_discovery_server_from_the_last_event(stage):
-    old_board, stage.board = stage.board, Peer()
-    stage.until(lambda: b"watch=1&" in old_board.poll())
-    client = stage.client()
+def test_a_reload_continues_the_poll_at_the_new_discovery_server_from_the_last_event(harness):
+    old_board, harness.board = harness.board, ScriptedServer()
+    harness.until(lambda: b"watch=1&" in old_board.poll())
+    client = harness.client()
     client.call()
-    stage.until(stage.cache.line)
+    harness.until(harness.cache.line)
     # The rest of this answer never follows.
-    old_board.say(b'HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"rev":2,"notices":[{"rev":2,')
-    stage.gateway.reload(stage.config({**stage.raw, "board": stage.board.address}))
-    stage.until(lambda: b"watch=1&" in stage.board.poll())
-    stage.tell(2, flush={"asset": OBJECT, "ms": 1})
-    stage.until(lambda: b"watch=2&" in stage.board.poll())
-    stage.cache.say(f"{REQUEST} data version=aa,stamp=1,n=HIT 2\r\nhi\r\n".encode())
-    assert stage.until(client.answers) == [(1, "success", {}, b"hi")]
-    assert ("reloaded", {"moved": ["board"], "needs_restart": []}) in stage.logged
-    assert "discovery_disconnected" not in stage.names()
+    old_board.send(b'HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"rev":2,"notices":[{"rev":2,')
+    harness.gateway.reload(harness.config({**harness.raw, "board": harness.board.address}))
+    harness.until(lambda: b"watch=1&" in harness.board.poll())
+    harness.publish(2, flush={"asset": OBJECT, "ms": 1})
+    harness.until(lambda: b"watch=2&" in harness.board.poll())
+    harness.cache.send(f"{REQUEST} data version=aa,stamp=1,n=HIT 2\r\nhi\r\n".encode())
+    assert harness.until(client.answers) == [(1, "success", {}, b"hi")]
+    assert ("reloaded", {"moved": ["board"], "needs_restart": []}) in harness.logged
+    assert "discovery_disconnected" not in harness.event_names()
     old_board.close()
 
 
 @with_board
-def test_the_poll_is_not_repeated_at_once_after_a_malformed_discovery_answer(stage):
-    stage.until(lambda: b"watch=1&" in stage.board.poll())
-    stage.board.say(b'HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n{"r')
-    stage.until(lambda: "discovery_disconnected" in stage.names())
-    assert stage.board.poll().count(b"GET ") == 1
-    stage.until(lambda: stage.board.poll().count(b"GET ") == 2)
+def test_the_poll_is_not_repeated_at_once_after_a_malformed_discovery_answer(harness):
+    harness.until(lambda: b"watch=1&" in harness.board.poll())
+    harness.board.send(b'HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n{"r')
+    harness.until(lambda: "discovery_disconnected" in harness.event_names())
+    assert harness.board.poll().count(b"GET ") == 1
+    harness.until(lambda: harness.board.poll().count(b"GET ") == 2)
 
 
 @pytest.mark.parametrize(
@@ -402,133 +402,135 @@
         "full - 2\r\nhi\r\n",
     ],
 )
-def test_an_answer_without_its_required_fields_is_rejected_and_the_read_repeated(stage, answer):
-    client = stage.client()
+def test_an_answer_without_its_required_fields_is_rejected_and_the_read_repeated(harness, answer):
+    client = harness.client()
     client.call()
-    stage.until(stage.cache.line)
-    stage.cache.say(f"{REQUEST} {answer}".encode())
-    stage.until(lambda: "store_broken_answer" in stage.names())
-    assert REQUEST in stage.until(stage.cache.line)  # on a new connection
-    stage.cache.say(f"{REQUEST} data version=aa,stamp=1,n=HIT 2\r\nok\r\n".encode())
-    assert stage.until(client.answers) == [(1, "success", {}, b"ok")]
+    harness.until(harness.cache.line)
+    harness.cache.send(f"{REQUEST} {answer}".encode())
+    harness.until(lambda: "store_broken_answer" in harness.event_names())
+    assert REQUEST in harness.until(harness.cache.line)  # on a new connection
+    harness.cache.send(f"{REQUEST} data version=aa,stamp=1,n=HIT 2\r\nok\r\n".encode())
+    assert harness.until(client.answers) == [(1, "success", {}, b"ok")]
 
 
-def test_a_truncated_answer_is_abandoned_and_the_read_repeated(stage):
-    client = stage.client()
+def test_a_truncated_answer_is_abandoned_and_the_read_repeated(harness):
+    client = harness.client()
     client.call(d="60000")
-    stage.until(stage.cache.line)
-    stage.cache.say(f"{REQUEST} data version=aa,stamp=1,n=HIT 20\r\nhalf of".encode())
-    assert REQUEST in stage.until(stage.cache.line)
-    assert ("store_broken_answer", {"store": "s-00000001", "line": "an answer stops short"}) in stage.logged
+    harness.until(harness.cache.line)
+    harness.cache.send(f"{REQUEST} data version=aa,stamp=1,n=HIT 20\r\nhalf of".encode())
+    assert REQUEST in harness.until(harness.cache.line)
+    assert ("store_broken_answer", {"store": "s-00000001", "line": "an answer stops short"}) in harness.logged
 
 
-def test_a_good_answer_before_an_unreadable_line_still_counts(stage):
-    client = stage.client()
+def test_a_good_answer_before_an_unreadable_line_still_counts(harness):
+    client = harness.client()
     client.call()
-    stage.until(stage.cache.line)
-    stage.cache.say(f"{REQUEST} data version=aa,stamp=1,n=HIT 2\r\nhi\r\n\x01\x02\r\n".encode())
-    assert stage.until(client.answers) == [(1, "success", {}, b"hi")]
-    assert "store_broken_answer" in stage.names()
+    harness.until(harness.cache.line)
+    harness.cache.send(f"{REQUEST} data version=aa,stamp=1,n=HIT 2\r\nhi\r\n\x01\x02\r\n".encode())
+    assert harness.until(client.answers) == [(1, "success", {}, b"hi")]
+    assert "store_broken_answer" in harness.event_names()
 
 
-def test_a_second_answer_or_one_with_an_unknown_id_is_ignored(stage):
-    client, valid_answer = stage.client(), "data version=aa,stamp=1,n=HIT 2\r\nhi\r\n"
+def test_a_second_answer_or_one_with_an_unknown_id_is_ignored(harness):
+    client, valid_answer = harness.client(), "data version=aa,stamp=1,n=HIT 2\r\nhi\r\n"
     client.call()
-    stage.until(stage.cache.line)
-    stage.cache.say(
+    harness.until(harness.cache.line)
+    harness.cache.send(
         f"00000000000000ff {valid_answer}{REQUEST} {valid_answer}{REQUEST} {valid_answer}".encode()
     )
-    stage.until(client.answers)
+    harness.until(client.answers)
     client.call(2, i="00000000000000aa")
-    line = stage.until(stage.cache.line)
-    stage.cache.say(f"{line.split(' ')[1]} {valid_answer.replace('hi', 'ho')}".encode())
-    stage.until(lambda: len(client.answers()) == 2)
+    line = harness.until(harness.cache.line)
+    harness.cache.send(f"{line.split(' ')[1]} {valid_answer.replace('hi', 'ho')}".encode())
+    harness.until(lambda: len(client.answers()) == 2)
     assert [a[3] for a in client.answers()] == [b"hi", b"ho"]
-    assert "store_broken_answer" not in stage.names()
+    assert "store_broken_answer" not in harness.event_names()
 
 
-def test_a_request_id_is_never_sent_twice_on_one_connection(stage):
-    client = stage.client()
+def test_a_request_id_is_never_sent_twice_on_one_connection(harness):
+    client = harness.client()
     client.call()
-    stage.until(stage.cache.line)
-    stage.cache.say(f"{REQUEST} full - 0\r\n\r\n".encode())
-    assert REQUEST in stage.until(stage.cache.line)
-    assert len(stage.cache.conns) == 2
+    harness.until(harness.cache.line)
+    harness.cache.send(f"{REQUEST} full - 0\r\n\r\n".encode())
+    assert REQUEST in harness.until(harness.cache.line)
+    assert len(harness.cache.conns) == 2
 
 
-def test_a_connection_with_an_unanswered_request_gets_no_further_requests(stage):
-    client = stage.client()
+def test_a_connection_with_an_unanswered_request_gets_no_further_requests(harness):
+    client = harness.client()
     client.call(d="200")
-    stage.until(stage.cache.line)
-    assert stage.until(client.answers)[0][1] == "refused"
+    harness.until(harness.cache.line)
+    assert harness.until(client.answers)[0][1] == "refused"
     client.call(2, i="00000000000000aa")
-    stage.until(lambda: b"00000000000000aa" in stage.cache.poll())
-    assert len(stage.cache.conns) == 2
+    harness.until(lambda: b"00000000000000aa" in harness.cache.poll())
+    assert len(harness.cache.conns) == 2
     # The connection is closed once it has no open request.
-    stage.until(lambda: not any(s.retiring for s in stage.gateway.pool._connections[1]))
+    harness.until(lambda: not any(s.retiring for s in harness.gateway.pool._connections[1]))
 
 
-def test_an_attempt_whose_write_failed_has_not_run(stage):
-    client = stage.client()
+def test_an_attempt_whose_write_failed_has_not_run(harness):
+    client = harness.client()
     client.call(1)
-    stage.until(stage.cache.line)
-    stage.cache.say(f"{REQUEST} full - 0\r\n\r\n".encode())
-    stage.until(lambda: stage.gateway.pool._connections[1][0].load == 0)
-    for streams in stage.gateway.pool._connections.values():
+    harness.until(harness.cache.line)
+    harness.cache.send(f"{REQUEST} full - 0\r\n\r\n".encode())
+    harness.until(lambda: harness.gateway.pool._connections[1][0].load == 0)
+    for streams in harness.gateway.pool._connections.values():
         for stream in streams:
             stream.sock.shutdown(2)  # the next write fails at once, before the loop is notified
-    stage.cache.sock.close()
-    stage.gateway.front._accept(1)
+    harness.cache.sock.close()
+    harness.gateway.front._accept(1)
     client.call(2, i="00000000000000aa", c="commande")
     for _ in range(3):  # the stores' sockets are not polled, so that the write comes first
-        for accepted_client in list(stage.gateway.front.clients):
+        for accepted_client in list(harness.gateway.front.clients):
             accepted_client.read()
-        stage.gateway.decide()
-    assert stage.until(lambda: [a for a in client.answers() if a[0] == 2])[0][1] == "refused"
+        harness.gateway.decide()
+    assert harness.until(lambda: [a for a in client.answers() if a[0] == 2])[0][1] == "refused"
 
 
-def test_requests_without_a_field_and_with_a_repeated_number_are_not_served(stage):
-    client = stage.client()
+def test_requests_without_a_field_and_with_a_repeated_number_are_not_served(harness):
+    client = harness.client()
     fields = {"c": "fichiers", "i": REQUEST, "o": OBJECT, "d": "5000", "n": "0", "shard": "17"}
     for number, name in enumerate(fields, 1):
         client.call(number, args=codec.ServeArgs(fields={k: v for k, v in fields.items() if k != name}))
     client.call(7, m="large")
-    stage.until(lambda: len(client.answers()) == 7)
+    harness.until(lambda: len(client.answers()) == 7)
     assert [a[1] for a in client.answers()] == ["fault"] * 7
     client.call(7)
-    stage.until(lambda: client.poll() is not None and client.closed)
-    assert stage.cache.line() is None
+    harness.until(lambda: client.poll() is not None and client.closed)
+    assert harness.cache.line() is None
 
 
 @with_board
-def test_continuous_replacement_of_stores_leaves_no_state(stage):
-    stage.until(lambda: b"watch=1&" in stage.board.poll())
-    directory, rev = stage.gateway.directory, 1
+def test_continuous_replacement_of_stores_leaves_no_state(harness):
+    harness.until(lambda: b"watch=1&" in harness.board.poll())
+    directory, rev = harness.gateway.directory, 1
     tables = (directory.names, directory.addresses, directory.states, directory.members, directory.started)
     sizes_before = [len(table) for table in tables[:4]]
     for number in range(20):
         for phase in ("Ready", "Terminating", "Gone"):
             rev += 1
             changed_member = member(
-                f"s-000001{number:02x}", stage.cache.address, phase=phase, up_since_ms=10**12 + number
+                f"s-000001{number:02x}", harness.cache.address, phase=phase, up_since_ms=10**12 + number
             )
-            stage.tell(rev, pool={"revision": rev, "complete": False, "members": [changed_member]})
-            stage.until(lambda rev=rev: f"watch={rev}&".encode() in stage.board.poll())
+            harness.publish(rev, pool={"revision": rev, "complete": False, "members": [changed_member]})
+            harness.until(lambda rev=rev: f"watch={rev}&".encode() in harness.board.poll())
     assert [len(table) for table in tables[:4]] == sizes_before and not directory.started
-    assert len(stage.gateway.local.router.nodes) == 3
+    assert len(harness.gateway.local.router.nodes) == 3
 
 
 @with_board
-def test_a_store_with_a_new_address_gets_requests_only_there(stage):
-    stage.until(lambda: b"watch=1&" in stage.board.poll())
-    client, moved = stage.client(), Peer()
-    stage.peers.append(moved)
+def test_a_store_with_a_new_address_gets_requests_only_there(harness):
+    harness.until(lambda: b"watch=1&" in harness.board.poll())
+    client, moved = harness.client(), ScriptedServer()
+    harness.peers.append(moved)
     client.call()
-    stage.until(stage.cache.line)
-    stage.cache.say(f"{REQUEST} data version=aa,stamp=1,n=HIT 2\r\nhi\r\n".encode())
-    stage.until(client.answers)
-    stage.tell(2, pool={"revision": 2, "complete": False, "members": [member("s-00000001", moved.address)]})
-    stage.until(lambda: b"watch=2&" in stage.board.poll())
+    harness.until(harness.cache.line)
+    harness.cache.send(f"{REQUEST} data version=aa,stamp=1,n=HIT 2\r\nhi\r\n".encode())
+    harness.until(client.answers)
+    harness.publish(
+        2, pool={"revision": 2, "complete": False, "members": [member("s-00000001", moved.address)]}
+    )
+    harness.until(lambda: b"watch=2&" in harness.board.poll())
     client.call(2, i="00000000000000aa")
-    assert "00000000000000aa" in stage.until(moved.line)
-    assert b"00000000000000aa" not in stage.cache.poll()
+    assert "00000000000000aa" in harness.until(moved.line)
+    assert b"00000000000000aa" not in harness.cache.poll()
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -375,14 +375,14 @@
 
     d = drive(classes=(make_class(), make_class(interface.Effect.AT_MOST_ONCE, write=True)))
     d.router.limits = limits = StubLimits()
-    d.ask("a")
-    (refused,) = finals(d.end(interface.Status.ERROR, closed=False))
+    d.send_request("a")
+    (refused,) = finals(d.end_attempt(interface.Status.ERROR, closed=False))
     assert refused == interface.Refuse(d.id, 123 * MS)
-    d.ask("b", cls=1)
-    (failed,) = finals(d.end(interface.Status.ERROR, closed=False))
+    d.send_request("b", cls=1)
+    (failed,) = finals(d.end_attempt(interface.Status.ERROR, closed=False))
     assert isinstance(failed, interface.Fail)  # the write may have run
     limits.admits = False
-    acts = d.ask("c", cls=1)
+    acts = d.send_request("c", cls=1)
     assert finals(acts) == [interface.Refuse(d.id, 123 * MS)] and not sends(acts)
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -11,9 +11,9 @@
 import threading
 
 import pytest
+from harness import OBJECT, REQUEST, GatewayHarness
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from stage import OBJECT, REQUEST, Stage
 from test_ops import call, down, read_metrics
 
 from olivecourse.components import AdminServerComponent, PeersComponent, UpgradeComponent
@@ -33,7 +33,7 @@
 
     def __init__(self, folder, **more):
         self.folder = str(folder)
-        self.stage = Stage(mgmt="127.0.0.1:0", env={"TMPDIR": self.folder}, **more)
+        self.stage = GatewayHarness(mgmt="127.0.0.1:0", env={"TMPDIR": self.folder}, **more)
         self.all = [self.stage.gateway]
         self.killed = set()
 
@@ -171,7 +171,7 @@
     third = upgrade.follow()
     second.stop()
     upgrade.until(lambda: third.front.clients)
-    upgrade.cache.say(served(REQUEST))
+    upgrade.cache.send(served(REQUEST))
     assert upgrade.until(client.answers) == [(1, "success", {}, b"ok")]
     upgrade.until(lambda: not first.loop.running and not second.loop.running)
     assert not client.closed
@@ -206,7 +206,7 @@
     assert old.pool.limits.total < before.total
     upgrade.kill(new)
     upgrade.until(lambda: old.pool.limits == before)
-    upgrade.cache.say(served(REQUEST))
+    upgrade.cache.send(served(REQUEST))
     upgrade.until(client.answers)
     late = upgrade.client()
     late.sock.close()
@@ -228,9 +228,9 @@
     upgrade.kill(new)
     (tmp_path / "olivecourse-n0" / f"{0:020d}-1.lock").touch()  # left by a crash: no process holds the lock
     (tmp_path / "olivecourse-n0" / f"{0:020d}-1.json").write_bytes(b'{"bans": [["s-00000009", ')
-    again = Stage(mgmt="127.0.0.1:0", env={"TMPDIR": str(tmp_path)})
+    again = GatewayHarness(mgmt="127.0.0.1:0", env={"TMPDIR": str(tmp_path)})
     assert not again.gateway.directory.ready(1) and again.gateway.directory.ready(8)
-    assert "record_unusable" in again.names() and "handover_unanswered" not in again.names()
+    assert "record_unusable" in again.event_names() and "handover_unanswered" not in again.event_names()
     left = sorted(p.suffix for p in (tmp_path / "olivecourse-n0").iterdir())
     assert left == [".json", ".lock", ".sock"], "the files of dead processes must be removed"
     again.gateway.component(UpgradeComponent).hot_restart.close()
@@ -242,9 +242,10 @@
     (tmp_path / "olivecourse-n0").chmod(0o777)
     with pytest.raises(FolderUnusable):
         ProcessRecord(str(tmp_path), "n0", lambda event, **v: None)
-    stage = Stage(mgmt="127.0.0.1:0", env={"TMPDIR": str(tmp_path)})
+    stage = GatewayHarness(mgmt="127.0.0.1:0", env={"TMPDIR": str(tmp_path)})
     assert (
-        stage.gateway.component(UpgradeComponent).hot_restart is None and "presence_unusable" in stage.names()
+        stage.gateway.component(UpgradeComponent).hot_restart is None
+        and "presence_unusable" in stage.event_names()
     )
     stage.close()
 
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -3,7 +3,7 @@
 import io
 
 import pytest
-from test_library import CONF, LIST
+from test_library import CONFIG, MEMBERS
 
 from olivecourse import interface, wirehost
 from olivecourse.wirehost import read_settings, serve
@@ -14,7 +14,12 @@
     return serve(io.StringIO("\n".join(lines) + "\n"), output), output.getvalue().splitlines()
 
 
-START = ("CLOCK 1000", f"INIT gateway/3 5 {CONF}", *LIST.split("\n"), "ENDPOINTS gateway/3 1 warm_copy 0")
+START = (
+    "CLOCK 1000",
+    f"INIT gateway/3 5 {CONFIG}",
+    *MEMBERS.split("\n"),
+    "ENDPOINTS gateway/3 1 warm_copy 0",
+)
 REQUEST_LINE = "INGRESS gateway/3 06365a895d3a91c4 0 0 c/a 240000000 640 11 3 1"
 
 
@@ -33,8 +38,8 @@
 def test_list_numbers_may_be_reused_within_a_batch():
     code, reply = run(
         "CLOCK 1000",
-        f"INIT gateway/3 5 {CONF}",
-        *LIST.split("\n"),
+        f"INIT gateway/3 5 {CONFIG}",
+        *MEMBERS.split("\n"),
         "ENDPOINTS gateway/3 1 total 0",
         "REGISTER 0 1",
         "CACHE 11 1 0 1 gone 0 0",
@@ -53,7 +58,7 @@
         *START,
         REQUEST_LINE,
         "CRASH_NOW gateway/3",
-        f"INIT gateway/3 6 {CONF}",
+        f"INIT gateway/3 6 {CONFIG}",
         "ATTEMPT_END gateway/3 06365a895d3a91c4 0 11 server_error 5 0 - - -",
         "FLUSH",
     )
@@ -63,7 +68,7 @@
 def test_unknown_events_settings_and_ids_are_ignored():
     code, reply = run(
         "CLOCK 1",
-        f"INIT gateway/3 5 {CONF} shoe.size=9",
+        f"INIT gateway/3 5 {CONFIG} shoe.size=9",
         "SUNRISE gateway/3 7",
         "LEFT gateway/3 0ffedf960e6f2b19",
         "RING gateway/3 991",
@@ -105,7 +110,7 @@
     monkeypatch.setattr(wirehost.Router, "handle", fail)
     code, reply = run(
         *START,
-        f"INIT gateway/4 5 {CONF}",
+        f"INIT gateway/4 5 {CONFIG}",
         "ENDPOINTS gateway/4 1 warm_copy 0",
         "RING gateway/3 0",
         REQUEST_LINE.replace("/3", "/4"),
