--- a/benchmarks/_fleet.py
+++ b/benchmarks/_fleet.py
@@ -81,7 +81,7 @@
         self.board = DiscoveryServer(self.world)
         self.network = Network(self.world, seed)
         self.ports = {n: port() for n in self.names}
-        self.doors = {n: port() for n in self.names}
+        self.management_ports = {n: port() for n in self.names}
         self.versions = dict.fromkeys(self.names, version)
         self._datagrams = {n: ("127.0.0.1", port()) for n in self.names}
         self.running: dict[str, Gateway] = {}
@@ -150,7 +150,7 @@
                 "inventory": "stores.csv",
                 "sockets": 384,
                 "board": self.board.address,
-                "mgmt": f"127.0.0.1:{self.doors[name]}",
+                "mgmt": f"127.0.0.1:{self.management_ports[name]}",
             }
             if self.agree:
                 gateway_config["rollout"] = {
@@ -216,7 +216,7 @@
         """
         if name in self.player.stopped or self.pid(name) is None:
             return 0, {}
-        connection = HTTPConnection("127.0.0.1", self.doors[name], timeout=1)
+        connection = HTTPConnection("127.0.0.1", self.management_ports[name], timeout=1)
         try:
             connection.request(method, path, None if body is None else json.dumps(body))
             reply = connection.getresponse()
@@ -254,7 +254,7 @@
             self.world.run(0.02)
         return {}
 
-    def until(self, condition: Any, seconds: float) -> bool:
+    def run_until(self, condition: Any, seconds: float) -> bool:
         """Runs the World until `condition()` is true; returns False if it is not within `seconds`."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
@@ -277,7 +277,7 @@
                 gateway["heard"] and gateway["service"] == "serves" for gateway in found["gateways"]
             )
 
-        return self.until(lambda: all(map(heard, self.names)), seconds)
+        return self.run_until(lambda: all(map(heard, self.names)), seconds)
 
     def start_clients(self) -> None:
         """Starts a group of clients for each gateway; they use other gateways while theirs is down."""
--- a/benchmarks/_scale_backlog.py
+++ b/benchmarks/_scale_backlog.py
@@ -13,10 +13,10 @@
 from typing import Any
 
 from benchmarks._deployment import REAL, Deployment, store_list
+from benchmarks._gateway_site import free_port
 from benchmarks._observer import StandinSite, served_share
 from benchmarks._processes import processor_s, resident_mb
 from benchmarks._program import Gateway
-from benchmarks._staff import free_port
 
 TURN_METRIC = "app_turn_seconds_max"
 SAMPLE_S = 0.05
--- a/benchmarks/deployments.py
+++ b/benchmarks/deployments.py
@@ -18,8 +18,8 @@
 from pathlib import Path
 from typing import Any
 
+from benchmarks._gateway_site import free_port
 from benchmarks._program import ROOT, Gateway
-from benchmarks._staff import free_port
 from olivecourse.emulator.clients import LoadGenerator, accepts_work
 from olivecourse.emulator.deployments import ADMIN_ADDRESS_KEYS, RandomDeployment, draw_deployment
 from olivecourse.emulator.discovery_server import DiscoveryServer
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -17,8 +17,8 @@
 from pathlib import Path
 from typing import Any
 
+from benchmarks._gateway_site import GatewaySite, killed_at_exit
 from benchmarks._load import Load
-from benchmarks._staff import GatewaySite, killed_at_exit
 
 RATE = 150.0  # ordinary requests a second at the clients' port
 CLIENT_CONNECTIONS = 400  # flood connections to the clients' port, more than its part of 384 file descriptors
--- a/benchmarks/notice.py
+++ b/benchmarks/notice.py
@@ -53,7 +53,7 @@
     return (17.0, 9.0, 0.45) if 200 <= bin_index < 400 else _calm(bin_index)
 
 
-STORIES: dict[str, tuple[Callable[[int], Bin], tuple[int, int] | None]] = {
+SCENARIOS: dict[str, tuple[Callable[[int], Bin], tuple[int, int] | None]] = {
     "calm": (_calm, None),
     "flash crowd": (_flash_crowd, None),
     "overload": (_overload, None),
@@ -74,33 +74,33 @@
     return count
 
 
-def bins(story: str, seed: int) -> Iterator[tuple[int, int, int]]:
+def bins(scenario: str, seed: int) -> Iterator[tuple[int, int, int]]:
     """Yields for each bin of the scenario `story` its drawn counts.
 
     They are first attempts, retries, and requests of both kinds that are served in time.
     """
-    rng = random.Random(f"{story}/{seed}")
+    rng = random.Random(f"{scenario}/{seed}")
     for bin_index in range(BINS):
-        first, repeats, served = STORIES[story][0](bin_index)
+        first, repeats, served = SCENARIOS[scenario][0](bin_index)
         first_count, retry_count = _poisson(rng, first), _poisson(rng, repeats)
         yield first_count, retry_count, sum(rng.random() < served for _ in range(first_count + retry_count))
 
 
-def played(
-    story: str, detector: Detector, seed: int
+def run_detector(
+    scenario: str, detector: Detector, seed: int
 ) -> tuple[list[float], list[float], tuple[float, float] | None]:
     """Runs a detector on one scenario; returns when it reported that storms begin and end, and the true span.
 
     All times are seconds; the true span is None in a scenario without a storm.
     """
     monitor, begins, ends = StormMonitor(detector, 0), [], []
-    for bin_index, (first, repeats, useful) in enumerate(bins(story, seed)):
+    for bin_index, (first, repeats, useful) in enumerate(bins(scenario, seed)):
         monitor.record_arrival(False, first)
         monitor.record_arrival(True, repeats)
         monitor.record_served(useful)
         for change in monitor.advance((bin_index + 1) * BIN_NS):
             (begins if change.begins else ends).append(change.at / 1e9)
-    true_span = STORIES[story][1]
+    true_span = SCENARIOS[scenario][1]
     return begins, ends, None if true_span is None else (true_span[0] / 10, true_span[1] / 10)
 
 
@@ -114,8 +114,8 @@
     for name, detector_type in (("share", ShareDetector), ("burst", BurstDetector)):
         false_alarms = missed = 0
         delays: list[float] = []
-        for story in STORIES:
-            rows = [played(story, detector_type(), seed * 100 + repeat) for repeat in range(repeats)]
+        for scenario in SCENARIOS:
+            rows = [run_detector(scenario, detector_type(), seed * 100 + repeat) for repeat in range(repeats)]
             results = []
             for begins, _, true_span in rows:
                 if true_span is None:
@@ -131,7 +131,7 @@
                     missed += not delays_s
                     delays += delays_s[:1]
                     results.append(f"{delays_s[0]:.1f} s" if delays_s else "missed")
-            print(f"{name:6} {story:12} {', '.join(results[:8])}")
+            print(f"{name:6} {scenario:12} {', '.join(results[:8])}")
         found |= {
             f"{name}_false": false_alarms,
             f"{name}_missed": missed,
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -60,9 +60,11 @@
         )
 
     ended = (
-        fleet.until(quiet, SETTLE_S)
+        fleet.run_until(quiet, SETTLE_S)
         if fleet.agree
-        else fleet.until(lambda: all(store_state == "in" for store_state in fleet.state.values()), SETTLE_S)
+        else fleet.run_until(
+            lambda: all(store_state == "in" for store_state in fleet.state.values()), SETTLE_S
+        )
     )
     return {
         "seed": seed,
@@ -108,14 +110,14 @@
         fleet.run_release_command(planned_at, "start"),
     ]
     if not all(step.get("ok") for step in steps):
-        fleet.until(lambda: fleet.status(planned_at)["release"]["state"] in ("planned", "running"), 2)
+        fleet.run_until(lambda: fleet.status(planned_at)["release"]["state"] in ("planned", "running"), 2)
     began = time.monotonic()
     halt_answer = fleet.run_release_command(halted_at, "halt", why="by hand")
 
     def held(name: str) -> bool:
         return bool(fleet.status(name).get("release", {}).get("held_here"))
 
-    held_everywhere = fleet.until(lambda: all(map(held, fleet.names)), 4)
+    held_everywhere = fleet.run_until(lambda: all(map(held, fleet.names)), 4)
     if halt_answer.get("ok"):
         found["halted_s"].append(time.monotonic() - began if held_everywhere else 9.0)
         for name in fleet.names:
@@ -123,11 +125,11 @@
         for name in rng.sample(fleet.names, len(fleet.names)):
             fleet.start(name)
         fleet.network.link_conditions.loss_share = 0.0
-        fleet.until(lambda: all(fleet.status(n) for n in fleet.names), 6)
-        found["halts_lost"] = sum(not fleet.until(lambda n=n: held(n), 3) for n in fleet.names)
+        fleet.run_until(lambda: all(fleet.status(n) for n in fleet.names), 6)
+        found["halts_lost"] = sum(not fleet.run_until(lambda n=n: held(n), 3) for n in fleet.names)
     fleet.network.link_conditions.loss_share = 0.0
-    fleet.until(lambda: fleet.run_release_command(planned_at, "rollback").get("ok"), 8)
-    found["ended"] = fleet.until(
+    fleet.run_until(lambda: fleet.run_release_command(planned_at, "rollback").get("ok"), 8)
+    found["ended"] = fleet.run_until(
         lambda: fleet.status(planned_at).get("release", {}).get("state") == "done", SETTLE_S
     )
     found["over"] = fleet.over_budget_samples - over_at_start
@@ -189,11 +191,11 @@
                 fleet.replacing = True
                 fleet.run_release_command("n0", "plan", plan=plan)
                 fleet.run_release_command("n0", "start")
-                fleet.until(lambda: fleet.state_of("n0") in ("done", "halted"), 90)
+                fleet.run_until(lambda: fleet.state_of("n0") in ("done", "halted"), 90)
             else:
                 for gateway in fleet.names:
                     fleet.replace(gateway, "v2")
-                    fleet.until(
+                    fleet.run_until(
                         lambda gateway=gateway: (
                             fleet.versions[gateway] == "v2"
                             and fleet.call(gateway, "GET", "/ops/readiness")[0] == 200
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -13,9 +13,9 @@
 from pathlib import Path
 from typing import Any
 
+from benchmarks._gateway_site import GatewaySite, killed_at_exit
 from benchmarks._load import Load
 from benchmarks._program import Gateway
-from benchmarks._staff import GatewaySite, killed_at_exit
 
 RATE = 150.0  # requests a second of the load
 GRACE_S = 0.3  # time after which a drained store must get no request: 250 ms, and 50 ms for sockets
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -89,7 +89,7 @@
         return self.receive().pop(0) if self.receive() else None
 
 
-class Stage:
+class RelayHarness:
     """A notice board (the platform's discovery service), and relays that poll it or each other, all in this
     process.
     """
@@ -160,8 +160,8 @@
 
 
 @pytest.fixture
-def stage():
-    made = Stage()
+def harness():
+    made = RelayHarness()
     yield made
     made.close()
 
@@ -170,73 +170,73 @@
     return [event["rev"] for event in body["notices"]]
 
 
-def test_a_poll_is_answered_when_events_arrive_or_without_events_when_its_wait_ends(stage):
-    relay = stage.relay()
-    stage.wait_until_current(relay)
-    watcher = stage.watcher(relay)
+def test_a_poll_is_answered_when_events_arrive_or_without_events_when_its_wait_ends(harness):
+    relay = harness.relay()
+    harness.wait_until_current(relay)
+    watcher = harness.watcher(relay)
     watcher.poll(0, 1500)
-    status, body = stage.answer(watcher)
+    status, body = harness.answer(watcher)
     assert (status, body["rev"], numbers(body)) == (200, 1, [1])
     assert body["notices"][0]["pool"] == WHOLE_LIST
     began = time.monotonic()
     watcher.poll(1, 100)
-    assert stage.answer(watcher) == (200, {"rev": 1, "notices": []})
+    assert harness.answer(watcher) == (200, {"rev": 1, "notices": []})
     assert time.monotonic() - began >= 0.1
     watcher.poll(1, 5000)
-    stage.until(lambda: relay.server.waiting)
-    stage.board.publish(flush={"collection": 3, "ms": 5})
-    assert stage.answer(watcher) == (
+    harness.until(lambda: relay.server.waiting)
+    harness.board.publish(flush={"collection": 3, "ms": 5})
+    assert harness.answer(watcher) == (
         200,
         {"rev": 2, "notices": [{"rev": 2, "flush": {"collection": 3, "ms": 5}}]},
     )
 
 
-def test_higher_numbers_wait_long_lingers_are_limited_and_unknown_parameters_are_ignored(stage):
-    relay = stage.relay(longest_wait_ms=100)
-    stage.wait_until_current(relay)
-    watcher = stage.watcher(relay)
+def test_higher_numbers_wait_long_lingers_are_limited_and_unknown_parameters_are_ignored(harness):
+    relay = harness.relay(longest_wait_ms=100)
+    harness.wait_until_current(relay)
+    watcher = harness.watcher(relay)
     watcher.poll(9, 9_000_000, "&more=1&lows")
-    assert stage.answer(watcher) == (200, {"rev": 1, "notices": []})
+    assert harness.answer(watcher) == (200, {"rev": 1, "notices": []})
     watcher.get("/board/poll?linger=10&x=%20&watch=0")  # not the usual form, so the general parser reads it
-    assert numbers(stage.answer(watcher)[1]) == [1]
+    assert numbers(harness.answer(watcher)[1]) == [1]
 
 
-def test_watchers_at_the_same_number_share_one_encoding_and_are_answered_in_slices(stage, monkeypatch):
+def test_watchers_at_the_same_number_share_one_encoding_and_are_answered_in_slices(harness, monkeypatch):
     """A SLICE_NS of 0 makes the relay answer each watcher in a turn of the event loop of its own, so that a
     second event arrives between the answers.
     """
     monkeypatch.setattr("olivecourse.relay.server.SLICE_NS", 0)
-    relay = stage.relay()
-    stage.wait_until_current(relay)
-    watchers = [stage.watcher(relay) for _ in range(40)]
+    relay = harness.relay()
+    harness.wait_until_current(relay)
+    watchers = [harness.watcher(relay) for _ in range(40)]
     for watcher in watchers:
         watcher.poll(1, 5000)
-    stage.until(lambda: relay.server.waiting == 40)
-    stage.board.publish(flush={"collection": 3, "ms": 5})
-    stage.until(lambda: 0 < relay.server.waiting < 40)
-    stage.board.publish(flush={"collection": 4, "ms": 6})
+    harness.until(lambda: relay.server.waiting == 40)
+    harness.board.publish(flush={"collection": 3, "ms": 5})
+    harness.until(lambda: 0 < relay.server.waiting < 40)
+    harness.board.publish(flush={"collection": 4, "ms": 6})
     for watcher in watchers:
-        status, body = stage.answer(watcher)
+        status, body = harness.answer(watcher)
         assert status == 200 and numbers(body) in ([2], [2, 3])
         if body["rev"] == 2:
             watcher.poll(2, 5000)
-            assert numbers(stage.answer(watcher)[1]) == [3]
+            assert numbers(harness.answer(watcher)[1]) == [3]
     assert relay.history.counters.answers_encoded <= 3
     assert relay.history.counters.answers_shared >= 38
 
 
-def test_a_turn_reads_for_a_bounded_time_and_no_watcher_starves(stage, monkeypatch):
+def test_a_turn_reads_for_a_bounded_time_and_no_watcher_starves(harness, monkeypatch):
     """A READ_BUDGET_NS of 0 makes each turn of the event loop read one connection; a client that sends all
     the time must not starve the others.
     """
     monkeypatch.setattr("olivecourse.relay.server.READ_BUDGET_NS", 0)
-    relay = stage.relay()
-    stage.wait_until_current(relay)
-    flood = stage.watcher(relay)
+    relay = harness.relay()
+    harness.wait_until_current(relay)
+    flood = harness.watcher(relay)
     flood.poll(1, 5000)
-    stage.until(lambda: relay.server.waiting)
+    harness.until(lambda: relay.server.waiting)
     flood.send(b"GET /")  # `flooded` sends the rest of this request's endless target, byte by byte
-    watchers = [stage.watcher(relay) for _ in range(20)]
+    watchers = [harness.watcher(relay) for _ in range(20)]
     for watcher in watchers:
         watcher.poll(1, 5000)
 
@@ -247,18 +247,18 @@
             pass
         return relay.server.waiting >= 20
 
-    stage.until(flooded)
-    stage.board.publish(flush={"collection": 3, "ms": 5})
-    assert all(numbers(stage.answer(watcher)[1]) == [2] for watcher in watchers)
+    harness.until(flooded)
+    harness.board.publish(flush={"collection": 3, "ms": 5})
+    assert all(numbers(harness.answer(watcher)[1]) == [2] for watcher in watchers)
 
 
-def test_pipelined_polls_are_answered_one_at_a_time_and_in_order(stage):
-    relay = stage.relay()
-    stage.wait_until_current(relay)
-    watcher = stage.watcher(relay)
+def test_pipelined_polls_are_answered_one_at_a_time_and_in_order(harness):
+    relay = harness.relay()
+    harness.wait_until_current(relay)
+    watcher = harness.watcher(relay)
     for watch, linger in ((0, 0), (1, 60), (0, 5000), (1, 0)):
         watcher.poll(watch, linger)
-    answers = [stage.answer(watcher)[1] for _ in range(4)]
+    answers = [harness.answer(watcher)[1] for _ in range(4)]
     assert [numbers(body) for body in answers] == [[1], [], [1], []]
 
 
@@ -287,92 +287,92 @@
 
 
 @pytest.mark.parametrize("name", HOSTILE)
-def test_hostile_input_gets_an_error_and_a_close_and_does_not_affect_other_watchers(stage, name):
+def test_hostile_input_gets_an_error_and_a_close_and_does_not_affect_other_watchers(harness, name):
     data, expected = HOSTILE[name]
-    relay = stage.relay()
-    stage.wait_until_current(relay)
-    other = stage.watcher(relay)
+    relay = harness.relay()
+    harness.wait_until_current(relay)
+    other = harness.watcher(relay)
     other.poll(1, 5000)
-    hostile = stage.watcher(relay)
+    hostile = harness.watcher(relay)
     for start in range(
         0, len(data), 5_000
     ):  # in parts, so that no bytes are left unsent when the answer comes
         hostile.send(data[start : start + 5_000])
-        stage.turn()
-    assert stage.answer(hostile)[0] == expected
-    stage.until(lambda: hostile.receive() is not None and hostile.closed)
-    assert relay.server.counters.bad_requests == 1 and "relay_bad_request" in stage.names()
+        harness.turn()
+    assert harness.answer(hostile)[0] == expected
+    harness.until(lambda: hostile.receive() is not None and hostile.closed)
+    assert relay.server.counters.bad_requests == 1 and "relay_bad_request" in harness.names()
     hostile.sock.close()
-    stage.until(lambda: len(relay.server.watchers) == 1)
-    stage.board.publish(flush={"collection": 3, "ms": 5})
-    assert numbers(stage.answer(other)[1]) == [2]
+    harness.until(lambda: len(relay.server.watchers) == 1)
+    harness.board.publish(flush={"collection": 3, "ms": 5})
+    assert numbers(harness.answer(other)[1]) == [2]
 
 
-def test_an_idle_connection_is_closed_and_a_full_relay_refuses_new_ones(stage):
-    relay = stage.relay(most_watchers=1, idle_timeout_ms=200)
-    stage.wait_until_current(relay)
-    idle = stage.watcher(relay)
+def test_an_idle_connection_is_closed_and_a_full_relay_refuses_new_ones(harness):
+    relay = harness.relay(most_watchers=1, idle_timeout_ms=200)
+    harness.wait_until_current(relay)
+    idle = harness.watcher(relay)
     idle.send(b"GET /board/poll?watch=0&lin")
-    stage.until(lambda: relay.server.watchers)
-    refused = stage.watcher(relay)
-    assert stage.answer(refused) == (503, "this relay is full\n")
-    stage.until(lambda: idle.receive() is not None and idle.closed)
+    harness.until(lambda: relay.server.watchers)
+    refused = harness.watcher(relay)
+    assert harness.answer(refused) == (503, "this relay is full\n")
+    harness.until(lambda: idle.receive() is not None and idle.closed)
     assert not idle.answers
     counters = relay.server.counters
     assert (counters.refused_full, counters.idle_closed) == (1, 1)
-    watcher = stage.watcher(relay)
+    watcher = harness.watcher(relay)
     watcher.poll(0, 0)
-    assert stage.answer(watcher)[0] == 200
+    assert harness.answer(watcher)[0] == 200
 
 
-def test_without_descriptors_new_connections_wait_and_a_relay_can_stop_meanwhile(stage, monkeypatch):
+def test_without_descriptors_new_connections_wait_and_a_relay_can_stop_meanwhile(harness, monkeypatch):
     """While `accept` fails for lack of file descriptors, the relay stops watching the listening socket for a
     time, so that the socket does not keep the event loop busy.
     """
-    relay, other = stage.relay(), stage.relay()
-    stage.wait_until_current(relay)
+    relay, other = harness.relay(), harness.relay()
+    harness.wait_until_current(relay)
 
     def exhausted(self):
         raise OSError(24, "Too many open files")
 
     with monkeypatch.context() as patch:
         patch.setattr(socket.socket, "accept", exhausted)
-        watcher = stage.watcher(relay)
-        late = stage.watcher(other)
-        stage.until(lambda: relay.server.counters.accept_failed and other.server.counters.accept_failed)
-        stage.kill(other)
+        watcher = harness.watcher(relay)
+        late = harness.watcher(other)
+        harness.until(lambda: relay.server.counters.accept_failed and other.server.counters.accept_failed)
+        harness.kill(other)
     watcher.poll(0, 0)
-    assert stage.answer(watcher)[0] == 200 and "relay_accept_failed" in stage.names()
-    stage.until(lambda: late.receive() is not None and late.closed)
+    assert harness.answer(watcher)[0] == 200 and "relay_accept_failed" in harness.names()
+    harness.until(lambda: late.receive() is not None and late.closed)
 
 
-def test_a_slow_reader_is_cut_off_with_a_logged_reason_while_others_are_served(stage):
+def test_a_slow_reader_is_cut_off_with_a_logged_reason_while_others_are_served(harness):
     """Two unread answers together exceed `most_unread_kb`, so the reader stuck for longest is cut off."""
-    relay = stage.relay(most_unread_kb=2_048, history_kb=65_536, history_events=100_000)
-    stage.wait_until_current(relay)
-    slow = stage.watcher(relay, receive_buffer=4_096)
-    other = stage.watcher(relay)
+    relay = harness.relay(most_unread_kb=2_048, history_kb=65_536, history_events=100_000)
+    harness.wait_until_current(relay)
+    slow = harness.watcher(relay, receive_buffer=4_096)
+    other = harness.watcher(relay)
     purges = [
         {"rev": n, "flush": {"asset": f"{n:016x}", "ms": 5}, "more": "x" * 100} for n in range(2, 12_000)
     ]
     relay.history.append(purges, relay.loop.clock.now())
     slow.poll(0, 0)
-    stage.until(lambda: relay.server.unread_bytes)
+    harness.until(lambda: relay.server.unread_bytes)
     relay.history.append([{"rev": 12_000, "flush": {"collection": 3, "ms": 6}}], relay.loop.clock.now())
     other.poll(0, 0)
-    assert len(stage.answer(other)[1]["notices"]) == 12_000
+    assert len(harness.answer(other)[1]["notices"]) == 12_000
     assert relay.server.unread_bytes == 0 and relay.server.counters.cut_off == 1
-    assert [v["why"] for e, v in stage.logged if e == "relay_watcher_cut_off"] == [
+    assert [v["why"] for e, v in harness.logged if e == "relay_watcher_cut_off"] == [
         "unread answers over the limit"
     ]
-    stage.until(lambda: slow.receive() is not None and slow.closed)
+    harness.until(lambda: slow.receive() is not None and slow.closed)
     assert not slow.answers
 
 
-def test_a_reader_that_reads_nothing_is_cut_off_after_the_read_timeout(stage):
-    relay = stage.relay(read_timeout_ms=100, history_kb=65_536, history_events=100_000)
-    stage.wait_until_current(relay)
-    slow, slower = stage.watcher(relay, receive_buffer=4_096), stage.watcher(relay, receive_buffer=4_096)
+def test_a_reader_that_reads_nothing_is_cut_off_after_the_read_timeout(harness):
+    relay = harness.relay(read_timeout_ms=100, history_kb=65_536, history_events=100_000)
+    harness.wait_until_current(relay)
+    slow, slower = harness.watcher(relay, receive_buffer=4_096), harness.watcher(relay, receive_buffer=4_096)
     purges = [
         {"rev": n, "flush": {"asset": f"{n:016x}", "ms": 5}, "more": "x" * 100} for n in range(2, 12_000)
     ]
@@ -380,64 +380,64 @@
     body = relay.history.since(0, relay.loop.clock.now())
     slow.poll(0, 0)
     slower.poll(0, 0)
-    stage.until(
+    harness.until(
         lambda: relay.server.unread_bytes == len(body)
     )  # the same answer, which neither watcher has read completely, counts once
-    stage.until(lambda: slow.take())  # `slow` reads its answer, `slower` does not
-    stage.until(lambda: relay.server.counters.cut_off)
+    harness.until(lambda: slow.take())  # `slow` reads its answer, `slower` does not
+    harness.until(lambda: relay.server.counters.cut_off)
     assert relay.server.unread_bytes == 0 and relay.server.counters.cut_off == 1 and not slow.closed
 
 
-def test_before_a_complete_list_is_known_polls_are_held_and_then_refused(stage):
-    stage.board.refuse()
-    relay = stage.relay()
-    watcher = stage.watcher(relay)
+def test_before_a_complete_list_is_known_polls_are_held_and_then_refused(harness):
+    harness.board.refuse()
+    relay = harness.relay()
+    watcher = harness.watcher(relay)
     began = time.monotonic()
     watcher.poll(0, 150)
-    assert stage.answer(watcher) == (503, "no whole list is known yet\n")
+    assert harness.answer(watcher) == (503, "no whole list is known yet\n")
     assert time.monotonic() - began >= 0.15
-    held = stage.watcher(relay)
+    held = harness.watcher(relay)
     held.poll(0, 5000)
-    stage.until(lambda: relay.server.waiting)
-    stage.board.resume()
-    assert numbers(stage.answer(held)[1]) == [1]
-    stage.board.refuse()  # without its upstream the relay still serves the events that it knows
-    stage.until(lambda: stage.names().count("discovery_disconnected") > 3)
+    harness.until(lambda: relay.server.waiting)
+    harness.board.resume()
+    assert numbers(harness.answer(held)[1]) == [1]
+    harness.board.refuse()  # without its upstream the relay still serves the events that it knows
+    harness.until(lambda: harness.names().count("discovery_disconnected") > 3)
     held.poll(0, 0)
-    assert numbers(stage.answer(held)[1]) == [1]
+    assert numbers(harness.answer(held)[1]) == [1]
     held.poll(1, 50)
-    assert stage.answer(held) == (200, {"rev": 1, "notices": []})
+    assert harness.answer(held) == (200, {"rev": 1, "notices": []})
 
 
 @pytest.mark.parametrize("later", [0, 1, 2])
-def test_an_upstream_that_restarts_with_lower_numbers_or_without_events_changes_nothing(stage, later):
+def test_an_upstream_that_restarts_with_lower_numbers_or_without_events_changes_nothing(harness, later):
     for number in range(2, 6):
-        stage.board.publish(flush={"collection": number, "ms": 5})
-    relay = stage.relay()
-    stage.wait_until_current(relay)
-    watcher = stage.watcher(relay)
+        harness.board.publish(flush={"collection": number, "ms": 5})
+    relay = harness.relay()
+    harness.wait_until_current(relay)
+    watcher = harness.watcher(relay)
     watcher.poll(5, 5000)
-    stage.until(lambda: relay.server.waiting)
-    stage.board.refuse()
-    stage.board.rev = later
-    del stage.board._events[later:]
-    stage.board.resume()
-    stage.until(lambda: "discovery_revision_decreased" in stage.names())
+    harness.until(lambda: relay.server.waiting)
+    harness.board.refuse()
+    harness.board.rev = later
+    del harness.board._events[later:]
+    harness.board.resume()
+    harness.until(lambda: "discovery_revision_decreased" in harness.names())
     assert relay.server.waiting == 1 and relay.history.revision == 5
-    late = stage.watcher(relay)
+    late = harness.watcher(relay)
     late.poll(3, 5000)
-    assert numbers(stage.answer(late)[1]) == [4, 5]
-    stage.board.rev = 8  # the next event number is not the successor of the last, which is allowed
-    stage.board.publish(flush={"collection": 9, "ms": 6})
-    assert numbers(stage.answer(watcher)[1]) == [9]
+    assert numbers(harness.answer(late)[1]) == [4, 5]
+    harness.board.rev = 8  # the next event number is not the successor of the last, which is allowed
+    harness.board.publish(flush={"collection": 9, "ms": 6})
+    assert numbers(harness.answer(watcher)[1]) == [9]
 
 
-def test_after_an_hours_backlog_an_answer_holds_only_the_list_and_unsettled_purges(stage):
+def test_after_an_hours_backlog_an_answer_holds_only_the_list_and_unsettled_purges(harness):
     """The backlog has 60,000 purges, of which the last 500 are unsettled (a store may still hold an older
     copy), and a store that left the server list and returned.
     """
-    relay = stage.relay(history_events=100, purge_retention_s=10)
-    stage.wait_until_current(relay)
+    relay = harness.relay(history_events=100, purge_retention_s=10)
+    harness.wait_until_current(relay)
     now_ms = relay.loop.clock.now() // 1_000_000
     went = {"revision": 2, "complete": False, "members": [MEMBER | {"phase": "Gone"}]}
     came = {"revision": 3, "complete": False, "members": [MEMBER | {"host_port": "127.0.0.1:10"}]}
@@ -447,9 +447,9 @@
         events.append({"rev": number, "flush": {"asset": f"{number:016x}", "ms": made_ms}})
     for start in range(0, len(events), 5_000):
         relay.history.append(events[start : start + 5_000], relay.loop.clock.now())
-    watcher = stage.watcher(relay)
+    watcher = harness.watcher(relay)
     watcher.poll(1, 0)
-    status, body = stage.answer(watcher)
+    status, body = harness.answer(watcher)
     assert status == 200 and body["rev"] == 60_003 and len(body["notices"]) <= 501 + 1
     purged = [event["flush"]["asset"] for event in body["notices"] if "flush" in event]
     assert purged == [f"{number:016x}" for number in range(59_504, 60_004)]
@@ -457,35 +457,35 @@
     assert listed["complete"] and [m["host_port"] for m in listed["members"]] == ["127.0.0.1:10"]
 
 
-def test_a_watcher_too_old_for_a_full_history_is_refused_at_once(stage):
-    relay = stage.relay(history_events=1, most_purges=1)
-    stage.wait_until_current(relay)
+def test_a_watcher_too_old_for_a_full_history_is_refused_at_once(harness):
+    relay = harness.relay(history_events=1, most_purges=1)
+    harness.wait_until_current(relay)
     now_ms = relay.loop.clock.now() // 1_000_000
     events = [{"rev": n, "flush": {"collection": n, "ms": now_ms}} for n in range(2, 9)]
     relay.history.append(events, relay.loop.clock.now())
-    watcher = stage.watcher(relay)
+    watcher = harness.watcher(relay)
     watcher.poll(1, 5000)
-    assert stage.answer(watcher)[0] == 503 and relay.server.counters.too_old == 1
-    other = stage.watcher(relay)
+    assert harness.answer(watcher)[0] == 503 and relay.server.counters.too_old == 1
+    other = harness.watcher(relay)
     other.poll(7, 5000)
-    assert numbers(stage.answer(other)[1]) == [8]
+    assert numbers(harness.answer(other)[1]) == [8]
 
 
-def test_the_status_shows_the_mark_and_the_lagging_watchers(stage):
-    relay = stage.relay(lease_s=3.0, longest_wait_ms=1_000)
-    stage.wait_until_current(relay)
-    stage.board.publish(flush={"collection": 3, "ms": 5})
-    stage.wait_until_current(relay)
-    ahead, behind, asking = (stage.watcher(relay) for _ in range(3))
+def test_the_status_shows_the_mark_and_the_lagging_watchers(harness):
+    relay = harness.relay(lease_s=3.0, longest_wait_ms=1_000)
+    harness.wait_until_current(relay)
+    harness.board.publish(flush={"collection": 3, "ms": 5})
+    harness.wait_until_current(relay)
+    ahead, behind, asking = (harness.watcher(relay) for _ in range(3))
     name = "{}:{}".format(*behind.sock.getsockname())
     behind.poll(1, 0)
-    stage.answer(behind)
+    harness.answer(behind)
 
     def fetch_status():
         ahead.poll(2, 0)
-        stage.answer(ahead)
+        harness.answer(ahead)
         asking.get("/relay/status?behind=2")
-        return stage.answer(asking)[1]
+        return harness.answer(asking)[1]
 
     first = fetch_status()
     assert (
@@ -497,7 +497,7 @@
     def passed():
         return (found := fetch_status())["passed"] and found
 
-    last = stage.until(passed)  # ends once the lease of the watcher that lacks event 2 has expired
+    last = harness.until(passed)  # ends once the lease of the watcher that lacks event 2 has expired
     assert last["mark"] == 2 and last["watchers"]["counted"] == 1
     assert last["behind"][0] == {"watcher": name, "number": 1, "lapsed": True} | {
         "seconds": last["behind"][0]["seconds"]
@@ -661,11 +661,11 @@
     return f"127.0.0.1:{relay.server.port}"
 
 
-def test_a_purge_reaches_a_real_gateway_through_two_levels_and_the_mark_confirms_it(stage):
+def test_a_purge_reaches_a_real_gateway_through_two_levels_and_the_mark_confirms_it(harness):
     limits = {"lease_s": 3.0, "longest_wait_ms": 1_000}
-    top = stage.relay(**limits)
-    middle = stage.relay(address_of(top), report_upstream=True, **limits)
-    stage.wait_until_current(middle)
+    top = harness.relay(**limits)
+    middle = harness.relay(address_of(top), report_upstream=True, **limits)
+    harness.wait_until_current(middle)
     gateway = RelayedGateway(address_of(middle))
     try:
         client = gateway.client()
@@ -681,20 +681,20 @@
                 return found and found.startswith("fetch") and f"asset={key}" in found and found
 
             client.call(number, o=key, i=key)
-            return stage.until(turned(line))
+            return harness.until(turned(line))
 
-        stage.board.publish(flush={"asset": gateways.OBJECT, "ms": int(time.time() * 1000) - 40})
-        stage.until(turned(lambda: gateway.gateway.discovery.rev == 2))
+        harness.board.publish(flush={"asset": gateways.OBJECT, "ms": int(time.time() * 1000) - 40})
+        harness.until(turned(lambda: gateway.gateway.discovery.rev == 2))
         assert "newer=" in fetched(1, gateways.OBJECT) and "newer=" not in fetched(2, "00000000000000aa")
         now = top.loop.clock.now
-        stage.until(turned(lambda: top.marks.mark(now()) == 2))
+        harness.until(turned(lambda: top.marks.mark(now()) == 2))
         assert top.marks.counted(now()) == 1  # the gateway; the relay between it and `top` does not count
         assert middle.marks.counted(now()) == 1
         gateway.gateway.discovery.stop()  # the gateway is cut off; after its lease no gateway is counted
-        stage.board.publish(flush={"collection": 3, "ms": 5})
-        stage.until(lambda: top.marks.behind(3, now()))
+        harness.board.publish(flush={"collection": 3, "ms": 5})
+        harness.until(lambda: top.marks.behind(3, now()))
         assert top.marks.mark(now()) == 2
-        stage.until(lambda: top.marks.mark(now()) == 3)
+        harness.until(lambda: top.marks.mark(now()) == 3)
         assert top.marks.counted(now()) == 0
         assert [watcher.lapsed for watcher in middle.marks.behind(3, now())] == [True]
     finally:
@@ -746,8 +746,8 @@
     same upstream addresses.
     """
 
-    def __init__(self, stage, count, *addresses, rev=1, grace_ms=250):
-        self.stage, self.loop, self.logged = stage, Loop(), []
+    def __init__(self, harness, count, *addresses, rev=1, grace_ms=250):
+        self.harness, self.loop, self.logged = harness, Loop(), []
         self.taken = [[] for _ in range(count)]
         self.clients = []
         for number in range(count):
@@ -767,7 +767,7 @@
             )
 
     def until(self, condition):
-        return self.stage.until(lambda: self.loop.turn(1_000_000) or condition())
+        return self.harness.until(lambda: self.loop.turn(1_000_000) or condition())
 
     def close(self):
         for client in self.clients:
@@ -775,14 +775,14 @@
         self.loop.close()
 
 
-def test_the_polls_of_a_failed_relay_move_to_another_spread_in_time_and_miss_nothing(stage, monkeypatch):
-    first, second = stage.relay(), stage.relay()
-    stage.wait_until_current(first)
-    stage.wait_until_current(second)
-    fleet = Gateways(stage, 300, address_of(first), address_of(second))
+def test_the_polls_of_a_failed_relay_move_to_another_spread_in_time_and_miss_nothing(harness, monkeypatch):
+    first, second = harness.relay(), harness.relay()
+    harness.wait_until_current(first)
+    harness.wait_until_current(second)
+    fleet = Gateways(harness, 300, address_of(first), address_of(second))
     fleet.until(lambda: first.server.waiting == 300)
-    stage.kill(first)
-    stage.board.publish(flush={"collection": 3, "ms": 5})
+    harness.kill(first)
+    harness.board.publish(flush={"collection": 3, "ms": 5})
     delays_ms, after = [], fleet.loop.after
 
     def recorded(delay_ns, call):
@@ -801,21 +801,21 @@
     fleet.close()
 
 
-def test_a_gateway_that_changes_relays_within_an_answer_misses_nothing_and_applies_nothing_twice(stage):
+def test_a_gateway_that_changes_relays_within_an_answer_misses_nothing_and_applies_nothing_twice(harness):
     """The first relay's answer is cut off, and the second relay does not have the last 40 events yet."""
-    first, second = stage.relay(history_events=64), stage.relay(history_events=500)
-    stage.wait_until_current(second)
+    first, second = harness.relay(history_events=64), harness.relay(history_events=500)
+    harness.wait_until_current(second)
     now = second.loop.clock.now()
     made_ms = now // 1_000_000
     moved = MEMBER | {"host_port": "127.0.0.1:10"}
     events = [{"rev": 2, "pool": {"revision": 2, "complete": False, "members": [moved]}}]
     events += [{"rev": n, "flush": {"asset": f"{n:016x}", "ms": made_ms}} for n in range(3, 2_001)]
-    stage.wait_until_current(first)
+    harness.wait_until_current(first)
     first.history.append(events, now)
     second.history.append(events[:-40], now)
     body = first.history.since(1, now)
     cut = ClosingUpstream(response(body[:80_000], len(body)))
-    fleet = Gateways(stage, 1, cut.address, address_of(second))
+    fleet = Gateways(harness, 1, cut.address, address_of(second))
     (client,), (taken,) = fleet.clients, fleet.taken
     fleet.until(lambda: cut.receive() and client.rev > 1)
     assert 500 < client.rev < 1_960
@@ -841,31 +841,31 @@
         b"\xff\xfe",
     ],
 )
-def test_nothing_is_applied_from_an_unreadable_upstream_and_another_is_polled(stage, body):
+def test_nothing_is_applied_from_an_unreadable_upstream_and_another_is_polled(harness, body):
     broken = ClosingUpstream(response(body))
-    relay = stage.relay(broken.address, stage.board.address)
-    stage.until(lambda: broken.receive() and relay.history.ready)
+    relay = harness.relay(broken.address, harness.board.address)
+    harness.until(lambda: broken.receive() and relay.history.ready)
     assert relay.history.revision == 1 and relay.history.counters.taken == 1
-    assert "discovery_response_invalid" in stage.names() and "relay_list_known" in stage.names()
-    assert relay.upstream == parse_address(stage.board.address)
+    assert "discovery_response_invalid" in harness.names() and "relay_list_known" in harness.names()
+    assert relay.upstream == parse_address(harness.board.address)
     broken.close()
 
 
-def test_a_relay_fails_over_to_another_upstream_and_a_reload_changes_it_again(stage):
-    other = stage.relay()
-    stage.wait_until_current(other)
-    relay = stage.relay(address_of(other), stage.board.address)
-    stage.wait_until_current(relay)
+def test_a_relay_fails_over_to_another_upstream_and_a_reload_changes_it_again(harness):
+    other = harness.relay()
+    harness.wait_until_current(other)
+    relay = harness.relay(address_of(other), harness.board.address)
+    harness.wait_until_current(relay)
     assert relay.upstream == parse_address(address_of(other))
-    stage.kill(other)
-    stage.board.publish(flush={"collection": 3, "ms": 5})
-    stage.wait_until_current(relay)
-    assert relay.upstream == parse_address(stage.board.address)
-    third = stage.relay()
+    harness.kill(other)
+    harness.board.publish(flush={"collection": 3, "ms": 5})
+    harness.wait_until_current(relay)
+    assert relay.upstream == parse_address(harness.board.address)
+    third = harness.relay()
     section = RelaySection(listen="127.0.0.1:0", upstreams=[address_of(third)])
     relay.reload(RelayConfig("relay", section))
-    stage.board.publish(flush={"collection": 4, "ms": 5})
-    stage.wait_until_current(relay)
+    harness.board.publish(flush={"collection": 4, "ms": 5})
+    harness.wait_until_current(relay)
     assert relay.upstream == parse_address(address_of(third))
 
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -516,7 +516,7 @@
     fleet = Processes(tmp_path, count=2, members=1, stores=3, budget=1)
 
     def cli(*words):
-        door = f"127.0.0.1:{fleet.doors['n1']}"
+        door = f"127.0.0.1:{fleet.management_ports['n1']}"
         process = subprocess.Popen(
             [sys.executable, "-m", "olivecourse", *words],
             text=True,
@@ -524,7 +524,7 @@
             stderr=subprocess.STDOUT,
             env={**os.environ, "EDGE_ADMIN": door},
         )
-        assert fleet.until(lambda: process.poll() is not None, 20)
+        assert fleet.run_until(lambda: process.poll() is not None, 20)
         return process.returncode, process.stdout.read()
 
     try:
@@ -540,7 +540,7 @@
         assert [x["item"] for x in group["waiting"]] == ["box-01"]
         assert "box-00" in cli("rollout", "status")[1]
         assert cli("undrain", "box-00")[0] == 0 and cli("undrain", "box-01")[0] == 0
-        assert fleet.until(lambda: not fleet.status("n0")["groups"]["stores:praia"]["places"], 5)
+        assert fleet.run_until(lambda: not fleet.status("n0")["groups"]["stores:praia"]["places"], 5)
         plan = tmp_path / "release.yaml"
         plan.write_text("release:\n  version: v2\n  before: v1\n  waves: [50]\n")
         code, output = cli("rollout", "plan", str(plan))
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -16,7 +16,7 @@
 from test_memory import fixed
 from test_program import run
 
-from benchmarks.notice import STORIES, played
+from benchmarks.notice import SCENARIOS, run_detector
 from olivecourse import interface
 from olivecourse.storm.admission import AdmissionController, AdmissionRequest, Aimd, Gradient, Verdict
 from olivecourse.storm.budgets import BudgetPolicy, RetryBudgets
@@ -34,9 +34,9 @@
 # Detection --------------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("story", sorted(STORIES))
+@pytest.mark.parametrize("story", sorted(SCENARIOS))
 def test_a_storm_is_detected_within_two_seconds_and_a_flash_crowd_of_first_tries_never(story):
-    begins, ends, storm = played(story, ShareDetector(), seed=3)
+    begins, ends, storm = run_detector(story, ShareDetector(), seed=3)
     if storm is None:
         assert begins == []
     else:
