--- a/benchmarks/_observer.py
+++ b/benchmarks/_observer.py
@@ -148,7 +148,7 @@
         if self._thread is not None:
             self._thread.join()
         if self.clients is not None:
-            self.clients.settle(MAX_WAIT_S)
+            self.clients.finish_requests(MAX_WAIT_S)
 
     def ends(self) -> dict[str, int]:
         """Returns the counts of clients' requests by outcome: served, refused, failed, lost, unanswered."""
--- a/benchmarks/_virtual_agreement.py
+++ b/benchmarks/_virtual_agreement.py
@@ -41,7 +41,7 @@
 from olivecourse.rollout.wire import DatagramCodec, Keys
 
 MS, S = 1_000_000, 1_000_000_000
-TICK_NS = 20 * MS  # interval of the nodes' ticks, as in rollout/part.py
+TICK_NS = 20 * MS  # interval of the nodes' ticks, as in rollout/component.py
 EPOCH_NS = 1_700_000_000 * S
 MAX_DELIVERY_NS = 15 * MS  # longest simulated delivery time of a datagram
 POLL_NS = (
@@ -415,7 +415,7 @@
 
     Every gateway calls it every 100 ms for its list of stores; here there are `stores` in 46 zones.
     """
-    from olivecourse.rollout.part import RolloutComponent
+    from olivecourse.rollout.component import RolloutComponent
 
     ready, names = (
         interface.State.READY,
@@ -432,7 +432,7 @@
         avoided=set,
         config=types.SimpleNamespace(settings=settings, zones=[f"zone-{number}" for number in range(46)]),
     )
-    part: Any = types.SimpleNamespace(
+    component: Any = types.SimpleNamespace(
         gateway=gateway,
         member=types.SimpleNamespace(observed_stores=types.SimpleNamespace()),
         _leased_out_stores=set(),
@@ -440,4 +440,4 @@
             section=types.SimpleNamespace(budgets=types.SimpleNamespace(hubs=budget, stores=budget))
         ),
     )
-    return _cpu_ms(lambda: RolloutComponent._refresh_stores(part, EPOCH_NS))
+    return _cpu_ms(lambda: RolloutComponent._refresh_stores(component, EPOCH_NS))
--- a/benchmarks/deployments.py
+++ b/benchmarks/deployments.py
@@ -191,7 +191,7 @@
                 self.inject_fault(name)
             self.world.run(self.deployment.drain_s + 0.5)
             self._check_management_ports()
-            clients.settle(3.0)
+            clients.finish_requests(3.0)
             asked = sum(clients.outcomes.values())
             if clients.outcomes["served"] < MIN_SERVED_SHARE * asked or not asked:
                 observer.record_violation("served", f"{dict(clients.outcomes)}")
--- a/olivecourse/components.py
+++ b/olivecourse/components.py
@@ -386,7 +386,7 @@
     """Returns the class of the rollout component. Its module is imported here, only if the component is
     enabled.
     """
-    from olivecourse.rollout.part import RolloutComponent
+    from olivecourse.rollout.component import RolloutComponent
 
     return RolloutComponent
 
--- a/olivecourse/emulator/clients.py
+++ b/olivecourse/emulator/clients.py
@@ -203,7 +203,7 @@
         self.outcomes[outcome] += 1
         self.outcomes_by_class[request_class.name][outcome] += 1
 
-    def settle(self, seconds: float) -> None:
+    def finish_requests(self, seconds: float) -> None:
         """Stops sending requests and runs the EmulatorLoop until none is open, for at most `seconds`."""
         self.running = False
         end = time.monotonic() + seconds
--- a/olivecourse/net/worker.py
+++ b/olivecourse/net/worker.py
@@ -74,9 +74,9 @@
             self._wake_receiver.recv(4096)
         except (BlockingIOError, InterruptedError):
             return
-        self.settle()
+        self.run_callbacks()
 
-    def settle(self) -> None:
+    def run_callbacks(self) -> None:
         """Calls the `done` callbacks of all finished jobs; must be called on the event loop's thread."""
         while self._results:
             done, result, job_error = self._results.popleft()
@@ -93,7 +93,7 @@
             self._condition.notify()
         if self._thread is not None:
             self._thread.join(timeout_s)
-        self.settle()
+        self.run_callbacks()
         ended = self._thread is None or not self._thread.is_alive()
         self._loop.unwatch(self._wake_receiver)
         self._wake_receiver.close()
--- a/olivecourse/rollout/part.py
+++ b/olivecourse/rollout/component.py
@@ -83,7 +83,7 @@
 
 
 class RolloutComponent(Component):
-    """The rollout part of a gateway, used if its configuration has a `rollout:` section. The constructor
+    """The rollout component of a gateway, used if its configuration has a `rollout:` section. The constructor
     raises ValueError if the gateway is not listed under `gateways`, and OSError if the datagram socket cannot
     be bound."""
 
--- a/olivecourse/wirehost.py
+++ b/olivecourse/wirehost.py
@@ -139,7 +139,7 @@
     )
 
 
-class Host:
+class WireHost:
     """Holds the running Routers by name, and the lists of caches to which ENDPOINTS lines refer by number."""
 
     def __init__(self) -> None:
@@ -248,7 +248,7 @@
 
     Returns the exit code of the program: 0 at the end of the input, 2 after a line that cannot be read.
     """
-    host = Host()
+    host = WireHost()
     reply: list[str] = []
     for number, line in enumerate(input_lines, 1):
         text = line.rstrip("\r\n")
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -289,8 +289,9 @@
         self.gateway.loop.close()
 
 
-def outcome(stage, status):
+def outcome(harness, status):
     """Whether the gateway's events that wait for its next decision include an attempt ended with `status`."""
     return any(
-        isinstance(event, interface.AttemptEnded) and event.status is status for event in stage.gateway.batch
+        isinstance(event, interface.AttemptEnded) and event.status is status
+        for event in harness.gateway.batch
     )
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -33,7 +33,7 @@
 
 
 def with_discovery(test):
-    """Runs a test on a stage with an emulated discovery server."""
+    """Runs a test on a harness with an emulated discovery server."""
     return pytest.mark.parametrize("harness", [{"board": True}], indirect=True)(test)
 
 
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -176,7 +176,7 @@
             crowds[n].running = False
     assert_nine_in_ten_ready_within_10_s(fleet, new_processes)
     for crowd in crowds:
-        crowd.settle(3)
+        crowd.finish_requests(3)
     assert fleet.run(10, lambda: all(p.process.poll() is not None for p in old_processes))
     assert [p.process.returncode for p in old_processes] == [0] * 20
     assert not fleet.observer.violations, fleet.observer.first_violations
@@ -240,7 +240,7 @@
         "s-00000001", fleet.board.publish(pool={"revision": 2, "complete": False, "members": [drained]}) + 1.0
     )  # the drain counts from one second later: by then the gateway must reach the discovery server again
     fleet.run(3)
-    crowd.settle(5)
+    crowd.finish_requests(5)
     assert fleet.observer.request_counts["s-00000001"] and not fleet.observer.violations, (
         fleet.observer.first_violations
     )
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -647,7 +647,7 @@
 
 
 class RelayedGateway(gateways.GatewayHarness):
-    """A test stage whose gateway polls a relay in place of the notice board (the discovery service)."""
+    """A harness whose gateway polls a relay in place of the notice board (the discovery service)."""
 
     def __init__(self, address):
         self.relay_address = address
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -23,10 +23,10 @@
 from olivecourse.rollout import releases
 from olivecourse.rollout.agent import Stage as WorkStage
 from olivecourse.rollout.budgets import Budget, Group
+from olivecourse.rollout.component import LEARN_TIMEOUT_NS, CommandAnswer, RolloutComponent
 from olivecourse.rollout.disk import CorruptRecord, Disk, FolderLocked
 from olivecourse.rollout.disruption_leases import Answer, LeasePurpose, Outcome
 from olivecourse.rollout.member import RUMOR_FANOUT, HaltNotice, Member, OperationReply, Setup
-from olivecourse.rollout.part import LEARN_TIMEOUT_NS, CommandAnswer, RolloutComponent
 from olivecourse.rollout.quorum_register import AcceptorState, Ballot, Learn, QuorumRegisters, RecoveryRequest
 from olivecourse.rollout.release_analysis import Counts, SequentialTest
 from olivecourse.rollout.releases import Command, CommandReply, Plan, State, plan_error
@@ -484,11 +484,11 @@
     )
     finished = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True)
     assert finished.stdout.strip() == "[]", finished.stdout + finished.stderr
-    stage = GatewayHarness()
+    harness = GatewayHarness()
     try:
-        assert not stage.gateway.directory.leased_out and GATEWAYS not in str(stage.gateway.components)
+        assert not harness.gateway.directory.leased_out and GATEWAYS not in str(harness.gateway.components)
     finally:
-        stage.close()
+        harness.close()
 
 
 # Model checker and real processes ----------------------------------------------------------------------
@@ -516,13 +516,13 @@
     fleet = Processes(tmp_path, count=2, members=1, stores=3, budget=1)
 
     def cli(*words):
-        door = f"127.0.0.1:{fleet.management_ports['n1']}"
+        admin_address = f"127.0.0.1:{fleet.management_ports['n1']}"
         process = subprocess.Popen(
             [sys.executable, "-m", "olivecourse", *words],
             text=True,
             stdout=subprocess.PIPE,
             stderr=subprocess.STDOUT,
-            env={**os.environ, "EDGE_ADMIN": door},
+            env={**os.environ, "EDGE_ADMIN": admin_address},
         )
         assert fleet.run_until(lambda: process.poll() is not None, 20)
         return process.returncode, process.stdout.read()
@@ -587,17 +587,17 @@
     """Guards against a fault seen on a busy machine: `halt` was reported as done before the gateway that it
     was sent to had learned it, so that a `start` at the same gateway used the previous release term."""
     clock = SimpleNamespace(now=lambda: 5 * S)
-    part = SimpleNamespace(
+    component = SimpleNamespace(
         _tickets=[4],
         _answers={4: CommandAnswer(CommandReply(True, 2, State.HALTED), 4 * S)},
         gateway=SimpleNamespace(loop=SimpleNamespace(clock=clock)),
         member=SimpleNamespace(release=SimpleNamespace(term=1)),
     )
-    assert json.loads(RolloutComponent._ticket_reply(part, "4").body) == {"pending": True}
-    part.member.release.term = 2
-    assert json.loads(RolloutComponent._ticket_reply(part, "4").body)["ok"]
-    part.member.release.term, clock.now = 1, lambda: 4 * S + LEARN_TIMEOUT_NS
-    assert json.loads(RolloutComponent._ticket_reply(part, "4").body)["ok"]
+    assert json.loads(RolloutComponent._ticket_reply(component, "4").body) == {"pending": True}
+    component.member.release.term = 2
+    assert json.loads(RolloutComponent._ticket_reply(component, "4").body)["ok"]
+    component.member.release.term, clock.now = 1, lambda: 4 * S + LEARN_TIMEOUT_NS
+    assert json.loads(RolloutComponent._ticket_reply(component, "4").body)["ok"]
 
 
 def lone_member(nodes=40):
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -36,7 +36,7 @@
 
 
 def with_settings(*args, **limits):
-    """Runs a test on a stage with changed settings; the arguments are those of `settings`."""
+    """Runs a test on a harness with changed settings; the arguments are those of `settings`."""
     return pytest.mark.parametrize("harness", [{"settings": settings(*args, **limits)}], indirect=True)
 
 
@@ -268,8 +268,8 @@
 
 
 @pytest.fixture
-def stage_without_linger(harness, monkeypatch):
-    """A stage whose gateway does not wait for late clients when it stops."""
+def harness_without_linger(harness, monkeypatch):
+    """A harness whose gateway does not wait for late clients when it stops."""
     monkeypatch.setattr(gateway_module, "LINGER_NS", 0)
     return harness
 
@@ -279,27 +279,27 @@
     return not harness.gateway.loop.running
 
 
-def test_a_client_that_connects_in_the_last_turn_of_a_stop_is_served(stage_without_linger):
-    stage_without_linger.gateway.stop()
-    late_client = stage_without_linger.client()
+def test_a_client_that_connects_in_the_last_turn_of_a_stop_is_served(harness_without_linger):
+    harness_without_linger.gateway.stop()
+    late_client = harness_without_linger.client()
     late_client.call()
-    line = stage_without_linger.until(lambda: next(iter(fetches(stage_without_linger.cache)), None))
-    assert not has_stopped(stage_without_linger)
-    stage_without_linger.cache.send((ANSWER % line.split(" ")[1]).encode())
-    stage_without_linger.until(lambda: has_stopped(stage_without_linger))
+    line = harness_without_linger.until(lambda: next(iter(fetches(harness_without_linger.cache)), None))
+    assert not has_stopped(harness_without_linger)
+    harness_without_linger.cache.send((ANSWER % line.split(" ")[1]).encode())
+    harness_without_linger.until(lambda: has_stopped(harness_without_linger))
     assert late_client.answers()[0][1] == "success"
 
 
-def test_a_stop_closes_idle_clients_and_drops_requests_that_cross_the_close(stage_without_linger):
-    idle_client = stage_without_linger.client()
-    served(stage_without_linger, idle_client)
-    stage_without_linger.gateway.stop()
-    stage_without_linger.until(lambda: idle_client.poll() is not None and idle_client.closed)
+def test_a_stop_closes_idle_clients_and_drops_requests_that_cross_the_close(harness_without_linger):
+    idle_client = harness_without_linger.client()
+    served(harness_without_linger, idle_client)
+    harness_without_linger.gateway.stop()
+    harness_without_linger.until(lambda: idle_client.poll() is not None and idle_client.closed)
     idle_client.call(2, i="9b1f03aa5c7e2d42")
-    stage_without_linger.until(
-        lambda: has_stopped(stage_without_linger) or fetches(stage_without_linger.cache)
+    harness_without_linger.until(
+        lambda: has_stopped(harness_without_linger) or fetches(harness_without_linger.cache)
     )
-    assert has_stopped(stage_without_linger) and len(idle_client.answers()) == 1
+    assert has_stopped(harness_without_linger) and len(idle_client.answers()) == 1
 
 
 def test_a_request_after_the_last_answers_of_a_stop_is_refused_at_once(harness):
