--- a/olivecourse/rollout/component.py
+++ b/olivecourse/rollout/component.py
@@ -1,8 +1,8 @@
 """Runtime of the rollout agreement in a gateway: sockets, disk, the drains of stores and of this gateway.
 
-A step is what the agreement's state machine asks for: disk writes, messages and answers. A worker thread does
-the disk writes of each step. No message or answer of a step, or of a later one, leaves the process before
-those writes are on disk.
+A step is what the agreement's state machine (`Member`) asks for: disk writes, messages and answers. A worker
+thread does the disk writes of each step. No message or answer of a step, or of a later one, leaves the
+process before those writes are on disk.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 MS, S = 1_000_000, 1_000_000_000
 TICK_NS = 20 * MS  # interval of the periodic timer
-FOLDER_RETRY_NS = 1 * S  # interval between attempts to open the voting member's folder
+FOLDER_RETRY_NS = 1 * S  # interval between attempts to open the folder with a voting member's acceptor state
 REFRESH_NS = 100 * MS  # interval at which the state of the stores is read again and the leases are applied
 MAX_DATAGRAMS_PER_TURN = 256  # datagrams read from the socket in one turn of the event loop
 MAX_QUEUED_STEPS = 1024  # steps that wait for the disk; further steps are dropped, like lost datagrams
@@ -52,15 +52,15 @@
 
 
 class DisabledGate:
-    """Gate of a release whose plan turns gates off: it never halts."""
+    """Replaces the canary check of a release whose plan has `gates: false`: it never halts the release."""
 
     def update(self, new: tuple[int, int], old: tuple[int, int]) -> str:
         return ""
 
 
 class CanaryGate:
-    """Gate of a release that compares the old and the new version with a sequential test of their rates of
-    bad requests."""
+    """Canary check of a release: compares the gateways with the new version and all others by a sequential
+    test of their rates of bad requests."""
 
     def __init__(self, plan: Plan) -> None:
         # Imports scipy, so it is loaded only if a release with gates runs.
@@ -144,8 +144,9 @@
             admin_component.handlers.extension_handlers.append(self.call)
 
     def _open_folder(self) -> tuple[Disk | None, dict[str, Any], bool]:
-        """Opens the folder of this voting member. Returns the folder (None if it cannot be opened), the
-        acceptor state in it by register key, and whether this member may vote with that state."""
+        """Opens the folder in which this voting member keeps its acceptor state. Returns the folder (None if
+        none is configured or it cannot be opened), the acceptor state in it by register key, and whether this
+        member may vote with that state."""
         if self.config.folder is None:
             return None, {}, False
         try:
@@ -200,7 +201,8 @@
     # Timer --------------------------------------------------------------------------------------------
 
     def _tick(self) -> None:
-        """Runs the periodic work of the member and the agent, and schedules itself again in TICK_NS."""
+        """Runs the periodic work of `self.member` (agreement with the other gateways) and `self.agent` (this
+        gateway's own leases), and schedules itself again in TICK_NS."""
         now = self.gateway.loop.clock.now()
         if now >= self._next_refresh_at:
             self._next_refresh_at = now + REFRESH_NS
@@ -213,8 +215,8 @@
         self.gateway.loop.after(TICK_NS, self._tick)
 
     def _record_alive(self, now: int) -> None:
-        """Updates the time stamp of the folder, by writing an empty step, if this member votes. If the folder
-        is configured and not open, tries to open it."""
+        """Updates the time stamp in the folder with the acceptor state, by writing an empty step, if this
+        gateway votes. If the folder is configured and not open, tries to open it."""
         if self._disk is None and self.config.folder is not None:
             self._next_alive_at = now + FOLDER_RETRY_NS
             self._disk, acceptor_states, votes = self._open_folder()
@@ -229,7 +231,7 @@
             self._write()
 
     def _refresh(self, now: int) -> None:
-        """Updates what the member knows of this gateway and its stores: the store list, the operators'
+        """Updates what `self.member` knows of this gateway and its stores: the store list, the operators'
         drains, the stores that the router avoids, and the counts of the request tracker. Then applies
         the leases."""
         self._refresh_stores(now)
@@ -246,8 +248,8 @@
         self._apply_leases()
 
     def _refresh_stores(self, now: int) -> None:
-        """Updates the member's groups of stores and hub caches, and which of their items are out of service
-        or cold, by group key."""
+        """Updates the groups of stores and hub caches that `self.member` checks budgets against, and which of
+        their items are out of service or cold, by group key."""
         gateway, settings = self.gateway, self.gateway.config.settings
         limits = self.config.section.budgets
         capacity: dict[str, dict[int, float]] = {}
@@ -282,8 +284,9 @@
         }
 
     def _apply_leases(self) -> None:
-        """Applies the leases in phase OUT: this gateway sends no requests to the stores that have one, and
-        drains if it has one itself for an operator's drain or as confirmed by its agent."""
+        """Applies the leases in phase OUT. This gateway sends no requests to stores that have one. It drains
+        itself if it has one for an operator's drain, or if the `Agent` in this process has taken this gateway
+        out of service after a majority of the voting members confirmed the activation of its lease."""
         tables = self.member.tables()
         out = {
             p.item
@@ -351,14 +354,14 @@
             )
 
     def _take_out(self, item: int) -> None:
-        """Called by the agent when an item may go out of service: drains this gateway. Stores are taken out
-        by `_apply_leases` on all gateways."""
+        """Called by `self.agent` when an item may go out of service: drains this gateway if it is the item.
+        Stores are taken out by `_apply_leases` on all gateways."""
         if item == self.me:
             self._set_draining(True)
 
     def _bring_back(self, item: int) -> None:
-        """Called by the agent when an item returns to service: ends the drain of this gateway. Stores are
-        brought back by `_apply_leases` on all gateways."""
+        """Called by `self.agent` when an item returns to service: ends the drain of this gateway if it is the
+        item. Stores are brought back by `_apply_leases` on all gateways."""
         if item == self.me:
             self._set_draining(False)
 
@@ -372,8 +375,8 @@
     # Steps --------------------------------------------------------------------------------------------
 
     def _flush(self) -> None:
-        """Carries out what the member asks for. Messages and answers wait in a queue for the disk if this or
-        an earlier step must be written first."""
+        """Carries out the step that `self.member` has collected. Its messages and answers wait in a queue if
+        this or an earlier step must be written to disk first."""
         step = self.member.take_step()
         if not (step.durable or step.sends or step.done):
             return
@@ -385,7 +388,8 @@
 
     def _write(self) -> None:
         """Hands all queued steps to the disk worker, to be written with one sync, unless a write is in
-        progress. A member that has just recovered writes its complete state."""
+        progress. A voting member that has just recovered its acceptor state from the others writes all of
+        it."""
         if self._writing or not self._steps or self._disk is None:
             return
         steps, self._steps = list(self._steps), deque()
@@ -418,8 +422,8 @@
         self._write()
 
     def _execute(self, step: Step) -> None:
-        """Sends the messages of a step and passes on its answers to the agent or to a waiting command; the
-        disk writes of the step are already done."""
+        """Sends the messages of a step, and passes on its answers to `self.agent` or stores them for the
+        ticket of an operator's command; the disk writes of the step are already done."""
         for target, message in step.sends:
             try:
                 self._sock.sendto(self.wire.encode(target, message), self.addresses[target])
@@ -457,8 +461,8 @@
     # Operators' interface -----------------------------------------------------------------------------
 
     def call(self, method: str, path: str, body: bytes) -> Reply | None:
-        """Handles an HTTP call of the operators' interface; returns None if the path belongs to another
-        part."""
+        """Handles an HTTP call of the operators' interface; returns None if method and path are
+        none of the rollout's."""
         if path == "/rollout/status" and method == "GET":
             return _reply(200, self.status())
         if path.startswith("/rollout/ticket/") and method == "GET":
@@ -576,8 +580,8 @@
         }
 
     def _replaceable(self) -> str:
-        """The program version that may replace this process now, or an empty string if none may, or while
-        client requests are open."""
+        """The program version that may replace this process now. Empty if none may, and also while client
+        requests are still open here."""
         return "" if self.gateway.tracker.open else self.agent.replaceable
 
     def _group_status(self, key: str) -> dict[str, Any]:
--- a/olivecourse/rollout/quorum_register.py
+++ b/olivecourse/rollout/quorum_register.py
@@ -82,8 +82,8 @@
 
 class Reject(msgspec.Struct, frozen=True, array_like=True):
     """Refusal of a `Prepare` or `Accept` with this `ballot`: the acceptor has promised the higher ballot
-    `seen`. With `fenced` set, the reason is instead that the proposed value is based on an outdated term of
-    the release."""
+    `seen`. With `fenced` set, the reason is instead that the proposer knew an older term of the software
+    release (`Release.term`) than the acceptor does; see `member.is_fenced`."""
 
     key: str
     ballot: Ballot
@@ -111,7 +111,8 @@
 class RecoveryReply(msgspec.Struct, frozen=True, array_like=True):
     """Reply to `RecoveryRequest` with the state of one register, out of `total` registers that the sender
     holds and sends one by one; a `total` of 0 means that it holds none. `authoritative` is true if the sender
-    votes, and false if its folder may be an outdated copy."""
+    votes, and false if it does not, for instance because its state on disk may be an outdated copy that lacks
+    its latest promises."""
 
     nonce: int
     total: int
@@ -153,10 +154,10 @@
     """Proposer and acceptor of one member, for all registers.
 
     `apply_operations(key, value, operations, out)` computes the next value of a register and one answer for
-    each operation; `out` has the items that the promises list as out of service. `fence` returns whether a
-    value that is to be accepted is based on an outdated term of the release. The constructor argument `out`
-    returns the items of a register's group that this member itself considers out of service; its promises
-    carry them.
+    each operation; `out` has the stores or gateways that the promises list as out of service. `fence` returns
+    whether this member must refuse to accept a value, because its proposer knew an older term of the software
+    release. The constructor argument `out` returns the stores or gateways of a register's group that this
+    member itself considers out of service; its promises carry them.
     """
 
     def __init__(
@@ -171,8 +172,9 @@
         votes: bool = True,
     ) -> None:
         """`votes` says whether this member takes part in ballots. It is False for a gateway that is not one
-        of `members`. It is False also for a member that has no folder open, or an empty or outdated one,
-        until that member has recovered the state of the other members."""
+        of `members`. It is False also for a member whose folder with the acceptor state on disk is not
+        open, is empty, or may be an outdated copy (`Disk.is_stale`), until that member has recovered the
+        state of the other members."""
         self.me, self.members, self.acceptor_states = me, tuple(members), dict(acceptor_states)
         self._apply_operations, self._fence, self._out, self._random = apply_operations, fence, out, random
         self.votes = votes
@@ -315,7 +317,7 @@
 
     def _handle_accept(self, message: Accept) -> Accepted | Reject:
         """Accepts the value of a phase 2 request, unless this acceptor has promised a higher ballot or
-        `fence` finds the value based on an outdated term of the release."""
+        `fence` reports that the proposer knew an older term of the software release than this member."""
         acceptor_state = self.acceptor_states.get(message.key, AcceptorState())
         if message.ballot < acceptor_state.promised:
             return Reject(message.key, message.ballot, acceptor_state.promised)
@@ -395,8 +397,8 @@
             self._start(key, now)
 
     def load_acceptor_states(self, acceptor_states: dict[str, AcceptorState], votes: bool) -> None:
-        """Replaces the register states by those read from a folder that could be opened only after the start
-        of the process. `votes` says whether this member may vote with them."""
+        """Replaces the register states by those read from this member's folder on disk, which could be opened
+        only after the start of the process. `votes` says whether this member may vote with them."""
         self.acceptor_states, self.votes = dict(acceptor_states), votes
         for key, acceptor_state in acceptor_states.items():
             if acceptor_state.value:
@@ -406,7 +408,7 @@
 
     def _request_recovery(self, now: int) -> None:
         """Asks the other members for their register states, every 4 * RESEND_INTERVAL_NS from the end of the
-        waiting time QUARANTINE_NS until enough members have answered."""
+        waiting time QUARANTINE_NS, until `_on_recovery_reply` gives this member the right to vote."""
         if self._recovery is None:
             self._recovery = (self._random.getrandbits(31), now, {}, {})
         nonce, started_at, _, _ = self._recovery
@@ -427,9 +429,9 @@
             )
 
     def _on_recovery_reply(self, sender: int, message: RecoveryReply) -> None:
-        """Collects register states of other members. Adopts the newest state of each register, and the right
-        to vote, once a majority of voting members, or all members except this one, have sent all of
-        theirs."""
+        """Collects the register states that other members send to this one, which has lost its disk. Adopts
+        the newest state of each register, and the right to vote, once the complete states have arrived either
+        from members that vote now and are a majority of all members, or from all members except this one."""
         if self.votes or self._recovery is None or message.nonce != self._recovery[0]:
             return
         _, _, found, totals = self._recovery
@@ -441,8 +443,10 @@
             found.setdefault(sender, {})[message.key] = message.acceptor_state
         complete = [m for m, total in totals.items() if len(found.get(m, {})) >= total]
         # Any majority made up of other members shares a member with every majority that this member may have
-        # been part of, and so knows its outcome. If all folders are outdated, as after a long power cut, all
-        # other members together hold every value that was chosen.
+        # been part of, and so knows its outcome. This counts only members that vote. After a power cut longer
+        # than `disk.STALE_AFTER_S`, the time stamps in all folders are too old and no member votes, so that
+        # such a majority never forms. This member then waits for the states of all other members: together
+        # they hold every value that was chosen.
         if (
             len(self._authoritative_members.intersection(complete)) < self.majority
             and len(complete) < len(self.members) - 1
