--- a/olivecourse/rollout/agent.py
+++ b/olivecourse/rollout/agent.py
@@ -31,12 +31,15 @@
 
 MS, S = 1_000_000, 1_000_000_000
 ACTIVATION_VALID_NS = 1 * S  # an item goes out at most this long after its activation was requested
-RETRY_NS = 500 * MS  # until a queued or refused lease request is repeated, as for an item not warm yet
-RELEASE_JITTER_NS = 300 * MS  # upper bound of a gateway's random delay before it requests its own lease
+# Interval at which a lease operation that was queued, refused or not answered is submitted again. An item
+# that has come back is refused the end of its lease until it is warm, for instance.
+RETRY_NS = 500 * MS
+# Upper bound of the random delay after which a gateway requests the lease to restart itself for a release.
+RELEASE_JITTER_NS = 300 * MS
 
 
 class AgreementClient(Protocol):
-    """The interface of `Member` that the agent uses; `Member` explains the methods."""
+    """The part of the interface of `member.Member` that `Agent` uses; `Member` explains the methods."""
 
     version: str
 
@@ -81,7 +84,9 @@
     requested_at: int = 0
     action: LeaseAction = LeaseAction.ACQUIRE
     status_text: str = ""
-    activation_confirmed: bool = False  # confirmed within ACTIVATION_VALID_NS of its request
+    # A majority of the voting members accepted the activation of the lease, and this process learned that
+    # within ACTIVATION_VALID_NS of its request.
+    activation_confirmed: bool = False
     release_term: int = 0
 
 
@@ -102,8 +107,8 @@
         now: int,
         skip_activation: bool = False,
     ) -> None:
-        """`skip_activation` makes the agent act on a granted lease without activating it first. Tests use
-        this to show the fault that activation prevents."""
+        """`skip_activation` takes an item out of service as soon as its lease is granted, without moving the
+        lease to phase OUT first. Tests use this to show the fault that this activation prevents."""
         self.me, self.key, self._fleet, self._member, self._random = me, key, fleet, member, random
         self._take_out, self._bring_back, self._skip_activation = take_out, bring_back, skip_activation
         self.works: dict[int, Work] = {}
@@ -164,7 +169,8 @@
 
     def _cancel_orphans(self, now: int) -> None:
         """Cancels queued requests and leases in phase GRANTED that name this gateway as holder but for which
-        it has no `Work`: their answer came too late, or an earlier process requested them."""
+        it has no `Work`: this process gave up the item before the answer came, or an earlier process of this
+        gateway requested them."""
         for key, table in self._member.tables().items():
             unwanted = [p.item for p in table.leases if p.phase is Phase.GRANTED and p.holder == self.me]
             unwanted += [queued.item for queued in table.queue if queued.holder == self.me]
@@ -174,7 +180,8 @@
 
     def _tick_own_item(self, now: int) -> None:
         """Handles the lease of this gateway itself: takes over one left by an earlier process, requests one
-        when the release reaches this gateway, and gives it up when the release is halted."""
+        when the wave of the software release with this gateway has started, and gives it up when the release
+        is halted."""
         work, release = self.works.get(self.me), self._member.release
         if work is None:
             leftover = self._member.table(self.key).lease_of(self.me)
@@ -260,8 +267,9 @@
         return True
 
     def _on_activation_reply(self, work: Work, answer: Answer, now: int) -> None:
-        """Takes the item out of service if the activation of its lease was confirmed within
-        ACTIVATION_VALID_NS; otherwise requests the activation, or after a refusal a new lease, again."""
+        """Takes the item out of service if the voting members accepted the activation of its lease (phase
+        OUT) and the answer came within ACTIVATION_VALID_NS of the request. A later answer leads to a new
+        request for the activation, a refusal to a request for a new lease."""
         if answer.outcome is not Outcome.DONE:  # lease lost, release halted or budget used up: start over
             work.stage, work.token = Stage.WANTED, 0
         elif now - work.requested_at > ACTIVATION_VALID_NS:
--- a/olivecourse/rollout/quorum_register.py
+++ b/olivecourse/rollout/quorum_register.py
@@ -429,7 +429,7 @@
             )
 
     def _on_recovery_reply(self, sender: int, message: RecoveryReply) -> None:
-        """Collects the register states that other members send to this one, which has lost its disk. Adopts
+        """Collects the register states that other members send to this one, which may not vote yet. Adopts
         the newest state of each register, and the right to vote, once the complete states have arrived either
         from members that vote now and are a majority of all members, or from all members except this one."""
         if self.votes or self._recovery is None or message.nonce != self._recovery[0]:
