--- a/olivecourse/rollout/budgets.py
+++ b/olivecourse/rollout/budgets.py
@@ -52,6 +52,6 @@
         return ""
 
     def over_budget(self, out: Collection[int]) -> bool:
-        """Returns whether more items are out of service than the budget's number, as after a failure during a
-        drain. No further lease is granted then."""
+        """Returns whether more items are out of service than the budget allows by number, as after a failure
+        during a drain. No further lease is granted then, unless an operator forces it."""
         return len(out) > self.budget.number
--- a/olivecourse/rollout/disk.py
+++ b/olivecourse/rollout/disk.py
@@ -24,12 +24,15 @@
 MAP_BYTES = 16 * 2**20  # upper bound of the size of the LMDB environment
 MARKER_KEY, LAST_ALIVE_KEY = b"member", b"seen"  # names of the records of the marker and the time stamp
 FORMAT_VERSION = 1
-ALIVE_INTERVAL_S = 30  # interval at which a running, voting member updates the time stamp of its folder
-STALE_AFTER_S = 3600  # a folder whose time stamp is off by more than this may be an outdated copy
+ALIVE_INTERVAL_S = 30  # interval at which a running, voting member updates the time stamp in its folder
+# A folder whose time stamp differs from the current time by more than this may be an old copy that lacks
+# promises made since.
+STALE_AFTER_S = 3600
 
 
 class FolderUnusable(OSError):
-    """The folder cannot be opened; the gateway then runs without it and without the right to vote."""
+    """The folder with the acceptor state cannot be opened; the gateway then runs without it and without the
+    right to vote."""
 
 
 class FolderLocked(FolderUnusable):
@@ -51,7 +54,8 @@
 
 
 class Disk:
-    """The opened folder of one voting member, with its LMDB environment and its lock."""
+    """The open folder in which one voting member keeps its acceptor state, with its LMDB environment and the
+    lock that keeps other processes out."""
 
     def __init__(self, folder: str, name: str, secret: bytes) -> None:
         """Opens the folder of member `name`, and creates it if missing; `secret` is the MAC key. Raises
@@ -141,7 +145,8 @@
                 txn.put(name, self._seal(name, msgspec.msgpack.encode(acceptor_state)))
 
     def write_recovered(self, acceptor_states: dict[str, AcceptorState], unix_s: int) -> None:
-        """Initializes the folder of a member that has recovered, and writes the complete recovered state."""
+        """Initializes the folder of a voting member that has recovered its acceptor state from the other
+        members, and writes that state in full."""
         self.init(unix_s)
         self.write(acceptor_states, unix_s)
 
--- a/olivecourse/rollout/liveness.py
+++ b/olivecourse/rollout/liveness.py
@@ -84,8 +84,8 @@
         record.heartbeat, record.received_at = heartbeat, now
 
     def reset_counts(self) -> None:
-        """Restarts the request counts of all gateways at zero; called when the gate of a release starts to
-        compare versions."""
+        """Restarts the request counts of all gateways at zero; called when the canary check of a release
+        starts to compare the old and the new version."""
         for record in self._records.values():
             record.ended, record.bad = record.heartbeat.ended, record.heartbeat.bad
 
