--- a/olivecourse/rollout/disruption_leases.py
+++ b/olivecourse/rollout/disruption_leases.py
@@ -65,7 +65,8 @@
 class LeaseTable(msgspec.Struct, frozen=True, array_like=True):
     """The leases of one group, and the requests that wait for one in order of arrival. `token` is the last
     fencing token issued. `release_term` is the newest term of the release known to any member that has
-    changed the table; `member.is_fenced` compares it with the term that a voter knows."""
+    changed the table; `member.is_fenced` compares it with the term known to each voting member that is to
+    accept the table."""
 
     token: int = 0
     release_term: int = 0
@@ -127,9 +128,10 @@
 
 @dataclass(frozen=True)
 class View:
-    """What the member that runs the ballot knows at that moment: the group, the items out of service as the
-    voters see them, the term of the release and whether it is halted, and, by `silent(holder)`, whether the
-    heartbeats of a holder have stopped for longer than the detection time (`LivenessTracker.silent`)."""
+    """What the member that runs the ballot knows at that moment: the group; the items out of service, as
+    listed by the members that promised the ballot or as seen by this one; the term of the release and whether
+    it is halted; and, by `silent(holder)`, whether the heartbeats of a holder have stopped for longer than
+    the detection time (`LivenessTracker.silent`)."""
 
     group: Group
     out: Collection[int]
@@ -204,8 +206,9 @@
 
 
 def _acquire(table: LeaseTable, op: LeaseOperation, view: View) -> tuple[LeaseTable, Answer]:
-    """Grants a lease to the holder if the group's budget and the requests queued before allow it; otherwise
-    queues or refuses the request."""
+    """Grants gateway `op.holder` a lease if the group's budget allows it and no earlier request is queued;
+    otherwise queues or refuses the request. The code below lists the exceptions for forced requests and for
+    items that are out of service anyway."""
     current = table.lease_of(op.item)
     if current is not None:
         if current.holder == op.holder and current.why == op.why:
@@ -266,7 +269,7 @@
 
 
 def _without(table: LeaseTable, lease: Lease) -> LeaseTable:
-    """The table without one of its leases."""
+    """Returns a copy of the table without `lease`."""
     return msgspec.structs.replace(table, leases=tuple(p for p in table.leases if p is not lease))
 
 
--- a/olivecourse/rollout/member.py
+++ b/olivecourse/rollout/member.py
@@ -72,7 +72,8 @@
 
 
 class ReleaseGate(Protocol):
-    """Canary check of a release: compares the new version with the old one by their rates of bad requests."""
+    """Canary check of a release: compares the gateways with the new version and all others by their rates of
+    badly ended requests."""
 
     def update(self, new: tuple[int, int], old: tuple[int, int]) -> str:
         """Takes the request counts (ended, badly ended) of the gateways with the new version and of all
@@ -135,8 +136,8 @@
         votes: bool = True,
     ) -> None:
         """`incarnation` is the Unix time of the process start in milliseconds. `version` is the program
-        version that this process runs. `votes` says whether the acceptor states may be trusted for voting;
-        see `QuorumRegisters`."""
+        version that this process runs. `votes` is False if the acceptor states from disk are missing or may
+        lack the latest promises, so that this gateway must not vote with them; see `QuorumRegisters`."""
         self.setup, self.incarnation, self.version, self._random = setup, incarnation, version, random
         self.liveness = LivenessTracker(setup.me, setup.fleet, now)
         self._peers = [node for node in setup.fleet if node != setup.me]
@@ -173,8 +174,9 @@
     # Known values -------------------------------------------------------------------------------------
 
     def _learn_accepted_values(self) -> None:
-        """At the start, treats values that this member has accepted as learned. A majority may not have
-        accepted them, but taking them into account can only make this gateway more cautious."""
+        """Called at the start: treats the register values that this member has accepted in ballots as if a
+        majority had accepted them. That may be wrong, but can only make this gateway more cautious about
+        going out of service."""
         for key, acceptor_state in self.register.acceptor_states.items():
             if acceptor_state.value:
                 self.register.learn(Learn(key, acceptor_state.accepted, acceptor_state.value))
@@ -223,10 +225,11 @@
         return out | self._possibly_cold(key)
 
     def _possibly_cold(self, key: str) -> set[int]:
-        """Items whose lease is in phase BACK for less than the cold period: they receive requests again and
-        may still be cold. The store list may show the restart of an item later than its holder does, and a
-        voter that has just started does not know when the item came back. Each voter therefore counts the
-        cold period from the time at which it learned of the return."""
+        """Items whose lease is in phase BACK for less than the cold period of their group
+        (`ObservedStores.cold_ns`): they receive requests again and may still be cold. The store list may show
+        the restart of an item later than its holder does, and a voting member that has just started does not
+        know when the item came back. Each therefore counts the cold period from the time at which it learned
+        of the return."""
         cold = self.observed_stores.cold_ns.get(key, 0)
         restored = {
             (key, p.item, p.token) for p in self.table(key).leases if p.phase is disruption_leases.Phase.BACK
@@ -400,8 +403,8 @@
             self.register.propose(releases.KEY, self._last_handle, command, now)
 
     def _refresh_halt(self) -> None:
-        """Forgets a received halt notice once a release state of a newer term is known; if that state is
-        itself halted, its term takes the place of the notice's."""
+        """Forgets the `halted_term` of a received halt notice once a release state with a higher term is
+        known; if that state is itself halted, its term becomes the `halted_term`."""
         release = self.release
         if release.term > self.halted_term:
             self.halted_term = release.term if release.state is State.HALTED else 0
@@ -454,8 +457,9 @@
 
     def _supervise(self, now: int) -> None:
         """Run by the coordinating member every SUPERVISION_NS: submits the cleanup of leases whose holders
-        have failed, evaluates the canary gate, and starts the next wave once a wave is complete and its soak
-        time has passed. After the last wave, or a rollback, it ends the release."""
+        have failed, and evaluates the canary check of the release. Starts the next wave of gateways once all
+        gateways of the current wave serve with the new version and its soak time has passed. After the last
+        wave, or a rollback, it ends the release."""
         for key, table in self.tables().items():
             for op in disruption_leases.cleanup_operations(
                 table, lambda holder: self.liveness.silent(holder, now), self.out(key)
@@ -488,8 +492,8 @@
             self.submit(releases.KEY, CommandRequest(command, release.term, self.setup.me, now // S), now)
 
     def _has_too_few_requests(self, release: Release) -> bool:
-        """Returns whether the release has a canary gate and gateways with the new version have ended fewer
-        than MIN_GATE_REQUESTS requests in total since the gate started."""
+        """Returns whether the release has a canary check, and gateways with the new version have ended fewer
+        than MIN_GATE_REQUESTS client requests in total since that check started."""
         if self._gate is None:
             return False
         requests = sum(
@@ -500,9 +504,9 @@
         return requests < MIN_GATE_REQUESTS
 
     def _halted_by_gate(self, release: Release, now: int) -> bool:
-        """Evaluates the canary gate of the release; returns True, after submitting a halt, if the gate finds
-        the new version worse. A gate keeps its counts over all waves and is replaced when an operator's
-        command has raised the term of the release."""
+        """Evaluates the canary check of the release; returns True, after submitting a halt, if it finds that
+        the new version serves worse than the old one. The check counts requests over all waves, and starts
+        again at zero when an operator's command has raised the term of the release."""
         if release.state is not State.RUNNING or self.setup.make_gate is None or not release.plan.gates:
             self._gate = None
             return False
@@ -557,10 +561,10 @@
 
 
 def is_fenced(acceptor_states: Mapping[str, AcceptorState], key: str, value: bytes) -> bool:
-    """Returns whether a voter must refuse to accept `value` for register `key`: it grants or activates a
-    lease for a release, and its proposer knew an older release term than this voter does. After a majority
-    has accepted a halt, no majority therefore accepts such a change by a proposer that does not know the
-    halt. `slots` is the acceptor state of the voter."""
+    """Returns whether a voting member must refuse to accept `value` for register `key`: it grants or
+    activates a lease for a release, and its proposer knew an older release term than this member does. After
+    a majority has accepted a halt, no majority therefore accepts such a change by a proposer that does not
+    know the halt. `acceptor_states` is the acceptor state of this member by register key."""
     if key == releases.KEY:
         return False
     release_value, lease_value = (acceptor_states.get(k, AcceptorState()).value for k in (releases.KEY, key))
