--- a/olivecourse/rollout/commands.py
+++ b/olivecourse/rollout/commands.py
@@ -16,8 +16,9 @@
 from olivecourse.config.address import parse_address
 
 REQUEST_TIMEOUT_S = 5.0  # of one HTTP call; a gateway answers management calls within one second
-TICKET_TIMEOUT_S = 6.0  # until a command counts as unanswered; it may still take effect, as the status shows
-POLL_INTERVAL_S = 0.2  # between two requests for the status
+# Time after which a release command counts as unanswered; it may take effect later (see `rollout status`).
+TICKET_TIMEOUT_S = 6.0
+POLL_INTERVAL_S = 0.2  # between two requests for `/rollout/status` by `status --watch` and `drain --wait`
 ADDRESS = click.option(
     "--address",
     envvar=["EDGE_MGMT", "EDGE_ADMIN"],
--- a/olivecourse/rollout/release_analysis.py
+++ b/olivecourse/rollout/release_analysis.py
@@ -77,8 +77,9 @@
 
 
 def sides(counts: Mapping[int, tuple[str, Counts]], version: str) -> tuple[Counts, Counts]:
-    """Sums the request counts of all gateways since the release began, from a map of gateway number to
-    version and counts. Returns the sum for gateways that run `version` and the sum for all others."""
+    """Sums the request counts of all gateways since the release began, from a map of gateway number to the
+    version that the gateway runs and its counts. Returns the sum for gateways that run `version` and the sum
+    for all others."""
 
     def total(new: bool) -> Counts:
         selected = [c for gateway_version, c in counts.values() if (gateway_version == version) == new]
--- a/olivecourse/rollout/releases.py
+++ b/olivecourse/rollout/releases.py
@@ -20,7 +20,7 @@
 
 KEY = "release"  # key of the register that holds the release
 MAX_VERSION_LENGTH = 24  # characters of a version's name
-MAX_WAVES = 6  # waves in a plan
+MAX_WAVES = 6  # waves in a plan; a wave is the set of gateways that restart before the next soak time
 
 
 class State(IntEnum):
@@ -126,7 +126,8 @@
     Command.NEXT: State.RUNNING,
     Command.END: State.DONE,
 }
-STOPPING_COMMANDS = (Command.PAUSE, Command.HALT)  # accepted under any term: a stop is always safe
+# Accepted even if the sender knows an older term of the release: to stop a release is always safe.
+STOPPING_COMMANDS = (Command.PAUSE, Command.HALT)
 
 
 class CommandReply(msgspec.Struct, frozen=True, array_like=True, tag=2):
@@ -231,8 +232,9 @@
 
 @lru_cache(maxsize=2)  # one release is active at a time, and its waves are looked up many times a second
 def waves(version: str, shares: tuple[int, ...], gateways: tuple[int, ...]) -> Mapping[int, int]:
-    """Returns the wave number, from 0, of each gateway. `shares` has the share of the fleet in percent that
-    is done after each wave. The first wave has at least one gateway."""
+    """Returns the wave of a release, from 0, in which each gateway gets the new version, by gateway number.
+    `shares` has, for each wave, the share of the fleet in percent that has the version after it. The first
+    wave has at least one gateway."""
     last_ranks = [max(len(gateways) * share // 100, 1) for share in shares]
     wave_numbers, number = dict[int, int](), 0
     for rank, item in enumerate(order(version, gateways)):
@@ -243,8 +245,8 @@
 
 
 def wave_of(plan: Plan, gateways: Sequence[int], item: int) -> int:
-    """Returns the wave number, from 0, of gateway `item` under this plan. Raises KeyError for a gateway that
-    is not in the fleet."""
+    """Returns the wave, from 0, in which gateway `item` gets the new version under this plan. Raises KeyError
+    for a gateway that is not among `gateways`, the numbers of all gateways of the fleet."""
     return waves(plan.version, tuple(plan.waves), tuple(gateways))[item]
 
 
@@ -264,7 +266,8 @@
 
 @dataclass(frozen=True)
 class GatewayStatus:
-    """What the heartbeats of a gateway say: its version, and whether it serves and is warm."""
+    """What the heartbeats of a gateway say: the version that it runs, and in `warm` whether they still arrive
+    and report that it serves and is warm."""
 
     version: str
     warm: bool
--- a/olivecourse/rollout/section.py
+++ b/olivecourse/rollout/section.py
@@ -52,9 +52,10 @@
 
 class RolloutSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The `rollout:` section. `gateways` must be in the same order on all gateways, since datagrams carry
-    positions in this list. `members` names the gateways that vote; `keys` is the path of the key file, and
-    `folder` that of the voter's folder. Without a `folder` this gateway starts without the right to vote.
-    `warm_s` is the time in seconds for which a gateway still counts as cold after it is ready."""
+    positions in this list. `members` names the gateways that vote on leases and releases; `keys` is the path
+    of the key file, and `folder` that of the folder in which a voting gateway keeps its acceptor state.
+    Without a `folder` this gateway starts without the right to vote. `warm_s` is the time in seconds for
+    which a gateway still counts as cold after it is ready."""
 
     keys: str
     gateways: Annotated[list[GatewayEntry], msgspec.Meta(min_length=1, max_length=MAX_GATEWAYS)]
@@ -94,9 +95,9 @@
     key_file: Path
 
     def read_keys(self) -> tuple[Keys, bytes]:
-        """Returns the datagram keys, and the key for the MACs of the records in the voter's folder. The
-        latter is the key with the lowest number, so that the folder stays readable while keys with higher
-        numbers are added and removed. Raises InvalidSection."""
+        """Returns the datagram keys, and the key for the MACs of the records in the folder with the acceptor
+        state (`disk.Disk`). The latter is the key with the lowest number, so that the folder stays readable
+        while keys with higher numbers are added and removed. Raises InvalidSection."""
         try:
             contents = msgspec.convert(json.loads(self.key_file.read_text("utf-8")), KeyFile)
             keys = {int(number): bytes.fromhex(text) for number, text in contents.keys.items()}
--- a/olivecourse/rollout/wire.py
+++ b/olivecourse/rollout/wire.py
@@ -24,7 +24,9 @@
 MAX_DATAGRAM_BYTES = 256
 MAC_BYTES, HEADER_BYTES = 16, 17  # the header is the key id and the MAC
 REPLAY_WINDOW = 256  # a datagram is dropped if its count is this far below the sender's highest one
-MAX_REASON_CHARS = 40  # a halt's reason is cut off here; that of an answer at twice as many
+# Characters after which the reason in a halt notice is cut off; the reason in an answer to a lease operation
+# or command is cut off after twice as many.
+MAX_REASON_CHARS = 40
 KINDS: tuple[type[Any], ...] = (
     quorum_register.Prepare,
     quorum_register.Promise,
@@ -116,8 +118,8 @@
         self._replay = ReplayWindow()
 
     def encode(self, target: int, message: Any) -> bytes:
-        """Encodes and signs a message for gateway `target`. Reasons in the message are cut off; raises
-        ValueError if it is still larger than MAX_DATAGRAM_BYTES."""
+        """Encodes and signs a message for gateway `target`. The reason of a halt or an answer is cut off (see
+        MAX_REASON_CHARS); raises ValueError if the datagram is still larger than MAX_DATAGRAM_BYTES."""
         if isinstance(message, HaltNotice):
             message = msgspec.structs.replace(message, why=message.why[:MAX_REASON_CHARS])
         if isinstance(message, OperationReply):
@@ -147,7 +149,7 @@
             message = msgspec.msgpack.decode(raw, type=KINDS[kind])
         except msgspec.MsgspecError:
             raise BadDatagram("of another form") from None
-        # The replay check comes last, so that an unreadable datagram does not move the replay window.
+        # The replay check comes last, so that a datagram that cannot be decoded does not move the window.
         if not self._replay.accept(sender, incarnation, count):
             raise BadDatagram("come before")
         return sender, message
