--- a/olivecourse/modelcheck/explorer.py
+++ b/olivecourse/modelcheck/explorer.py
@@ -2,7 +2,8 @@
 and seeded random walks.
 
 Breadth-first search makes the trace of the first violation a shortest one. Random walks reach states that are
-too many transitions from the start for it. A state is any object with `moves()`, `violation()` and `key()`.
+too many transitions from the start for breadth-first search. A state is any object with `moves()`,
+`violation()` and `key()`.
 """
 
 from __future__ import annotations
@@ -47,8 +48,8 @@
 
 
 def explore(start: StateT, max_states: int, seconds: float = 1e9) -> SearchResult[StateT]:
-    """Searches breadth first from `start` for a violated invariant, until all states are visited or a number
-    of distinct states or seconds is exceeded."""
+    """Searches breadth first from `start` for a violated invariant, until all reachable states are visited,
+    `max_states` distinct states are found, or `seconds` have passed."""
     deadline = time.monotonic() + seconds
     predecessors: dict[Hashable, tuple[Hashable, str] | None] = {start.key(): None}
     queue: deque[StateT] = deque([start])
@@ -83,8 +84,9 @@
 def random_walks(
     start: StateT, walks: int, depth: int, seed: int, seconds: float = 1e9
 ) -> SearchResult[StateT]:
-    """Follows seeded random walks of up to `depth` transitions from `start` until one violates an invariant.
-    These reach greater depths than an exhaustive search, and the result is never marked complete."""
+    """Follows up to `walks` random walks of up to `depth` transitions from `start`, until one violates an
+    invariant or `seconds` have passed; equal seeds give equal walks. These reach greater depths than an
+    exhaustive search, and the result is never marked complete."""
     deadline, random = time.monotonic() + seconds, Random(seed)
     seen_hashes = set[Hashable]()
     for _ in range(walks):
--- a/olivecourse/modelcheck/lease_model.py
+++ b/olivecourse/modelcheck/lease_model.py
@@ -56,7 +56,7 @@
 
 
 class NoDelays(Random):
-    """Random source for the delay after an abandoned ballot, which is always zero because time is not
+    """Random source that makes the delay after an abandoned ballot always zero, because time is not
     modelled."""
 
     def random(self) -> float:
@@ -98,17 +98,21 @@
         self.disks: list[dict[str, AcceptorState]] = [dict(release) for _ in range(3)]
         self.nodes = [self._boot(n) for n in range(3)]
         self.net: tuple[tuple[int, int, Any], ...] = ()
-        # Stages of an item: in (service), requesting, granted, activating, confirmed, out, back.
+        # Stages of an item: "in" (in service, its gateway knows of no lease), "requesting" (a lease),
+        # "granted", "activating" (activation requested), "confirmed" (activation accepted by a majority),
+        # "out" (of service), "back" (in service again, end of the lease proposed).
         self.stage = dict.fromkeys(ITEMS, "in")
         self.token = dict.fromkeys(ITEMS, 0)
         if granted:
             self.stage[0], self.token[0] = "granted", 1
         self.granted_items: dict[int, int] = {}  # fencing token -> item it was granted for
         self.token_reused = False
-        self.halt = "" if halts else "never"  # after "": asked, then acknowledged
+        # Progress of the halt of the release: "" (not proposed yet), "asked", "acknowledged"; or "never".
+        self.halt = "" if halts else "never"
         # Whether an item went out that requested its lease or activation after the halt was acknowledged.
         self.started_after_halt = False
-        self.asked_after_halt: frozenset[int] = frozenset()  # items that requested either after it
+        # Items whose lease or activation was requested after the halt was acknowledged.
+        self.asked_after_halt: frozenset[int] = frozenset()
         self.handles: dict[tuple[int, int], str] = {}
         self.count = 0
 
@@ -216,8 +220,8 @@
             self._on_answer(number, self.handles.pop((number, handle), ""), answer)
 
     def _on_answer(self, number: int, purpose: str, answer: Any) -> None:
-        """Updates the stage of item `number`, or of the halt, after the answer to an operation that member
-        `number` proposed; `purpose` is that of `_propose`."""
+        """Updates `stage` of item `number`, or `halt`, after the answer to an operation that member `number`
+        proposed; `purpose` is the one passed to `_propose` with that operation."""
         if purpose == "halt":
             if isinstance(answer, CommandReply) and answer.accepted:
                 self.halt = "acknowledged"
@@ -286,8 +290,9 @@
         return successor
 
     def _after_activation_request(self, item: int) -> Model:
-        """The state after an item's gateway has requested the activation of its lease; with the fault of a
-        lease by the holder's clock alone, the item goes out at once."""
+        """The state after an item's gateway has requested the activation of its lease. With the planted
+        fault "lease by the holder's clock alone", the item goes out of service at once, without the
+        activation."""
         successor = self._copy()
         if self.fault == FAULTS[2]:
             successor.stage[item] = "out"
@@ -304,8 +309,8 @@
         return successor
 
     def _after_going_out(self, item: int) -> Model:
-        """The state after an item with a confirmed activation has gone out of service. Records whether the
-        item requested this after the halt of the release was acknowledged."""
+        """The state after an item whose activation a majority accepted has gone out of service. Records
+        whether the item requested this after the halt of the release was acknowledged."""
         successor = self._copy()
         successor.stage[item] = "out"
         successor.started_after_halt = successor.started_after_halt or (
@@ -455,8 +460,9 @@
 
 
 def find_planted_fault(fault: str, seed: int = 1, seconds: float = 20.0) -> SearchResult[Model]:
-    """Searches by random walks for a violation caused by a planted fault, within NARROW_BOUNDS, which leave
-    room for little else."""
+    """Searches by random walks for a violation caused by a planted fault. The NARROW_BOUNDS of the fault
+    allow few events (crashes, abandoned ballots, requests) that it does not need, so that it is found
+    soon."""
     return random_walks(Model(fault=fault, **NARROW_BOUNDS[fault]), 1_000_000, 40, seed, seconds)
 
 
