--- a/olivecourse/rollout/agent.py
+++ b/olivecourse/rollout/agent.py
@@ -118,7 +118,7 @@
 
     def request_lease(self, key: str, item: int, why: LeasePurpose, now: int, forced: bool = False) -> Work:
         """Starts to request a lease for an item of group `key`, and returns its `Work`. A repeated call for
-        the same item returns the same `Work`, until the item is on its way back."""
+        the same item returns the same `Work`, until the item receives requests again (`Stage.BACK`)."""
         work = self.works.get(item)
         if work is None or work.stage is Stage.BACK:
             work = self.works[item] = Work(
@@ -187,7 +187,7 @@
             leftover = self._member.table(self.key).lease_of(self.me)
             if leftover is not None and leftover.holder == self.me and leftover.why is not LeasePurpose.DRAIN:
                 work = self.works[self.me] = self._adopt(self.key, leftover)
-                if work.stage is Stage.GRANTED:  # the earlier process ended before the gateway went out
+                if work.stage is Stage.GRANTED:  # the earlier process ended before the gateway was drained
                     self._forget(work, now)
                 else:
                     work.stage = Stage.BACK
@@ -273,7 +273,7 @@
         if answer.outcome is not Outcome.DONE:  # lease lost, release halted or budget used up: start over
             work.stage, work.token = Stage.WANTED, 0
         elif now - work.requested_at > ACTIVATION_VALID_NS:
-            work.next_attempt_at = now  # confirmed too long ago: the process may have been suspended
+            work.next_attempt_at = now  # requested too long ago: the process may have been suspended since
         else:
             work.stage, work.activation_confirmed = Stage.OUT, True
             self._take_out(work.item)
--- a/olivecourse/rollout/component.py
+++ b/olivecourse/rollout/component.py
@@ -63,7 +63,7 @@
     test of their rates of bad requests."""
 
     def __init__(self, plan: Plan) -> None:
-        # Imports scipy, so it is loaded only if a release with gates runs.
+        # `release_analysis` imports scipy, so it is loaded only if a release with a canary check runs.
         import olivecourse.rollout.release_analysis as release_analysis
 
         self._analysis, self._gate = release_analysis, release_analysis.SequentialTest(plan.alpha, plan.worse)
@@ -132,7 +132,7 @@
         self._ready_since: int | None = None
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
-            if gateway.config.doors:  # in an upgrade, an earlier process of this gateway may still be bound
+            if gateway.config.doors:  # in an upgrade, the earlier process still has the port
                 self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
             self._sock.bind(self.addresses[self.me])
         except OSError:
@@ -412,7 +412,8 @@
                 "rollout_disk_failed",
                 why=str(error) if isinstance(error, OSError | lmdb.Error) else repr(error),
             )
-            # Promises would not be durable: no vote until a restart, or the recovery from the other members.
+            # Further promises would not be durable. This member does not vote until its process restarts or
+            # it has recovered the acceptor state from the other members.
             self.member.register.votes = False
             self.member.register.rounds.clear()
             return
@@ -528,7 +529,9 @@
         answer, waited = answered.answer, self.gateway.loop.clock.now() - answered.at
         why, term = failure_reason(answer), 0 if answer is None else answer.term
         if not why and term > self.member.release.term and waited < LEARN_TIMEOUT_NS:
-            return _reply(200, {"pending": True})  # the next command here must know the new term
+            # The operator's next command at this gateway carries the term that this gateway knows, and could
+            # be refused if that were still the old one.
+            return _reply(200, {"pending": True})
         return _reply(200, {"pending": False, "ok": not why, "why": why, "term": term})
 
     def _find_item(self, name: str) -> tuple[str, int] | None:
--- a/olivecourse/rollout/liveness.py
+++ b/olivecourse/rollout/liveness.py
@@ -54,7 +54,8 @@
 
     heartbeat: Heartbeat
     received_at: int
-    ended: int  # the heartbeat counter's value from which requests are counted; `bad` likewise
+    # Values of `Heartbeat.ended` and `Heartbeat.bad` that `LivenessTracker.counts` subtracts.
+    ended: int
     bad: int
 
 
--- a/olivecourse/rollout/quorum_register.py
+++ b/olivecourse/rollout/quorum_register.py
@@ -371,7 +371,7 @@
     def tick(self, now: int) -> None:
         """Sends unanswered messages again, abandons ballots and proposals that have timed out, and requests
         recovery if this member has no right to vote; must be called every few tens of milliseconds."""
-        # A gateway that is not one of the members never has the right to vote and recovers nothing.
+        # A gateway that is not one of `members` never gets the right to vote, so it requests no recovery.
         if not self.votes and self.me in self.members:
             self._request_recovery(now)
         for key, ballot_round in list(self.rounds.items()):
--- a/olivecourse/rollout/wire.py
+++ b/olivecourse/rollout/wire.py
@@ -42,7 +42,8 @@
     HaltNotice,
 )
 KIND_NUMBERS = {kind: number for number, kind in enumerate(KINDS)}
-Body = tuple[int, int, int, int, int, msgspec.Raw]  # the msgpack array shown at the head of this module
+# The signed part of a datagram: sender, incarnation, count, target, kind (index in KINDS), encoded message.
+Body = tuple[int, int, int, int, int, msgspec.Raw]
 
 
 class BadDatagram(ValueError):
