--- a/olivecourse/storm/admission.py
+++ b/olivecourse/storm/admission.py
@@ -2,7 +2,8 @@
 
 Two interchangeable limiters, `Aimd` and `Gradient`, compute from measured waiting times how many requests may
 be open at once. Under load, the admission controller immediately rejects each request that cannot meet its
-deadline, or whose worth per unit of sending time is low compared with that of recent requests.
+deadline, or whose worth (set by the operator for each request class) per unit of sending time is low compared
+with that of recent requests.
 """
 
 from __future__ import annotations
@@ -30,43 +31,46 @@
 
 
 class Aimd:
-    """A limiter with additive increase and multiplicative decrease (AIMD, Chiu and Jain 1989).
+    """Limits the open requests by additive increase and multiplicative decrease (AIMD, Chiu and Jain 1989).
 
-    The limit falls when a request waits longer than `target_ns` or is lost; `start` is the first limit.
+    The limit falls when a request takes more than `target_ns` beyond its expected sending time, or its client
+    leaves before the answer. `start` is the first limit, in open requests.
     """
 
-    DECREASE = 0.9  # factor of the limit at each decrease
-    # Shortest time between two decreases. Concurrent requests that meet the same congestion end at about the
-    # same time, and together they must cause only one decrease.
+    DECREASE = 0.9  # factor by which the limit of open requests is multiplied at each decrease
+    # Shortest time between two decreases of the limit. Concurrent requests that meet the same congestion end
+    # at about the same time, and together they must cause only one decrease.
     DECREASE_INTERVAL_NS = 100 * MS
 
     def __init__(self, target_ns: float, start: float = 32.0) -> None:
         self._target, self.limit, self._decreased_at = target_ns, start, -self.DECREASE_INTERVAL_NS
 
     def sample(self, waited_ns: float, in_flight: int, lost: bool, now: int) -> None:
-        """Lowers the limit if a request was lost or waited beyond the target; otherwise may raise it.
+        """Updates the limit by one ended request; the parameters are those of `Limiter.sample`.
 
-        It is raised by 1 / limit, if at least half of it was in use when the request began.
+        If the request was lost or waited beyond the target, the limit is lowered. Otherwise it is raised by
+        1 / limit, if open requests used at least half of it when the request began.
         """
         if lost or waited_ns > self._target:
             if now - self._decreased_at >= self.DECREASE_INTERVAL_NS:
                 self._decreased_at = now
                 self.limit = max(self.limit * self.DECREASE, MIN_LIMIT)
-        elif in_flight >= self.limit / 2:  # with fewer open requests, the limit restricted nothing
+        elif in_flight >= self.limit / 2:  # with fewer, the limit was not what restricted the load
             self.limit = min(self.limit + 1 / self.limit, MAX_LIMIT)
 
 
 class Gradient:
-    """A limiter driven by the ratio of the minimum to the recent waiting time (TCP Vegas, Brakmo 1994).
+    """Limits the open requests by the ratio of minimum to recent waiting time (TCP Vegas, Brakmo 1994).
 
     It needs no target waiting time: the limit stops rising where a small queue remains. Every PROBE_INTERVAL
-    samples it halves the limit and measures the minimum waiting time again, because a minimum (the baseline)
-    that only followed the recent waiting times would take a lasting congestion for the normal state.
+    ended requests it halves the limit and measures the minimum waiting time again, because a minimum (the
+    baseline) that only followed the recent waiting times would take a lasting congestion for the normal
+    state.
     """
 
-    RECENT_WEIGHT = 0.1  # weight of one sample in the moving average of the waiting time
-    LIMIT_WEIGHT = 0.05  # part of the way from the present limit to the wanted one that a sample moves it
-    PROBE_INTERVAL, PROBE_SAMPLES = 1000, 50  # samples between two probes, and samples in a probe
+    RECENT_WEIGHT = 0.1  # weight of one ended request in the moving average of the waiting time
+    LIMIT_WEIGHT = 0.05  # each ended request moves the limit this part of the way to the wanted one
+    PROBE_INTERVAL, PROBE_SAMPLES = 1000, 50  # ended requests between two probes, and during a probe
     TOLERANCE = 2.0  # up to this multiple of the minimum, the recent waiting time counts as normal
 
     def __init__(self, start: float = 32.0) -> None:
@@ -75,7 +79,10 @@
         self._count = 0
 
     def sample(self, waited_ns: float, in_flight: int, lost: bool, now: int) -> None:
-        """Updates the minimum and recent waiting times, and moves the limit as their ratio demands."""
+        """Updates the minimum and recent waiting times by one ended request; moves the limit by their ratio.
+
+        The parameters are those of `Limiter.sample`; a lost request counts as 4 times its waiting time.
+        """
         waited = max(waited_ns, 1.0 * MS) * (4.0 if lost else 1.0)
         if not self._baseline:
             self._baseline = self._recent = waited
@@ -100,7 +107,7 @@
 
 
 class Verdict(Enum):
-    """Result of an admission check; the values of LATE and CROWDED name the rejection counts in the log."""
+    """Result of `AdmissionController.admit`; the values LATE and CROWDED name rejections in the log."""
 
     ADMIT = "admit"
     LATE = "late"  # the request can no longer meet its deadline
@@ -111,12 +118,12 @@
 class AdmissionRequest:
     """What the admission controller needs to know of a request.
 
-    `weight` is a factor of `worth`: 1 for a client that honours Retry-After, and less for one that does not.
+    `weight` multiplies `worth`: 1 for a client that honours Retry-After, less for one that does not.
     """
 
-    worth: float  # worth of the request's class, from the settings
-    cost_ns: float  # expected sending time
-    remaining_ns: float  # time until the deadline
+    worth: float  # value of an answer to this request class relative to other classes, from the settings
+    cost_ns: float  # expected time to send the answer
+    remaining_ns: float  # time until the deadline of the request
     write: bool = False
     retry: bool = False  # whether the client repeats an earlier request
     weight: float = 1.0
@@ -131,20 +138,20 @@
     and of requests from clients that ignore Retry-After, is reduced.
     """
 
-    WRITE_RESERVE = 1.25  # write requests are admitted up to this multiple of the limit
-    FREE_FRACTION = 0.5  # below this fraction of the limit every request is admitted
-    RETRY_FACTOR = 0.5  # factor of the worth of a retry, whose client has probably stopped waiting
-    # Buckets of the histogram of worth per ms of sending time; the bounds of each are sqrt(2) times those
-    # before.
+    WRITE_RESERVE = 1.25  # write requests are admitted up to this multiple of the limit of open requests
+    FREE_FRACTION = 0.5  # with fewer open requests than this part of the limit, only LATE ones are rejected
+    RETRY_FACTOR = 0.5  # multiplies the worth of a client retry, whose client has probably stopped waiting
+    # Number of buckets in the histogram of recent requests by worth per ms of sending time; the bounds of
+    # each bucket are sqrt(2) times those of the one before.
     BUCKETS = 64
     DECAY = 0.999  # factor by which each new request reduces all earlier ones in the histogram
 
     def __init__(self, limiter: Limiter) -> None:
         self.limiter = limiter
         self._histogram = [0.0] * self.BUCKETS
-        self.wait_ns = 0.0  # moving average of the waiting times of ended requests
-        # What the next request adds to its bucket. It grows by 1 / DECAY with each request, which has the
-        # same effect as multiplying all buckets by DECAY.
+        self.wait_ns = 0.0  # moving average of ended requests' durations beyond their expected sending times
+        # What the next request adds to its histogram bucket. It grows by 1 / DECAY with each request, which
+        # has the same effect as multiplying all buckets by DECAY.
         self._increment = 1.0
 
     def _bucket(self, request: AdmissionRequest) -> int:
@@ -164,7 +171,7 @@
             self._increment = 1.0
 
     def admit(self, request: AdmissionRequest, in_flight: int) -> Verdict:
-        """Decides on a new request while `in_flight` others are open, and adds it to the histogram."""
+        """Decides on a new request while `in_flight` others are open, and counts it in the histogram."""
         bucket = self._bucket(request)
         self._record(bucket)
         if request.cost_ns + self.wait_ns > request.remaining_ns:
--- a/olivecourse/storm/budgets.py
+++ b/olivecourse/storm/budgets.py
@@ -1,7 +1,7 @@
 """Retry budgets: limit the gateway's own retry attempts to a share of its successful attempts.
 
 There is one token bucket per request class, per store and per fill source, after "The Tail at Scale" (Dean
-and Barroso 2013) and the retry budgets of Finagle. A successful attempt earns tokens; a retry attempt spends
+and Barroso 2013) and the retry budgets of Finagle. A successful attempt adds tokens; a retry attempt takes
 one token in each bucket of its class, store and source, or is not made if any of them is empty. Because each
 tier applies its own budget, three tiers with a share of 0.1 amplify load by at most 1.331, not by 27.
 """
@@ -18,7 +18,7 @@
 class BudgetPolicy:
     """Parameters of a token bucket, in which a token permits one retry attempt.
 
-    `share` is the number of tokens that each successful attempt earns, and `burst` the most tokens that a
+    `share` is the number of tokens that each successful attempt adds, and `burst` the most tokens that a
     bucket holds. `floor_per_s` tokens a second are added without any success: without them no retry attempt
     could find out that a store has recovered.
     """
@@ -48,10 +48,11 @@
 
 
 class RetryBudgets:
-    """Token buckets by name, for example ("class", 0), ("store", 17) or ("source", 50).
+    """Token buckets of retry attempts by name, for example ("class", 0), ("store", 17) or ("source", 50).
 
-    At most `max_buckets` buckets are kept, and the least recently used one is evicted. If its name is used
-    again, it starts with a full bucket, so that an eviction permits at most `burst` retry attempts too many.
+    The number is that of the request class, store or fill source. At most `max_buckets` buckets are kept, and
+    the least recently used one is evicted. If its name is used again, it starts with a full bucket, so that
+    an eviction permits at most `burst` retry attempts too many.
     """
 
     def __init__(self, policy: BudgetPolicy, max_buckets: int) -> None:
@@ -74,12 +75,15 @@
         return bucket
 
     def succeeded(self, names: tuple[Hashable, ...], now: int) -> None:
-        """Credits every named bucket for one successful attempt; a missing bucket is created."""
+        """Adds `share` tokens to every named bucket for one successful attempt; creates missing buckets."""
         for name in names:
             self._bucket(name, now).earn()
 
     def spend(self, names: tuple[Hashable, ...], now: int) -> bool:
-        """Takes one token from every named bucket; returns False and takes none if any bucket is empty."""
+        """Takes one token for a retry attempt from every named bucket.
+
+        Returns False and takes none if any of the buckets holds less than one token.
+        """
         buckets = [self._bucket(name, now) for name in names]
         if any(b.tokens < 1 for b in buckets):
             return False
--- a/olivecourse/storm/controller.py
+++ b/olivecourse/storm/controller.py
@@ -1,8 +1,8 @@
 """The storm controller: the limits that a Router applies while a retry storm lasts.
 
-The controller observes one Router's events and actions. It limits nothing until a storm is detected, so that
-normal operation is the same as without a controller. The rates and waiting times that it measures in normal
-operation are the starting point of the limits when a storm begins.
+The controller observes the events and actions of one Router, which chooses stores for requests. It limits
+nothing until a storm is detected, so that normal operation is the same as without a controller. The rates and
+waiting times that it measures in normal operation are the starting point of the limits when a storm begins.
 """
 
 from __future__ import annotations
@@ -26,9 +26,11 @@
 from olivecourse.storm.retry_tracker import RetryTracker
 
 MS = 1_000_000
-RATE_DECAY = 0.9  # factor of the old value of a rate at each bin of 100 ms: about a second of memory
-BEST_RATE_DECAY = 0.998  # factor of the best rate of served answers at each bin of 100 ms: half after 35 s
-MIN_SPARE_PART = 0.05  # retries may always use this part of the best rate, so that refused clients get served
+RATE_DECAY = 0.9  # weight of the old average of a request rate at each bin of 100 ms: about 1 s of memory
+BEST_RATE_DECAY = 0.998  # multiplies the best rate of served requests every 100 ms: half of it after 35 s
+# Client retries may always use this part of the best rate of served requests, so that refused clients get
+# served.
+MIN_SPARE_PART = 0.05
 MAX_BUCKETS = 4096  # token buckets of the retry budgets: one per request class, store and fill source
 # Clients whose Retry-After compliance is tracked, and failed requests in each of the two generations of the
 # retry tracker: at most about 4 MB in all.
@@ -39,33 +41,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """The operator's settings, as `section.StormSection` describes them.
+    """The operator's settings of storm detection and limits, as `section.StormSection` describes them.
 
-    `on` and `off` are the detector's levels (0 to 1) at which a storm begins and ends.
+    `on` and `off` are the detector's levels (0: no sign of a storm, 1: certain) at which a storm begins and
+    ends.
     """
 
     on: float = 0.3
     off: float = 0.15
-    limiter: str = "aimd"  # "aimd" or "gradient"
-    target_wait_ns: int = 150 * MS  # "aimd" lowers its limit for a longer wait beyond the sending time
-    budget: BudgetPolicy = BudgetPolicy()  # of retry attempts
+    limiter: str = "aimd"  # what limits open requests: "aimd" (`Aimd`) or "gradient" (`Gradient`)
+    target_wait_ns: int = 150 * MS  # a wait beyond it, sending time excluded, lowers "aimd"'s limit
+    budget: BudgetPolicy = BudgetPolicy()  # limits the gateway's own retry attempts
 
 
 @dataclass(slots=True)
 class OpenRequest:
-    """A request that has not ended; `in_flight` is the number of other open requests at its start."""
+    """A client request that has not ended; `in_flight` is the number of other open requests at its start."""
 
     began: int  # when the Router received it, in ns
-    cost_ns: float  # expected sending time
+    cost_ns: float  # expected time to send the answer
     in_flight: int
-    cls: int  # index of its request class
+    cls: int  # index of its request class in the settings
     client: int | None
     key: str  # object and part, as OBJECT/PART
-    source: int | None = None  # parent or origin of the last attempt
+    source: int | None = None  # id of the parent or origin that the last attempt fills from
 
 
 class Rates:
-    """Moving averages of first tries and served requests a second, and the best recent rate of the latter."""
+    """Moving averages of first tries and of served requests a second; the best recent rate of the latter."""
 
     def __init__(self, now: int) -> None:
         self._bin_start, self._first, self._useful = now, 0, 0
@@ -80,7 +83,7 @@
         self._useful += 1
 
     def advance(self, now: int) -> None:
-        """Updates the rates for each bin that has ended by `now`; for at most 100 of them after a stall."""
+        """Updates the rates for each ended bin of 100 ms, but for at most 100 bins after a stall."""
         for _ in range(min((now - self._bin_start) // BIN_NS, 100)):
             per_s = 1e9 / BIN_NS
             self.first_per_s += (1 - RATE_DECAY) * (self._first * per_s - self.first_per_s)
@@ -114,15 +117,17 @@
             RetryTracker(RETRY_WINDOW_NS, MAX_FAILURES),
             ComplianceTracker(MAX_CLIENTS),
         )
-        # Found by `came` for the request that arrived last, and used when the Router calls `admit` for it:
-        # its id, whether it is a retry, and the factor (0.25 to 1) of its worth for its client's compliance.
+        # Set by `on_event` for the request that arrived last, and used when the Router calls `admit` for it:
+        # its id, whether it is a client retry, and the factor (0.25 to 1) of its worth, lower if its client
+        # ignores Retry-After.
         self._request, self._is_retry, self._weight = "", False, 1.0
         self._open: dict[str, OpenRequest] = {}  # by request id
-        # Rejections since the start: of requests by admission verdict, and of retry attempts ("budget").
+        # Rejections since the start: of requests by admission verdict, and of retry attempts by their
+        # budgets.
         self.rejected = {"late": 0, "crowded": 0, "budget": 0}
 
     def apply_settings(self, settings: interface.Settings) -> None:
-        """Takes over the request classes of changed `settings`; the limits and rates stay."""
+        """Applies the request classes of changed `settings`; the measured rates and present limits stay."""
         self._classes = settings.classes
 
     # Limits that the Router applies (interface.Limits) -------------------------------------------------
@@ -130,7 +135,7 @@
     def admit(self, request: interface.Request, cost_ns: float, left_ns: float, open_: int) -> bool:
         """Whether to accept a new request while `open_` others are open; always True outside a storm.
 
-        `cost_ns` is the expected sending time and `left_ns` the time until the deadline.
+        `cost_ns` is the expected time to send the answer and `left_ns` the time until the request's deadline.
         """
         self._open[request.request] = OpenRequest(
             self._now, cost_ns, open_, request.cls, request.client, self._key(request)
@@ -148,7 +153,8 @@
     def may_retry(self, request: interface.Request, cache: int, source: int | None) -> bool:
         """Whether the gateway may try again after an attempt through `cache` and fill source `source` failed.
 
-        During a storm, this spends tokens of the retry budgets.
+        Always True outside a storm. During one, the retry budgets of the request class, the store and the
+        fill source must each have a token, which is taken.
         """
         if not self.monitor.storm or self.budgets.spend(
             self._bucket_names(request.cls, cache, source), self._now
@@ -175,7 +181,7 @@
     # Observation of the Router's events and actions -----------------------------------------------------
 
     def on_event(self, event: interface.Event, now: int) -> None:
-        """Observes an event; must be called before the Router handles it, as `admit` uses the findings."""
+        """Observes an event before the Router handles it: `admit` must know whether a request is a retry."""
         self._now = now
         if isinstance(event, interface.Request):
             marked, client = bool(event.flags & interface.Flag.REPEAT), event.client
--- a/olivecourse/storm/detector.py
+++ b/olivecourse/storm/detector.py
@@ -1,5 +1,7 @@
 """Detection of retry storms: two interchangeable detectors, and hysteresis over the level that one reports.
 
+The level goes from 0 (no sign of a storm) to 1 (certain).
+
 High load alone is no storm: a flash crowd of first tries is to be served. A storm is load that exists because
 requests fail and clients repeat them (a metastable failure: Bronson et al., "Metastable Failures in
 Distributed Systems", HotOS 2021).
@@ -12,15 +14,16 @@
 from typing import Protocol
 
 MS = 1_000_000
-BIN_NS = 100 * MS  # length of a counting interval (bin): short compared with any client's wait
-HALF_LIFE_NS = 1_000 * MS  # half-life of ShareDetector's counts; a storm is detected after about this time
-# The shares are not significant below a decayed total of MIN_ARRIVALS x (1 - decay per bin) = 1.3 arrivals.
+BIN_NS = 100 * MS  # length of a counting interval (bin): short compared with a client's wait before a retry
+HALF_LIFE_NS = 1_000 * MS  # half-life of ShareDetector's counts; it detects a storm in about this time
+# ShareDetector reports level 0 below a decayed total of MIN_ARRIVALS x (1 - decay per bin) = 1.3 arrivals, as
+# its shares are not significant then.
 MIN_ARRIVALS = 20.0
 
 
 @dataclass(slots=True)
 class Bin:
-    """Counts of one bin: clients' first tries, their retries, and `useful` answers (those served in time)."""
+    """Requests in a bin of 100 ms: clients' first tries, their retries, and `useful` ones, served in time."""
 
     first: float = 0.0
     retries: float = 0.0
@@ -33,7 +36,7 @@
 
 
 class Detector(Protocol):
-    """Takes one bin of counts after the other; `level` goes from 0 (no sign of a storm) to 1 (certain)."""
+    """Takes request counts bin by bin; `level` goes from 0 (no sign of a retry storm) to 1 (certain)."""
 
     def add(self, bin_: Bin) -> None: ...
 
@@ -53,13 +56,13 @@
         self._decay = 0.5 ** (BIN_NS / HALF_LIFE_NS)
 
     def add(self, bin_: Bin) -> None:
-        """Adds a bin to the totals, which halve every HALF_LIFE_NS."""
+        """Adds a bin to the request totals, whose older counts halve every HALF_LIFE_NS."""
         total, decay = self._sum, self._decay
         total.first, total.retries = total.first * decay + bin_.first, total.retries * decay + bin_.retries
         total.useful = total.useful * decay + bin_.useful
 
     def level(self) -> float:
-        """The root of the product of the two shares, from 0 to 1; 0 with too few arrivals."""
+        """The root of (share of retries x share not served in time) of arrivals; 0 with too few arrivals."""
         total = self._sum
         if total.offered < MIN_ARRIVALS * (1 - self._decay):
             return 0.0
@@ -74,9 +77,9 @@
     (Cox and Lewis 1966). It is compared with its own longer-term average, the baseline.
     """
 
-    BASELINE_DECAY = 0.98  # factor of the old baseline at each bin of 100 ms: about 5 s of memory
-    RECENT_DECAY = 0.8  # factor of the old mean and variance at each bin: about half a second of memory
-    CERTAIN_RATIO = 10.0  # excess over the baseline, in multiples of it, at which the level is 1
+    BASELINE_DECAY = 0.98  # weight of the old baseline at each bin of 100 ms: about 5 s of memory
+    RECENT_DECAY = 0.8  # weight of old arrival counts at each bin of 100 ms: about half a second of memory
+    CERTAIN_RATIO = 10.0  # the level is 1 when the dispersion exceeds the baseline by this multiple of it
 
     def __init__(self) -> None:
         self._mean = self._square = 0.0
@@ -84,7 +87,7 @@
         self._bins = 0
 
     def add(self, bin_: Bin) -> None:
-        """Adds a bin to the recent mean and variance, and to the baseline if the level is below 0.3."""
+        """Adds a bin to the mean and variance of arrivals, and to the baseline if the level is below 0.3."""
         arrivals, decay = bin_.offered, self.RECENT_DECAY
         self._bins += 1
         self._mean = decay * self._mean + (1 - decay) * arrivals
@@ -96,7 +99,11 @@
         return max(self._square - self._mean**2, 0.0) / self._mean if self._mean > 0 else 0.0
 
     def level(self) -> float:
-        """The excess of the recent index of dispersion over the baseline, 1 from CERTAIN_RATIO times it."""
+        """The excess of the recent index of dispersion over its baseline, scaled to 0 to 1.
+
+        It is 1 if the excess is CERTAIN_RATIO times the baseline or more, and 0 with fewer than 10 bins so
+        far or less than one arrival per bin.
+        """
         if self._bins < 10 or self._mean < 1:
             return 0.0
         return min(max(self._index() / max(self._baseline, 1.0) - 1, 0.0) / self.CERTAIN_RATIO, 1.0)
@@ -130,7 +137,7 @@
 
     @property
     def level(self) -> float:
-        """The detector's level, from 0 to 1, as of the last closed bin."""
+        """The detector's level, from 0 (no sign of a storm) to 1 (certain), as of the last ended bin."""
         return self._detector.level()
 
     def record_arrival(self, retry: bool, amount: float = 1.0) -> None:
@@ -141,7 +148,7 @@
             self._bin.first += amount
 
     def record_served(self, amount: float = 1.0) -> None:
-        """Counts `amount` answers that were served in time."""
+        """Counts `amount` client requests that were served in time."""
         self._bin.useful += amount
 
     def advance(self, now: int) -> list[Change]:
--- a/olivecourse/storm/explain.py
+++ b/olivecourse/storm/explain.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-FIGURE = re.compile(r"(\w+)=(-?[0-9.]+)")  # a `name=number` in the text of a storm's log line
+FIGURE = re.compile(r"(\w+)=(-?[0-9.]+)")  # a `name=number` in a log line of a storm's beginning or end
 MAX_PRECEDING = 5  # most log lines before a storm that are reported as its possible causes
 CAUSES = {  # events whose log lines before a storm may show what caused it
     "module",
--- a/olivecourse/storm/retry_after.py
+++ b/olivecourse/storm/retry_after.py
@@ -1,8 +1,8 @@
 """Retry-After compliance of clients.
 
-Each client has a weight from 0.25 to 1, by which admission control multiplies the worth of its requests. It
-falls when the client retries before its Retry-After time, and rises again when it honours the time. The
-number of tracked clients is bounded; an unknown client counts as compliant.
+Each client has a weight from 0.25 to 1, by which admission control multiplies the worth of its requests (the
+value of an answer). The weight falls when the client retries before its Retry-After time, and rises again
+when it honours the time. The number of tracked clients is bounded; an unknown client counts as compliant.
 """
 
 from __future__ import annotations
@@ -10,16 +10,20 @@
 from dataclasses import dataclass
 
 MS = 1_000_000
-EARLY_TOLERANCE_NS = 20 * MS  # a retry that is early by up to this is attributed to clock inaccuracy
-# Each early retry takes the part PENALTY_STEP of the client's weight; the weight stays 1 - MAX_PENALTY or
-# more.
+# A retry that is earlier than its Retry-After time by up to this is not penalised, as clocks are inaccurate.
+EARLY_TOLERANCE_NS = 20 * MS
+# Each early retry takes the part PENALTY_STEP of the client's weight, the factor of its requests' worth; the
+# weight stays 1 - MAX_PENALTY or more.
 PENALTY_STEP, MAX_PENALTY = 0.5, 0.75
-FORGIVENESS = 0.5  # factor of the client's penalty each time that it honours its Retry-After time
+FORGIVENESS = 0.5  # multiplies a client's penalty each time that it honours its Retry-After time
 
 
 @dataclass(slots=True)
 class ClientState:
-    """When one client may retry (0 if no Retry-After is pending), and its penalty, 0 to MAX_PENALTY."""
+    """When one client may retry, in ns (0 if no Retry-After is pending), and its penalty for early retries.
+
+    The penalty goes from 0 to MAX_PENALTY; 1 less it is the factor of the worth of the client's requests.
+    """
 
     retry_not_before: int = 0
     noncompliance: float = 0.0
@@ -28,7 +32,7 @@
 class ComplianceTracker:
     """Tracks the Retry-After compliance of at most `max_clients` clients.
 
-    The clients that have not been refused for the longest time are evicted first.
+    When there are more, the client whose last refused request is the longest ago is forgotten.
     """
 
     def __init__(self, max_clients: int) -> None:
@@ -47,7 +51,10 @@
             del self._clients[next(iter(self._clients))]
 
     def record_request(self, client: int, now: int) -> float:
-        """Records a request, early or not, and returns the client's weight, from 1 - MAX_PENALTY to 1."""
+        """Records a request of `client` and returns the factor of its worth, from 1 - MAX_PENALTY to 1.
+
+        A request before the client's Retry-After time lowers the factor; one after that time raises it.
+        """
         state = self._clients.get(client)
         if state is None:
             return 1.0
--- a/olivecourse/storm/retry_schedule.py
+++ b/olivecourse/storm/retry_schedule.py
@@ -12,9 +12,9 @@
 from collections.abc import Callable
 
 MS = 1_000_000
-SLOT_NS = 20 * MS  # retries within a slot may form a queue of 20 ms, which misses no latency target
-OVERFLOW_PART = 0.5  # retries without a free slot are spread over this last fraction of the longest wait
-MIN_WAIT_NS = 20 * MS  # shortest wait: clients read a wait of zero as "retry at once"
+SLOT_NS = 20 * MS  # length of a slot; retries that queue for up to 20 ms in a slot miss no latency target
+OVERFLOW_PART = 0.5  # client retries without a free slot are spread over this last part of the longest wait
+MIN_WAIT_NS = 20 * MS  # shortest wait told to a client, since zero would mean "retry at once"
 
 
 class RetrySchedule:
@@ -29,12 +29,12 @@
         self._max_wait_ns, self._uniform = max_wait_ns, uniform
         self._slots = max(max_wait_ns // SLOT_NS, 1)
         self._reserved = [0.0] * (self._slots + 1)
-        self._first_slot = 0  # number of the slot at index 0 of `_reserved`
+        self._first_slot = 0  # number of the slot (time // SLOT_NS) at index 0 of `_reserved`
         self._slot_capacity = 0.0
         self.overflowed = 0
 
     def set_capacity(self, per_s: float) -> None:
-        """Sets how many client retries a second can be served besides first tries; below 0 counts as 0."""
+        """Sets the client retries a second that can be served besides first tries; negative counts as 0."""
         self._slot_capacity = max(per_s, 0.0) * SLOT_NS / 1e9
 
     def _advance(self, now: int) -> None:
@@ -45,17 +45,20 @@
             self._first_slot += passed
 
     def reservations(self, now: int) -> list[float]:
-        """Returns the number of retries reserved in each slot, from the slot that contains `now` on."""
+        """Returns the client retries reserved in each slot of 20 ms, from the slot that contains `now` on."""
         self._advance(now)
         return list(self._reserved)
 
     @property
     def slot_capacity(self) -> float:
-        """Number of retries that one slot can take without overflow; may be below 1."""
+        """Number of client retries that one slot of 20 ms can take without overflow; may be below 1."""
         return self._slot_capacity
 
     def reserve(self, now: int) -> int:
-        """Reserves a slot and returns the wait for the client in ns, from MIN_WAIT_NS to the longest wait."""
+        """Reserves a slot for a refused request's retry and returns the wait to tell the client, in ns.
+
+        The wait is from MIN_WAIT_NS to `max_wait_ns`.
+        """
         self._advance(now)
         free = [i for i in range(1, self._slots + 1) if self._reserved[i] + 1 <= self._slot_capacity]
         if not free and self._slot_capacity > 0:  # capacity below one per slot: one retry in every n-th slot
--- a/olivecourse/storm/retry_tracker.py
+++ b/olivecourse/storm/retry_tracker.py
@@ -1,8 +1,8 @@
 """Recognises client retries: by a mark in the request, or by client and object after a failure.
 
-Memory is bounded by two generations of failed requests, each of at most `max_entries`. When the younger
-generation is full or older than the time window, it replaces the older one, which is discarded. A failure is
-thus remembered for at least one window, unless the generations fill up earlier.
+Memory is bounded by two tables (generations) of failed requests, each of at most `max_entries`. When the
+younger one is full or older than the time window, it replaces the older one, which is discarded. A failure is
+thus remembered for at least one window, unless the tables fill up earlier.
 """
 
 from __future__ import annotations
@@ -32,8 +32,8 @@
     def is_retry(self, client: int, key: str, marked: bool, now: int) -> bool:
         """Whether a request is `marked` as a retry, or `client` had a failure for `key` within the window.
 
-        An unmarked request removes the failure that it finds. A second request for an object that was served
-        is not a retry.
+        An unmarked request removes the recorded failure that it finds. A second request for an object that
+        was served is not a retry.
         """
         if marked:
             return True
--- a/olivecourse/storm/section.py
+++ b/olivecourse/storm/section.py
@@ -19,20 +19,22 @@
     # A storm begins when the detector's level has reached this: the root of (share of client retries among
     # arrivals x share of arrivals that were not served in time).
     notice_on: Level = 0.3
-    notice_off: Level = 0.15  # level at or below which a storm ends
-    limiter: Literal["aimd", "gradient"] = "aimd"  # class of `admission` that limits open requests
-    # "aimd" lowers its limit when a request waits longer than this beyond its sending time.
+    notice_off: Level = 0.15  # detector's level, from 0 to 1, at or below which a storm ends
+    limiter: Literal["aimd", "gradient"] = "aimd"  # limits open requests: `admission.Aimd` or `Gradient`
+    # "aimd" lowers its limit of open requests when one takes longer than this beyond its sending time.
     target_wait_ms: Annotated[int, msgspec.Meta(ge=5, le=10_000)] = 150
-    retry_share: Level = 0.1  # retry attempts earned by each successful attempt
-    retry_burst: Annotated[float, msgspec.Meta(ge=1, le=1000)] = 10.0  # most of them kept for later
-    retry_floor_per_s: Annotated[float, msgspec.Meta(ge=0, le=100)] = 0.5  # earned without success
+    retry_share: Level = 0.1  # retry attempts that the gateway may make for each successful attempt
+    retry_burst: Annotated[float, msgspec.Meta(ge=1, le=1000)] = 10.0  # most retry attempts saved up
+    # Retry attempts a second that the gateway may make for each request class, store and fill source even if
+    # no attempt succeeds.
+    retry_floor_per_s: Annotated[float, msgspec.Meta(ge=0, le=100)] = 0.5
 
     def __post_init__(self) -> None:
         if self.notice_off >= self.notice_on:
             raise ValueError("notice_off is to be below notice_on")
 
     def policy(self) -> Policy:
-        """The section as the policy of a storm controller (`controller.StormController`)."""
+        """These settings in the form that `controller.StormController` takes."""
         return Policy(
             self.notice_on,
             self.notice_off,
--- a/olivecourse/storm/slow_start.py
+++ b/olivecourse/storm/slow_start.py
@@ -1,13 +1,14 @@
 """Slow start of a store that has just restarted, bounded over all gateways without coordination per request.
 
-The store's cold budget is the total work that all gateways together may have sent to it by a given time since
-its start. Each gateway owns an equal part of it, and transfers what it does not need of its part to gateways
-that want more: a bounded counter in escrow (Balegas et al., "Extending Eventually Consistent Cloud Databases
-for Enforcing Numeric Invariants", SRDS 2015). A gateway's row holds the amount that it has transferred to
-each other gateway so far; these amounts only grow. Only that gateway writes the row, and it subtracts a
-transfer from its own allowance before it announces the row. Rows are merged by their maxima, so they may
-arrive in any order, repeatedly or late; a lost row only leaves a part of the cold budget unused. The sum of
-what all gateways have spent never exceeds the cold budget.
+A store whose cache is still cold can serve less than its full load. The store's cold budget is the total work
+that all gateways together may have sent to it by a given time since its start. Each gateway owns an equal
+part of it, and transfers what it does not need of its part to gateways that want more: a bounded counter in
+escrow (Balegas et al., "Extending Eventually Consistent Cloud Databases for Enforcing Numeric Invariants",
+SRDS 2015). A gateway's row holds the amount that it has transferred to each other gateway so far; these
+amounts only grow. Only that gateway writes the row, and it subtracts a transfer from its own allowance before
+it announces the row. Rows are merged by their maxima, so they may arrive in any order, repeatedly or late; a
+lost row only leaves a part of the cold budget unused. The sum of what all gateways have spent never exceeds
+the cold budget.
 """
 
 from __future__ import annotations
@@ -15,11 +16,11 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-TRANSFER_PART = 0.5  # fraction of the surplus transferred at a time: its owner may soon need the rest
-# After a restart, rows received within this time may have been sent before it. Datagrams take 20 ms; one that
-# would be later than this is taken to be lost.
+TRANSFER_PART = 0.5  # part of a surplus of cold budget transferred at once; its owner may need the rest
+# Transfer rows received within this time after a gateway's restart may have been sent before the restart.
+# Datagrams take 20 ms; one that would be later than this is taken to be lost.
 SETTLE_NS = 2_000_000_000
-WANT_NS = 1_000_000_000  # how long a gateway that has run short of budget counts as wanting more
+WANT_NS = 1_000_000_000  # how long a gateway that ran short of cold budget counts as wanting more
 
 
 def cold_budget(
@@ -43,10 +44,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TransferRow:
-    """One gateway's message about one store's cold budget.
+    """One gateway's message about its part of a store's cold budget (the work it may get while still cold).
 
-    `transferred` holds what `sender` has transferred so far to each gateway, by gateway index. `wants` is
-    True if the sender has just run short of budget.
+    `transferred` holds, by gateway index, how much of its part `sender` has transferred to each gateway so
+    far, in the unit of `cold_budget` (units of capacity times seconds). `wants` is True if the sender has run
+    short of budget within the last WANT_NS.
     """
 
     sender: int
@@ -57,6 +59,8 @@
 class Escrow:
     """One gateway's account of its part of one store's cold budget, from one start of the store to the next.
 
+    The cold budget is the work that may be sent to the store while its cache is cold.
+
     `owner` is this gateway's index among `gateways`. `total` gives the cold budget of all gateways together
     at a time, as `cold_budget` returns it; each gateway owns an equal part and may transfer some of it to
     others. `restarted` tells that this gateway has restarted and no longer knows what it spent and
@@ -73,17 +77,18 @@
         self._wanted_at = [-WANT_NS] * gateways
         # After a restart the whole part counts as spent, since the gateway may have spent it before.
         self.spent = total(now) / gateways if restarted else 0.0
-        # By sender: the amount received that may have been spent before this gateway's restart, and is not
-        # counted.
+        # By sender: the budget received from it that may have been spent before this gateway's restart, and
+        # is not counted in the allowance.
         self._base = [0.0] * gateways
         self._settled_at = now + SETTLE_NS if restarted else now
-        self._may_transfer = not restarted  # after a restart, only once `restore` has returned the own row
+        self._may_transfer = not restarted  # after a restart, only once `restore` has set the own row
         self._short_at = -WANT_NS
 
     def allowance(self, now: int) -> float:
-        """What this gateway may still spend: its part and what it received, less its transfers and spending.
+        """Cold budget that this gateway may still spend on requests to the store.
 
-        Negative only by what a caller spent beyond it.
+        It is the gateway's part and what it received, less its transfers and spending; negative only by what
+        a caller spent beyond it.
         """
         received = sum(
             row[self.owner] - base
@@ -94,7 +99,7 @@
         return self._total(now) / self._gateways + received - given - self.spent
 
     def take(self, cost: float, now: int) -> bool:
-        """Spends `cost`, if the allowance covers it, and returns True.
+        """Spends `cost` (work, in the unit of `cold_budget`), if the allowance covers it, and returns True.
 
         Otherwise returns False, and this gateway asks its peers for more budget for WANT_NS.
         """
@@ -105,7 +110,7 @@
         return True
 
     def transfer(self, now: int, keep: float) -> TransferRow:
-        """Transfers half of the allowance above `keep`, evenly to the gateways that want more.
+        """Transfers half of the cold budget left above `keep`, evenly to the gateways that want more.
 
         Transfers nothing while this gateway itself wants more. Returns its row, to be sent to its peers.
         """
@@ -118,7 +123,10 @@
         return TransferRow(self.owner, tuple(self._rows[self.owner]), wants)
 
     def merge(self, row: TransferRow, now: int) -> None:
-        """Merges a peer's row, received at `now`; it may be late or repeated. An invalid row is ignored."""
+        """Merges a peer gateway's transfer row, received at `now`, by maxima: it may be late or repeated.
+
+        An invalid row is ignored.
+        """
         if (
             not 0 <= row.sender < self._gateways
             or row.sender == self.owner
@@ -136,7 +144,7 @@
             self._wanted_at[row.sender] = max(self._wanted_at[row.sender], now)
 
     def restore(self, transferred: Sequence[float]) -> None:
-        """Restores this gateway's own row from a peer's copy, after a restart.
+        """After a restart, restores from a peer's copy what this gateway has transferred to the others.
 
         After the restart the gateway's whole part counts as spent, and that includes what it had transferred.
         As the restored row is subtracted from the allowance as well, it is taken off `spent`.
@@ -151,5 +159,5 @@
         self._may_transfer = True
 
     def copy_of(self, gateway: int) -> tuple[float, ...]:
-        """This gateway's copy of the row of `gateway`, for that gateway's `restore` after a restart."""
+        """Amounts that `gateway` has transferred to each gateway, for its `restore` after a restart."""
         return tuple(self._rows[gateway])
