--- a/olivecourse/memory/__init__.py
+++ b/olivecourse/memory/__init__.py
@@ -1,5 +1,5 @@
-"""State that a gateway keeps across restarts: what its Router has learned, and spent (used) order
-tokens, each of which permits one order.
+"""State that a gateway keeps across restarts: what its Router has learned of stores and objects, and the used
+("spent") order tokens, Bearer tokens each of which permits one write request (order).
 
 - Logic that uses no file, clock or thread: `records`, `decay`, `restore`, `collect`, `merging`, `schedule`,
   `generations` and `group_commit`.
--- a/olivecourse/memory/codec.py
+++ b/olivecourse/memory/codec.py
@@ -24,13 +24,14 @@
 )
 from olivecourse.memory.wire import memory_pb2 as pb
 
-MAX_NS = 10 * 365 * 86_400 * 10**9  # longest duration accepted in a file: 10 years
-# Most entries of each kind that a snapshot may hold; MAX_HOT applies to the hot objects of one interval.
+MAX_NS = 10 * 365 * 86_400 * 10**9  # longest duration in ns that is accepted in a snapshot file: 10 years
+# Most entries of each kind that are accepted in a snapshot file; MAX_HOT applies to the frequently requested
+# (hot) objects of one counting interval.
 MAX_STORES, MAX_CLASSES, MAX_INTERVALS, MAX_PURGES, MAX_HOT = 4096, 256, 16, 65_536, 4096
 
 
 def write_header(gateway: str, stamp: Stamp, program: str) -> bytes:
-    """Serialises the header of a snapshot: the gateway's name, the time, and the `program` version."""
+    """Serialises a snapshot file's header: the gateway's name, the snapshot's time, the program's version."""
     return bytes(
         pb.Header(
             gateway=gateway,
@@ -45,7 +46,8 @@
 def write_part(records: Iterable[Record], density: float = 0.0) -> bytes:
     """Serialises some records as a part of a Snapshot.
 
-    Concatenated in any order, the parts are the serialised Snapshot. `density` is given to one part only.
+    Concatenated in any order, the parts are the serialised protobuf message Snapshot. `density`, the mean
+    worth of a request per ns of sending time, is given to one part only.
     """
     part = pb.Snapshot(density=density)
     for record in records:
@@ -87,7 +89,7 @@
 
 
 def read_header(contents: Contents) -> tuple[str, Stamp]:
-    """The name of the gateway that wrote a file, and the snapshot's time; raises UnusableFile."""
+    """The name of the gateway that wrote a snapshot file, and the snapshot's time; raises UnusableFile."""
     try:
         message = pb.Header.FromString(contents.header)
     except DecodeError:
@@ -98,7 +100,7 @@
 
 
 def read(contents: Contents, gateway: str | None) -> Snapshot:
-    """Reads the snapshot in a file written by `gateway`, or by any gateway if None.
+    """Reads the snapshot in the contents of a file that `gateway` wrote, or that any gateway wrote if None.
 
     Raises UnusableFile, and nothing else, if another gateway wrote it or a value is not valid.
     """
--- a/olivecourse/memory/collect.py
+++ b/olivecourse/memory/collect.py
@@ -11,10 +11,14 @@
 from olivecourse.memory.records import ClassRecord, Interval, PurgeRecord, Record, StoreRecord
 from olivecourse.state import Node
 
-SLICE = 32  # records read or serialised in one turn of the event loop: about 50 microseconds of work
-KEPT_INTERVALS = 3  # ended counting intervals that are saved
-MAX_HOT = 512  # hot objects saved per counting interval; the Router's threshold selects a hundred at most
-MAX_PURGES = 4096  # with more purges, a snapshot holds one for each group instead: wider, and never shorter
+SLICE = 32  # snapshot records read or serialised in one turn of the event loop: about 50 us of work
+KEPT_INTERVALS = 3  # ended intervals (of 5 s) of the Router's load counts that a snapshot holds
+# Frequently requested (hot) objects saved per counting interval; the Router's popularity threshold selects a
+# hundred at most.
+MAX_HOT = 512
+# With more purges in force, a snapshot holds one for each group of objects instead, which forbids more copies
+# and ends no earlier.
+MAX_PURGES = 4096
 GROUPS = 256  # number of groups of objects that can be purged together
 
 
@@ -33,7 +37,7 @@
     def update(self, router: Router, now: int) -> None:
         """Records the counting interval that has ended since the last call, if one has.
 
-        Its totals are those seen at the last call, because the Router has reset its counters since.
+        Its totals are those seen at the last call, because the Router has reset its load counters since.
         """
         if self._retune_at >= 0 and router.retune_at != self._retune_at:
             total, distinct, arrivals = self._running
@@ -48,7 +52,7 @@
 
 
 def collect(router: Router, interval_recorder: IntervalRecorder, now: int) -> Iterator[list[Record]]:
-    """Yields the records of the Router's state in lists, one for each turn of the event loop.
+    """Yields the snapshot records of the Router's state in lists, one for each turn of the event loop.
 
     Between two lists the Router may go on working; the records of one list are read at the same moment. All
     ages are relative to `now`, the beginning of the collection by the Router's clock. `router.density` is not
@@ -105,7 +109,7 @@
     found = [(key, at, until) for key, (at, until) in purges if key is not None and until > now]
     if len(found) > MAX_PURGES:
         # Replaces all purges by one for every group, with the time of the newest purge and the latest expiry:
-        # no copy that any of the purges forbids becomes allowed.
+        # no cached copy that any of the purges forbids to serve becomes allowed.
         newest, longest = max(at for _, at, _ in found), max(until for _, _, until in found)
         found = [(group, newest, longest) for group in range(GROUPS)]
     for key, at, until in found:
--- a/olivecourse/memory/commands.py
+++ b/olivecourse/memory/commands.py
@@ -1,4 +1,4 @@
-"""`olivecourse memory`: operators' commands on a memory folder.
+"""`olivecourse memory`: operators' commands on a memory folder (a gateway's snapshots and used order tokens).
 
 Exit codes: 0 success; 1 no snapshot found, or a damaged file; 2 wrong configuration or usage; 3 the folder is
 in use by a running gateway.
@@ -31,11 +31,12 @@
 from olivecourse.memory.tokenstore import PART as TOKENS
 from olivecourse.memory.tokenstore import BadStore, StoreMetadata, TokenStore, probe
 
-EMPTY, WRONG, IN_USE = 1, 2, 3  # exit codes
+# Exit codes: nothing found or a damaged file; wrong configuration or usage; folder in use by a gateway.
+EMPTY, WRONG, IN_USE = 1, 2, 3
 
 
 def stop(text: str, code: int) -> NoReturn:
-    """Prints an error and ends the process with the exit code `code`."""
+    """Prints the error `text` and ends the command's process with the exit code `code`."""
     click.echo(f"olivecourse: {text}", err=True)
     sys.exit(code)
 
@@ -88,7 +89,7 @@
         return self.folder.load(self.gateway)
 
     def lock(self) -> None:
-        """Locks the folder, so that no gateway can start on it; ends the command if one is running."""
+        """Locks the memory folder, so that no gateway can start on it; ends the command if one is running."""
         try:
             self.disk.lock(f"{PART}.lock")
         except FolderLocked as locked:
@@ -97,7 +98,7 @@
             stop(f"{self.config.folder}: {error.strerror}", EMPTY)
 
     def tokens(self) -> tuple[StoreMetadata | None, dict[bytes, float], str]:
-        """Reads the store of spent order tokens, without a lock, so that a gateway may be running.
+        """Reads the store of used order tokens without a lock, so that it works beside a running gateway.
 
         Returns the store's metadata (None if it is missing or faulty), the tokens' expiry times by digest,
         and a description of the fault, empty if there is none.
@@ -133,7 +134,8 @@
 def tables(snapshot: Snapshot, passed: Elapsed, policy: Policy) -> list[Table]:
     """The tables that `show` prints: stores, request classes, counting intervals and purges.
 
-    `passed` is the age of the snapshot; by it and `policy`, the weight of each record is shown as of now.
+    `passed` is the age of the snapshot. By it and `policy`, the weight of each record is shown: how much,
+    from 0 to 1, it would count in a restore now.
     """
 
     def weight(kind: Kind, extra_ns: int = 0) -> float:
@@ -225,7 +227,7 @@
 @memory.command()
 @_options
 def verify(operator: str | None, folder: str | None, key: str | None) -> None:
-    """Check every generation and the token store; exit 1 if any of them is damaged."""
+    """Check every snapshot file and the store of used order tokens; exit 1 if any is damaged."""
     opened = OpenFolder(*_config(operator, folder, key))
     damaged = 0
     generations = parse(PART, opened.disk.names())
--- a/olivecourse/memory/container.py
+++ b/olivecourse/memory/container.py
@@ -1,4 +1,4 @@
-"""The container format of a memory file; numbers are little-endian.
+"""The container format of a memory file, which holds one snapshot; numbers are little-endian.
 
     offset  length in bytes
     0       8       magic, "OLVCMEM" and 0x1a
@@ -25,19 +25,21 @@
 from olivecourse.memory.generations import Reason
 
 MAGIC = b"OLVCMEM\x1a"
-VERSION = 2  # the version that is written, and the highest that can be read
-FIXED = struct.Struct("<8sHHIQ")  # the fields before the header: magic, version, flags, H and B
-KEYED = 1  # flag: the digest is keyed
-DIGEST = 32  # length of the digest in bytes
-MIN_KEY = 16  # least length of the operator's key in bytes
-MAX_HEADER = 4096  # greatest length of the header in bytes
+VERSION = 2  # the file format version that is written, and the highest that can be read
+# Fields at the start of the file: magic, version, flags, length of the header, length of the body.
+FIXED = struct.Struct("<8sHHIQ")
+KEYED = 1  # bit of the flags field: the digest is a MAC with the operator's key
+DIGEST = 32  # length in bytes of the BLAKE3 digest at the end of a memory file
+MIN_KEY = 16  # least length in bytes of the secret in the operator's key file
+MAX_HEADER = 4096  # greatest length in bytes of the protobuf header of a memory file
 CONTEXT = "olivecourse 2026-12 memory file MAC"  # BLAKE3 context string for deriving the MAC key
 
 
 class UnusableFile(Exception):
     """A snapshot file that cannot be restored.
 
-    `reason` becomes the ending of the file's name when it is set aside; the text describes the fault.
+    `reason` becomes the ending of the file's name when it is set aside (renamed); the text describes the
+    fault.
     """
 
     def __init__(self, reason: Reason, text: str) -> None:
@@ -47,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Contents:
-    """The format version of a memory file, and its protobuf-encoded header and body."""
+    """The format version of a memory file, and its protobuf-encoded header and body (the snapshot)."""
 
     version: int
     header: bytes
@@ -74,7 +76,7 @@
 def seal(header: bytes, body: list[bytes], key: bytes | None, version: int = VERSION) -> list[bytes]:
     """Returns the pieces of bytes that, written in order, are the memory file.
 
-    `body` holds the parts of one serialised Snapshot; with a `key`, the digest is keyed.
+    `body` holds the parts of one serialised Snapshot. With a `key`, the digest at the end is a MAC with it.
     """
     fixed = FIXED.pack(MAGIC, version, KEYED if key is not None else 0, len(header), sum(map(len, body)))
     pieces = [fixed, header, *body]
--- a/olivecourse/memory/decay.py
+++ b/olivecourse/memory/decay.py
@@ -1,8 +1,9 @@
 """How much a restored record counts by its age: a weight from 1 to 0 that halves with each half-life.
 
 Each kind of record has a half-life, and an age from which it is dropped. The weight never rises with the age.
-Where the time since the snapshot is uncertain, restrictions (purges, cold budgets) count as if no time had
-passed. If the snapshot appears to be from the future, the weight of all other records is 0.
+Where the time since the snapshot is uncertain, restrictions (purges, and the sending time left to stores
+whose cache is cold) count as if no time had passed. If the snapshot appears to be from the future, the weight
+of all other records is 0.
 """
 
 from __future__ import annotations
@@ -13,38 +14,41 @@
 from olivecourse.memory.records import Stamp
 
 S = 1_000_000_000
-CLOCK_TOLERANCE_NS = 2 * S  # a snapshot up to this far in the future counts as new, as clocks are adjusted
+CLOCK_TOLERANCE_NS = 2 * S  # a snapshot dated up to 2 s in the future counts as new: clocks get adjusted
 
 
 class Kind(Enum):
-    """Kinds of records that decay, by their names in the operator's file."""
+    """Kinds of saved values whose weight falls with their age, by their names in the operator's file."""
 
-    PAIN = "pain"  # a store's error score
+    PAIN = "pain"  # a store's error score, from 0 to 1
     WAIT = "wait"  # mean time that a fill waits for a parent or origin
-    LIMIT = "limit"  # a store's concurrency limit
+    LIMIT = "limit"  # a store's concurrency limit: attempts of one Router that may be in flight
     TIMES = "times"  # mean sending time of a request class, and mean worth per sending time
-    FILLS = "fills"  # part of a class's requests that may cause a fill
+    FILLS = "fills"  # part of a request class's requests that may fill (fetch from a parent or origin)
     HOT = "hot"  # load counts of frequently requested objects
 
 
 @dataclass(frozen=True, slots=True)
 class Decay:
-    """Decay of one kind of record: the half-life of its weight, and the age from which it is dropped."""
+    """Decay of one kind of saved value: the half-life of its weight, and the age from which it is dropped.
+
+    The weight, from 1 to 0, is how much the saved value counts in a restore.
+    """
 
     half_life_ns: int
     drop_after_ns: int
 
     def weight(self, age_ns: int) -> float:
-        """The weight at an age: 1 for a new record, halved with each half-life, 0 from `drop_after_ns` on."""
+        """The weight of a saved value at an age: 1 if new, halved each half-life, 0 from `drop_after_ns`."""
         if age_ns >= self.drop_after_ns:
             return 0.0
         return float(0.5 ** (max(age_ns, 0) / self.half_life_ns))
 
 
-# Default half-life and drop age of each kind. While the Router runs, a store's error score (`pain`) halves in
-# 4 s, because the Router can try the store again. While the gateway is down no store is tried, so the saved
-# score has a half-life of 30 s: observed faults last 6 to 28 s. Mean sending times hardly change within a
-# day.
+# Default half-life of each kind of saved value, and the age from which it is dropped. While the Router runs,
+# a store's error score (`pain`) halves in 4 s, because the Router can try the store again. While the gateway
+# is down no store is tried, so the saved score has a half-life of 30 s: observed faults last 6 to 28 s. Mean
+# sending times hardly change within a day.
 DEFAULTS: dict[Kind, Decay] = {
     Kind.PAIN: Decay(30 * S, 300 * S),
     Kind.WAIT: Decay(60 * S, 600 * S),
@@ -67,7 +71,7 @@
     trust_floor: float = 0.03
 
     def weight(self, kind: Kind, age_ns: int) -> float:
-        """The weight, from 0 to 1, of a record of `kind` at the age `age_ns`."""
+        """How much, from 0 to 1, a saved value of `kind` counts in a restore at the age `age_ns`."""
         return self.decays[kind].weight(age_ns)
 
 
@@ -76,8 +80,8 @@
     """The time that has passed since a snapshot, as `elapsed` measured it.
 
     `certain` is True if it was measured by the time since boot, which nobody can set. `known` is False if the
-    snapshot appears to be from the future: its restrictions (purges, cold budgets) then hold as if no time
-    had passed, and all other records are dropped.
+    snapshot appears to be from the future: its restrictions (purges, and the sending time left to stores
+    whose cache is cold) then hold as if no time had passed, and all other records are dropped.
     """
 
     ns: int
@@ -86,7 +90,7 @@
 
     @property
     def at_least_ns(self) -> int:
-        """The time by which purges may be shortened: `ns` if it is certain, otherwise 0."""
+        """The time surely passed, by which restored purges are shortened: `ns` if `certain`, otherwise 0."""
         return self.ns if self.certain else 0
 
 
--- a/olivecourse/memory/disk.py
+++ b/olivecourse/memory/disk.py
@@ -17,10 +17,10 @@
 
 
 class Disk(Protocol):
-    """Operations on the files of one folder, by file name. Every call may raise OSError."""
+    """Operations on the files of one memory folder, by file name. Every call may raise OSError."""
 
     def names(self) -> list[str]:
-        """The names of all entries of the folder."""
+        """The names of all files and subfolders in the memory folder."""
         ...
 
     def read(self, name: str, max_bytes: int) -> bytes:
@@ -36,11 +36,11 @@
         ...
 
     def sync(self, handle: int) -> None:
-        """Returns once the contents of the file are on disk; its name needs `sync_folder`."""
+        """Returns once the contents of the file are on disk; its name is durable only after `sync_folder`."""
         ...
 
     def close(self, handle: int) -> None:
-        """Closes the file of a handle, without making its contents durable."""
+        """Closes the file of a handle that `create` returned, without making its contents durable."""
         ...
 
     def rename(self, old: str, new: str) -> None:
@@ -52,7 +52,7 @@
         ...
 
     def sync_folder(self) -> None:
-        """Returns once all creations, renamings and removals of files are on disk."""
+        """Returns once all creations, renamings and removals of files in the memory folder are on disk."""
         ...
 
 
@@ -72,7 +72,7 @@
         self._lock = -1
 
     def open(self, make: bool = True) -> None:
-        """Opens the folder, and creates it in an existing parent if `make` is True; raises OSError.
+        """Opens the memory folder, and creates it in an existing parent if `make` is True; raises OSError.
 
         A gateway passes True only at its start. If the folder is missing later, its disk may have been
         unmounted, and a new folder would be created on the disk below.
@@ -88,7 +88,7 @@
         return self._folder >= 0
 
     def path_unchanged(self) -> bool:
-        """Whether the path still leads to the folder that was opened, by inode and device number."""
+        """Whether the path still leads to the memory folder that was opened, by inode and device number."""
         try:
             current, opened = os.stat(self.path), os.fstat(self._folder)
         except OSError:
@@ -96,7 +96,7 @@
         return (current.st_ino, current.st_dev) == (opened.st_ino, opened.st_dev)
 
     def lock(self, name: str) -> None:
-        """Locks the folder by the lock file `name`, until `release` or the end of this process.
+        """Locks the memory folder by the lock file `name`, until `release` or the end of this process.
 
         If no file can be created there (no permission, read-only or full disk), the folder itself is locked
         instead. Raises FolderLocked if another process holds the lock, or OSError.
@@ -118,7 +118,7 @@
         self._lock = handle
 
     def open_locked(self, name: str, make: bool = True) -> None:
-        """Opens the folder and locks it by the lock file `name`; raises FolderLocked or OSError.
+        """Opens the memory folder and locks it by the lock file `name`; raises FolderLocked or OSError.
 
         If it cannot be locked it is closed again, because another gateway may be using it.
         """
@@ -130,7 +130,7 @@
             raise
 
     def release(self) -> None:
-        """Closes the folder and releases its lock."""
+        """Closes the memory folder and releases its lock."""
         for handle in (self._lock, self._folder):
             if handle >= 0:
                 os.close(handle)
@@ -157,7 +157,7 @@
         if not self.path_unchanged():
             raise OSError(errno.ENOENT, "the folder is gone")
         try:
-            os.unlink(name, dir_fd=self._folder)  # left by an interrupted write
+            os.unlink(name, dir_fd=self._folder)  # a file that an interrupted write has left
         except FileNotFoundError:
             pass
         return os.open(name, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o600, dir_fd=self._folder)
--- a/olivecourse/memory/folder.py
+++ b/olivecourse/memory/folder.py
@@ -18,7 +18,7 @@
 
 @dataclass
 class LoadResult:
-    """The newest intact snapshot of a folder, if there is one, with its file name and format version.
+    """The newest intact snapshot of a memory folder, if there is one, with its file name and format version.
 
     `skipped` lists each newer file that could not be restored: its name, the reason and a description.
     """
@@ -30,10 +30,10 @@
 
 
 class Folder:
-    """Saves and loads the snapshots named `part` in one folder.
+    """Saves and loads the snapshot files of one memory folder whose names begin with `part`.
 
-    `keep` is the number of snapshots kept, `max_bytes` the greatest size of one, and `key` the MAC key, if
-    any. `save` raises OSError on any disk fault, `load` only if the folder cannot be listed.
+    `keep` is the number of snapshots kept, `max_bytes` the greatest size of one, and `key` the MAC key of the
+    files, if any. `save` raises OSError on any disk fault, `load` only if the folder cannot be listed.
     """
 
     def __init__(self, disk: Disk, part: str, keep: int, max_bytes: int, key: bytes | None) -> None:
@@ -104,7 +104,7 @@
         return renamed
 
     def clear(self) -> int:
-        """Removes every snapshot file that has not been set aside; returns how many were removed."""
+        """Removes every snapshot file, except those set aside as unusable; returns how many were removed."""
         intact = [g for g in parse(self._part, self._disk.names()) if g.readable]
         for generation in intact:
             self._disk.unlink(generation.name)
--- a/olivecourse/memory/generations.py
+++ b/olivecourse/memory/generations.py
@@ -12,11 +12,11 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MAX_DAMAGED = 4  # damaged files kept for inspection; older ones are removed
+MAX_DAMAGED = 4  # damaged snapshot files kept for inspection; older ones are removed
 
 
 class Reason(Enum):
-    """Why a file cannot be restored; the value is the ending of its name once it is set aside."""
+    """Why a snapshot file cannot be restored; the value is the ending of its name once it is set aside."""
 
     DAMAGED = "damaged"
     NEWER = "newer"  # written by a later version of the program
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Generation:
-    """A numbered file of a memory folder.
+    """A numbered file of a memory folder: a snapshot, or one set aside because it cannot be restored.
 
     `ending` is "mem" for a snapshot, or the value of the Reason for which the file was set aside.
     """
@@ -49,17 +49,17 @@
 
 
 def next_number(generations: list[Generation]) -> int:
-    """The number of the next snapshot: above all, also of files set aside, so that none is overwritten."""
+    """The number of the next snapshot file: above all others, also of those set aside, to overwrite none."""
     return max((g.number for g in generations), default=0) + 1
 
 
 def file_name(part: str, number: int, reason: Reason | None = None) -> str:
-    """The name of a snapshot file of `part`, or, with a `reason`, of a file that is set aside for it."""
+    """The name of snapshot file `number` of `part`, or, with a `reason`, of one that is set aside for it."""
     return f"{part}.{number:08d}.{reason.value if reason else 'mem'}"
 
 
 def surplus(generations: list[Generation], keep: int) -> list[Generation]:
-    """The files to remove once a newer one is durable.
+    """The snapshot files to remove once a newer one is durable.
 
     These are snapshots beyond the newest `keep`, and damaged files beyond the newest MAX_DAMAGED.
     Files set aside for another reason than damage are never removed.
