--- a/olivecourse/memory/group_commit.py
+++ b/olivecourse/memory/group_commit.py
@@ -1,9 +1,10 @@
-"""Group commit of spent order tokens as a state machine, without a disk or a clock.
+"""Group commit of used ("spent") order tokens as a state machine, without a disk or a clock.
 
-An order token permits one order. The spent token is written to disk first, and only then is its order sent to
-a store. All tokens that arrive during one transaction share the next. If the disk is slow or fails, the order
-is refused before it is sent, so its client may repeat it. Until the write of a refused order's token has
-ended, the token cannot be spent again by this process; after a restart, what is on disk applies.
+An order is a client's write request, which must not run twice; its Bearer token, the order token, permits one
+order. The spent token is written to disk first, and only then is its order sent to a store. All tokens that
+arrive during one transaction share the next. If the disk is slow or fails, the order is refused before it is
+sent, so its client may repeat it. Until the write of a refused order's token has ended, the token cannot be
+spent again by this process; after a restart, what is on disk applies.
 """
 
 from __future__ import annotations
@@ -13,18 +14,20 @@
 from enum import Enum
 
 S = 1_000_000_000
-# Pause after a failed transaction: FIRST_BACKOFF_NS, doubled by each further failure up to MAX_BACKOFF_NS.
+# Pause after a failed write of spent tokens: FIRST_BACKOFF_NS, doubled by each further failure up to
+# MAX_BACKOFF_NS.
 MAX_BACKOFF_NS = 5 * S
 FIRST_BACKOFF_NS = S // 10
-PRUNE_PART, PRUNE_FULL = 64, 4096  # most expired entries removed per transaction, and when the table is full
+# Most expired entries removed at once from the table of spent tokens: at each transaction, and if it is full.
+PRUNE_PART, PRUNE_FULL = 64, 4096
 
 
 class State(Enum):
-    """How far the entry of a spent token is on its way to the disk."""
+    """How far the entry of a spent order token is on its way to the disk."""
 
-    QUEUED = "queued"  # waits for the next transaction
-    WRITING = "writing"  # part of the transaction in progress
-    SPENT = "spent"  # durable on disk: the order may be sent
+    QUEUED = "queued"  # the token waits for the next transaction that writes tokens to disk
+    WRITING = "writing"  # the token is part of the transaction in progress
+    SPENT = "spent"  # the token is on disk, so that its order may be sent to a store
     # The order was refused while the token was WRITING; the token is freed when the transaction ends.
     ABANDONED = "abandoned"
 
@@ -32,7 +35,7 @@
 class Verdict(Enum):
     """Result of `GroupCommit.spend`."""
 
-    TAKEN = "taken"  # the token is spent, and queued to be written
+    TAKEN = "taken"  # the token is now spent, and queued to be written to disk
     USED = "used"  # the token has been spent before, or may have been
     FULL = "full"  # the table is full of unexpired tokens; without its entry, a token could be used again
     # Not spent: the transaction in progress takes too long, the last one failed, or the token is ABANDONED.
@@ -41,7 +44,7 @@
 
 @dataclass(slots=True)
 class Entry:
-    """A spent token: its expiry time `exp` in Unix seconds, its state, and when it was queued, in ns."""
+    """A spent order token: its expiry `exp` in Unix seconds, its state, and when it was queued, in ns."""
 
     exp: float
     state: State
@@ -50,8 +53,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Group:
-    """One transaction: digests of tokens to write, with their expiry times, and digests to remove.
+    """One transaction on the disk's table of spent tokens.
 
+    `puts` holds the digests of tokens to write with their expiry times, and `deletes` the digests to remove.
     `pruned_exp` is the latest expiry time, in Unix seconds, of all tokens that were ever removed as expired.
     """
 
@@ -62,7 +66,7 @@
 
 
 class GroupCommit:
-    """The table of spent tokens, by digest, and the transactions that make them durable.
+    """The table of spent order tokens, by digest, and the transactions that make them durable.
 
     `known` holds the tokens found on disk with their expiry times. At most `max_entries` tokens are kept, and
     an order waits at most `max_wait_ns` for its token. An entry is removed once the token's expiry and
@@ -92,11 +96,11 @@
 
     @property
     def broken(self) -> bool:
-        """Whether the last transaction failed; the next one then writes all entries."""
+        """Whether the last transaction failed; the next then writes all spent tokens, not only new ones."""
         return self._failures > 0
 
     def spend(self, digest: bytes, exp: float, now: int, unix_s: float) -> Verdict:
-        """Spends a token if it is unspent; if TAKEN, its order may be sent once `durable` is True."""
+        """Spends an order token if it is unspent; if TAKEN, its order may be sent once `durable` is True."""
         entry = self.entries.get(digest)
         if entry is not None:
             return Verdict.BUSY if entry.state is State.ABANDONED else Verdict.USED
@@ -114,12 +118,12 @@
         return Verdict.TAKEN
 
     def durable(self, digest: bytes) -> bool:
-        """Whether the token is spent and its entry on disk, so that its order may be sent."""
+        """Whether the order token is spent and on disk, so that its order may be sent to a store."""
         entry = self.entries.get(digest)
         return entry is not None and entry.state is State.SPENT
 
     def release(self, digest: bytes) -> None:
-        """Frees a token whose order has not run, so that it may be used again.
+        """Frees a spent token whose order (write request) has not run, so that it may be used again.
 
         While the token is being written, it is freed only at the end of the transaction.
         """
@@ -135,7 +139,10 @@
             self._deletes[digest] = None
 
     def overdue(self, now: int) -> list[bytes]:
-        """Frees and returns the tokens not durable within `max_wait_ns`; the caller refuses their orders."""
+        """Frees the tokens not on disk within `max_wait_ns` of being queued, and returns their digests.
+
+        The caller must refuse their orders.
+        """
         overdue = (
             [
                 m
@@ -150,7 +157,7 @@
         return overdue
 
     def next_group(self, now: int, unix_s: float) -> Group | None:
-        """Returns the transaction to begin now.
+        """Returns the transaction that the caller is to begin now, and to report to `ended`.
 
         None if there is nothing to write, one is in progress, or the pause after a failure has not ended.
         """
@@ -172,7 +179,7 @@
         return self._group
 
     def ended(self, failed: bool, now: int) -> tuple[list[bytes], list[bytes]]:
-        """Records the end of the transaction in progress, which may have failed.
+        """Records the end of the transaction in progress; `failed` tells whether it failed.
 
         Returns two lists of token digests: those whose orders may be sent, and those whose orders must be
         refused.
@@ -191,7 +198,7 @@
             abandoned = entry.state is State.ABANDONED
             if failed or abandoned:
                 del self.entries[digest]
-                self._deletes[digest] = None  # the entry may be on disk nevertheless
+                self._deletes[digest] = None  # to be removed: it may be on disk nevertheless
                 if not abandoned:
                     rejected.append(digest)
             else:
@@ -216,7 +223,7 @@
         while limit and self._by_exp and self._by_exp[0][0] + self._leeway + 1 < unix_s:
             exp, digest = heapq.heappop(self._by_exp)
             entry = self.entries.get(digest)
-            if entry is None or entry.exp != exp:  # the token was freed since
+            if entry is None or entry.exp != exp:  # the token has been freed since
                 continue
             if entry.state is not State.SPENT:
                 unfinished.append((exp, digest))
--- a/olivecourse/memory/merging.py
+++ b/olivecourse/memory/merging.py
@@ -1,7 +1,7 @@
-"""Merges the records of several Routers of one process: a planner has one Router for each forwarder.
+"""Merges the snapshot records of several Routers of one process: a planner has one Router for each forwarder.
 
-Of values that restrict a Router (error scores, limits, cold credits, fill parts, purges), the strictest is
-kept; of waiting and sending times, the mean.
+Of values that restrict a Router (error scores, concurrency limits, the sending time left to cold stores, the
+parts of requests that may fill, purges), the strictest is kept; of waiting and sending times, the mean.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 def merged(records: list[Record]) -> list[Record]:
-    """Merges the records of several Routers into one for each run of a store, request class and purge key.
+    """Merges several Routers' snapshot records into one for each run of a store, request class and purge key.
 
     The counting intervals are not merged: the newest 16 are kept.
     """
@@ -56,6 +56,6 @@
         )
     for key, purges in _grouped((x for x in records if isinstance(x, PurgeRecord)), lambda p: p.key).items():
         result.append(PurgeRecord(key, min(p.age_ns for p in purges), max(p.left_ns for p in purges)))
-    # Each counting interval belongs to one forwarder's traffic; the restore averages them, weighted by age.
+    # Each interval counts the load of one forwarder's traffic; a restore averages them, weighted by age.
     intervals = sorted((x for x in records if isinstance(x, Interval)), key=lambda i: i.age_ns)
     return [*result, *intervals[:16]]
--- a/olivecourse/memory/records.py
+++ b/olivecourse/memory/records.py
@@ -34,18 +34,18 @@
     cache: int
     life: str
     pain: float = 0.0
-    wait_ns: float | None = None  # mean time that a fill waits for this source; None before the first fill
+    wait_ns: float | None = None  # mean time that a fill waits for this parent or origin; None before any
     limit: float = 0.0  # concurrency limit: attempts of one Router that may be in flight
-    failing: bool = False  # whether `pain` has passed the failure threshold and not recovered since
+    failing: bool = False  # the error score has passed the failure threshold and not recovered since
     # Sending time that the Router may still request from the store while it is cold (recently started); None
     # once it is warm.
     credit_ns: float | None = None
-    pain_age_ns: int = 0  # age of `pain`
+    pain_age_ns: int = 0  # age of the error score `pain` at the snapshot
 
 
 @dataclass(frozen=True, slots=True)
 class ClassRecord:
-    """What a Router knows of a request class: its mean sending time, and what part of its requests may fill.
+    """What a Router knows of a request class: mean sending time (ns) and the part of requests that may fill.
 
     A request fills when a store fetches the object for it from a parent or origin. `fill_part` may exceed 1.
     """
@@ -64,16 +64,16 @@
     """
 
     age_ns: int
-    counts: dict[str, float]  # load of each frequently requested object
-    total: float  # load of all objects
-    distinct: float  # estimated number of different objects
-    arrivals: int  # number of counted requests
+    counts: dict[str, float]  # load of each frequently requested object, by object name
+    total: float  # load of all objects requested in the interval
+    distinct: float  # estimated number of different objects requested in the interval
+    arrivals: int  # number of requests counted in the interval
     t: float
 
 
 @dataclass(frozen=True, slots=True)
 class PurgeRecord:
-    """A purge of an object (a string `key`) or of a group of objects (an integer).
+    """A purge of an object (`key` is its name) or of a group of objects (`key` is its number).
 
     It was issued `age_ns` before the snapshot's stamp, and remains in force until `left_ns` after the stamp.
     """
@@ -99,7 +99,7 @@
     purges: list[PurgeRecord] = field(default_factory=list)
 
     def add(self, records: list[Record]) -> None:
-        """Adds each record to the list of its type."""
+        """Adds each record to the list of its type: `stores`, `classes`, `intervals` or `purges`."""
         self.stores += [x for x in records if isinstance(x, StoreRecord)]
         self.classes += [x for x in records if isinstance(x, ClassRecord)]
         self.intervals += [x for x in records if isinstance(x, Interval)]
--- a/olivecourse/memory/restore.py
+++ b/olivecourse/memory/restore.py
@@ -3,9 +3,9 @@
 A record can only lower what a fresh start allows: the trust in a store that failed (the share of its normal
 traffic that it gets) and its concurrency limit, the part of a class's requests that may fill, where fills
 were late, and the sending time that may be requested from a cold store. Purges are added. The exceptions are
-the load counts of hot objects, the popularity threshold T (the load above which an object gets further
-stores) and the sending times of classes: these may rise as well, since they imply no trust. The sending times
-by which the budgets of cold stores are charged stay those of a fresh start.
+the load counts of frequently requested (hot) objects, the popularity threshold T (the load above which an
+object gets further stores) and the sending times of classes: these may rise as well, since they imply no
+trust. The sending times by which the budgets of cold stores are charged stay those of a fresh start.
 """
 
 from __future__ import annotations
@@ -25,30 +25,30 @@
 from olivecourse.memory.records import Interval, Snapshot, StoreRecord
 from olivecourse.state import Node
 
-# Minimum weight of the next answer in an error score that was restored from a snapshot; each answer halves
-# it.
+# Minimum weight of the next answer of a store in the moving average that is its error score, if the score was
+# restored from a snapshot; each answer halves this minimum.
 DOUBT = 0.6
-# Delay before a restored error score starts to decay, for a record of weight 1; a lower weight
-# shortens it in proportion. Without the delay a store that gets no requests would be trusted again after less
-# than 3 s, and half of the attempts sent to stores with a lasting fault were due to that. Any good answer
-# ends the delay.
+# Delay before the restored error score of a store starts to decay, for a new record (weight 1); a lower
+# weight by age shortens it in proportion. Without the delay a store that gets no requests would be trusted
+# again after less than 3 s, and half of the attempts sent to stores with a lasting fault were due to that.
+# Any good answer ends the delay.
 HOLD_NS = 5_000_000_000
-MIN_WEIGHT = 0.01  # records whose weight by age, and restored error scores, below this are ignored
+MIN_WEIGHT = 0.01  # saved records of a lower weight by age, and lower error scores, are ignored
 
 
 def max_error_score(trust_floor: float) -> float:
-    """The error score at which a store next to a healthy one keeps `trust_floor` of its traffic."""
+    """The error score at which a store beside a healthy one keeps the share `trust_floor` of its traffic."""
     return SCORE_TOLERANCE + (1.0 - trust_floor) / TRUST_SLOPE
 
 
 @dataclass
 class DropCounts:
-    """Number of records that were not restored, by reason, for the log line about the restore."""
+    """Number of snapshot records that were not restored, by reason, for the log line about the restore."""
 
     counts: dict[str, int] = field(default_factory=dict)
 
     def add(self, reason: str, count: int = 1) -> None:
-        """Counts `count` records that were not restored for `reason`."""
+        """Counts `count` snapshot records that were not restored for `reason`; ignores 0."""
         if count:
             self.counts[reason] = self.counts.get(reason, 0) + count
 
@@ -58,8 +58,8 @@
 
     `elapsed` is the age of the snapshot at `began`, when this object was created; `began` and all `now` are
     in ns on the caller's clock. `begin` restores what does not depend on stores. The Router then asks for the
-    record of each store when it first learns of that store. Once the stores are known, `settle` chooses the
-    popularity threshold T, the load above which an object is assigned further stores.
+    record of each store when it first learns of that store. Once the stores are known, `update_threshold`
+    chooses the popularity threshold T, the load above which an object is assigned further stores.
     """
 
     def __init__(self, snapshot: Snapshot, elapsed: Elapsed, began: int, policy: Policy) -> None:
@@ -108,7 +108,7 @@
         router.density = times_weight * self._snapshot.density
 
     def _hot(self, router: Router, now: int) -> None:
-        """Restores the load counts of hot objects: the mean of the saved intervals, weighted by age."""
+        """Restores the load counts of hot objects: the mean of the saved intervals, weighted by their age."""
         weighted = [(self._weight(Kind.HOT, i.age_ns), i) for i in self._snapshot.intervals]
         weighted = [(w, i) for w, i in weighted if w >= MIN_WEIGHT]
         self.dropped.add("intervals_old", len(self._snapshot.intervals) - len(weighted))
@@ -175,7 +175,7 @@
     def _restrain(self, node: Node, record: StoreRecord) -> None:
         """Lowers the concurrency limit and, for a cold store, the sending time that may be requested from it.
 
-        A record with values above those of a fresh start changes nothing.
+        A saved value above that of a fresh start changes nothing.
         """
         weight = self._weight(Kind.LIMIT)
         if record.limit < node.limit:
@@ -184,7 +184,9 @@
             node.credit = min(node.credit, record.credit_ns)
 
     def update_threshold(self, router: Router) -> bool:
-        """Chooses the popularity threshold T for the present stores, whose number may differ from the saved.
+        """Sets the Router's popularity threshold T (the load above which an object gets further stores).
+
+        It is chosen anew, because the number of stores may differ from that at the snapshot.
 
         Returns False if the Router knows no store yet, and must then be called again.
         """
@@ -197,7 +199,7 @@
 
     @staticmethod
     def threshold(router: Router, last: Interval) -> float:
-        """The popularity threshold T for the restored load counts of the Router.
+        """The popularity threshold T (see `update_threshold`) for the restored load counts of the Router.
 
         `last` is the newest saved counting interval. Its total load is reduced in proportion to the counts,
         which were reduced by age.
--- a/olivecourse/memory/schedule.py
+++ b/olivecourse/memory/schedule.py
@@ -1,4 +1,7 @@
-"""Decides when a snapshot begins, and what is logged of a slow or failing disk; uses no clock or file."""
+"""Decides when a snapshot of the Routers' state begins, and what is logged of a slow or failing disk.
+
+Uses no clock or file.
+"""
 
 from __future__ import annotations
 
@@ -6,21 +9,21 @@
 from enum import Enum
 
 S = 1_000_000_000
-MAX_BACKOFF = 16  # longest time between snapshots on a failing disk, in multiples of the usual interval
-SLOW_NS = 1 * S  # a write that takes longer than this is logged
+MAX_BACKOFF = 16  # longest time between snapshots on a failing disk, in multiples of `interval_ns`
+SLOW_NS = 1 * S  # a write of a snapshot that takes longer than this is logged
 
 
 class Phase(Enum):
-    """Phase of the snapshot that is being taken."""
+    """What is being done for a snapshot at present."""
 
     IDLE = "idle"  # no snapshot is being taken
     COLLECTING = "collecting"  # the event loop reads the state of the Routers
-    WRITING = "writing"  # the writer thread writes the file
+    WRITING = "writing"  # the writer thread writes the snapshot file
 
 
 @dataclass(frozen=True, slots=True)
 class LogEntry:
-    """A line for the operator's log: the event's name, and the reason, empty if there is none."""
+    """A line for the operator's log: the event's name, and the reason for it, empty if there is none."""
 
     event: str
     why: str = ""
@@ -44,20 +47,20 @@
         self.written = 0
 
     def begins(self, now: int) -> bool:
-        """Whether a snapshot is due; if so, its collection counts as begun."""
+        """Whether a snapshot is due; if so, the phase becomes COLLECTING."""
         if self.phase is not Phase.IDLE or now < self._due:
             return False
         self.phase, self._phase_start = Phase.COLLECTING, now
         return True
 
     def collected(self, now: int) -> None:
-        """Records that the state of the Routers has been collected and that the write begins."""
+        """Records that the Routers' state has been collected and that the write of the snapshot begins."""
         self.phase, self._phase_start = Phase.WRITING, now
 
     def check_slow(self, now: int) -> list[LogEntry]:
-        """Returns a log line if the present write has taken longer than SLOW_NS.
+        """Returns a log line if the snapshot write in progress has taken longer than SLOW_NS so far.
 
-        Further slow writes are not reported until one has taken less. May be called at any time.
+        It is not repeated until a write has succeeded within SLOW_NS. May be called at any time.
         """
         if self.phase is Phase.WRITING and now - self._phase_start > SLOW_NS and not self._slow_logged:
             self._slow_logged = True
@@ -67,7 +70,7 @@
         return []
 
     def ended(self, now: int, error: str | None) -> list[LogEntry]:
-        """Records the end of a write, with its error if it failed.
+        """Records the end of a snapshot's write, with its error, or None if it succeeded.
 
         Returns a log line only for the first failure in succession and for the first success after failures.
         """
--- a/olivecourse/memory/section.py
+++ b/olivecourse/memory/section.py
@@ -16,7 +16,7 @@
 
 
 class HalfLives(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Half-life of the weight of a saved record, in seconds, by kind; see `decay.Kind`."""
+    """Time in seconds in which the weight of a saved record in a restore halves, by kind (`decay.Kind`)."""
 
     pain: Seconds = DEFAULTS[Kind.PAIN].half_life_ns / S
     wait: Seconds = DEFAULTS[Kind.WAIT].half_life_ns / S
@@ -38,26 +38,29 @@
 
 
 class TokensSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Settings of the on-disk store of spent (used) order tokens."""
+    """Settings of the on-disk store of used order tokens, each of which permits one write request (order)."""
 
     most_wait_ms: Annotated[int, msgspec.Meta(ge=10, le=2500)] = (
-        1000  # longest wait of an order until its token is on disk
+        1000  # longest wait of a write request (order) until its token is on disk
     )
-    map_mb: Annotated[int, msgspec.Meta(ge=16, le=1024)] = 64  # largest size of the token store, in MiB
+    map_mb: Annotated[int, msgspec.Meta(ge=16, le=1024)] = 64  # largest size of the token store in MiB
 
 
 class MemorySection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Settings of the state kept across restarts; relative paths start at the operator's file."""
 
-    folder: Annotated[str, msgspec.Meta(min_length=1)]  # where snapshots and spent tokens are kept
+    folder: Annotated[str, msgspec.Meta(min_length=1)]  # path for snapshots and used order tokens
     interval_s: Annotated[float, msgspec.Meta(ge=0.1, le=3600)] = 2.0  # time between snapshots
-    keep: Annotated[int, msgspec.Meta(ge=1, le=100)] = 3  # number of snapshots kept
+    keep: Annotated[int, msgspec.Meta(ge=1, le=100)] = 3  # number of newest snapshots kept
     max_kb: Annotated[int, msgspec.Meta(ge=64, le=65_536)] = 1024  # greatest size of a snapshot, in KiB
-    key_file: str | None = None  # with a key, files have a MAC instead of a plain checksum
+    # Path of the file with the operator's key. With one, snapshots and the token store have a MAC instead of
+    # a plain checksum.
+    key_file: str | None = None
     half_life_s: HalfLives = HalfLives()
     drop_after_s: Limits = Limits()
-    trust_floor: Annotated[float, msgspec.Meta(ge=0.02, le=1)] = 0.03  # see `decay.Policy`
-    tokens: TokensSection | None = TokensSection()  # None: spent tokens are not kept on disk
+    # A restored error score leaves a store, beside a healthy one, at least this share of its normal traffic.
+    trust_floor: Annotated[float, msgspec.Meta(ge=0.02, le=1)] = 0.03
+    tokens: TokensSection | None = TokensSection()  # None: used order tokens are not kept on disk
 
     def __post_init__(self) -> None:
         for kind in Kind:
@@ -65,7 +68,7 @@
                 raise ValueError(f"drop_after_s.{kind.value} is below its half-life")
 
     def policy(self) -> Policy:
-        """The section as the policy by which restored records lose weight with their age."""
+        """These settings as the policy by which saved records count less in a restore the older they are."""
         return Policy(
             {
                 kind: Decay(
@@ -87,7 +90,10 @@
     section: MemorySection
 
     def key(self) -> bytes | None:
-        """The MAC key from the key file, None if none is set; raises InvalidSection if it cannot be used."""
+        """The MAC key from the key file, None if no file is set; raises InvalidSection if it is not usable.
+
+        It is not usable if it cannot be read or has fewer than MIN_KEY bytes.
+        """
         if self.key_file is None:
             return None
         try:
--- a/olivecourse/memory/snapshotter.py
+++ b/olivecourse/memory/snapshotter.py
@@ -24,22 +24,23 @@
 from olivecourse.net.worker import Worker
 
 MS = 1_000_000
-# Time between checks whether a Router's counting interval, which lasts 5 s, has ended.
+# Time between checks whether a Router's interval of load counting, which lasts 5 s, has ended.
 INTERVAL_CHECK_NS = 1_000 * MS
-TICK_NS = 100 * MS  # period of the timer that runs all checks
-# A restore ends when the Router knows its stores, or after this time even if it does not; it is then logged.
+TICK_NS = 100 * MS  # period of the timer for checks of restores, counting intervals, writes, due snapshots
+# The restore of a Router's state ends when it knows its stores, or after this time even if it does not; it is
+# then logged.
 RESTORE_TIMEOUT_NS = 2_000 * MS
-STOP_S = 1.0  # longest time in seconds that the last write may delay the end of the process
+STOP_S = 1.0  # longest time in seconds that the last snapshot's write may delay the end of the process
 PART = "router"  # first part of the names of the snapshot files and of the lock file
-PROGRAM = "0.3.0"  # program version in the header of the files
+PROGRAM = "0.3.0"  # program version in the header of the snapshot files
 
 
 @dataclass(eq=False)
 class TrackedRouter:
     """One Router whose state is restored and saved.
 
-    `since` is when `Snapshotter.attach` took it, by the event loop's clock. `restore` is None if there was no
-    snapshot.
+    `since` is when `Snapshotter.attach` took it, by the event loop's clock. `restore` restores its state, and
+    is None if there was no snapshot.
     """
 
     router: Router
@@ -120,7 +121,7 @@
     def detach(self, router: Router) -> None:
         """Stops tracking a Router whose forwarder has gone.
 
-        The state of the last tracked Router is kept in memory, for the next one that is adopted.
+        The state of the last tracked Router is kept in memory, for the next one that is attached.
         """
         leaving = [s for s in self._routers if s.router is router]
         if leaving and len(self._routers) == 1:
@@ -210,7 +211,7 @@
     def _save(self, header: bytes, pieces: list[bytes]) -> str:
         """Writes the snapshot and returns the file's name; runs on the writer thread.
 
-        A folder that was moved or replaced is opened again by its path, but never created.
+        A memory folder that was moved or replaced is opened again by its path, but never created.
         """
         if not self._disk.opened or not self._disk.path_unchanged():
             self._disk.open_locked(f"{PART}.lock", make=False)
@@ -227,7 +228,7 @@
             )
 
     def stop(self) -> None:
-        """Writes a last snapshot after the event loop has ended; gives up if it takes longer than STOP_S."""
+        """Writes a last snapshot after the event loop has ended; gives up after STOP_S."""
         if self._stopped:
             return
         if self._routers:
--- a/olivecourse/memory/tokenstore.py
+++ b/olivecourse/memory/tokenstore.py
@@ -1,6 +1,7 @@
-"""Spent order tokens in an LMDB database, the token store. Each token permits one order.
+"""Used ("spent") order tokens in an LMDB database, the token store.
 
-All tokens that arrive during one transaction share the next. The store has two LMDB databases:
+An order is a client's write request, which must not run twice; its Bearer token permits one order. All tokens
+that arrive during one transaction share the next. The store has two LMDB databases:
 
     spent   20 bytes of BLAKE3 of the token's issuer and id -> its expiry time (float64), 8 bytes of checksum
     meta    "about" -> 32 bytes of checksum, then JSON: version, gateway, the time since which the store holds
@@ -36,14 +37,16 @@
 from olivecourse.net.worker import Worker
 
 MS = 1_000_000
-PART = "tokens"  # name of the store's folder in the memory folder, and first part of its lock file's name
-VERSION = 1  # of the format of the store
-DIGEST, CHECKSUM = 20, 8  # lengths in bytes of a token's digest and of an entry's checksum
-VALUE = struct.Struct("<d8s")  # value of an entry: the token's expiry time in Unix seconds, and the checksum
-PROBE_S = 20.0  # longest time in seconds that the separate process may take to read the store
-# An order's token is checked this much later than its longest wait, when it is surely overdue if not durable.
+PART = "tokens"  # name of the token store's folder in the memory folder; its lock file is tokens.lock
+VERSION = 1  # format version of the token store
+DIGEST, CHECKSUM = 20, 8  # lengths in bytes of a token's digest and of the checksum of its entry
+# Value of a token's entry in the store: its expiry time in Unix seconds, and the checksum of the entry.
+VALUE = struct.Struct("<d8s")
+PROBE_S = 20.0  # longest time in seconds that the process of `probe` may take to read the token store
+# An order's token is checked this long after the longest wait for its write to disk (`most_wait_ms`), so that
+# it is surely overdue if it is not on disk.
 OVERDUE_CHECK_NS = 20 * MS
-STOP_S = 1.0  # longest time in seconds that the last transaction may delay the end of the process
+STOP_S = 1.0  # longest time in seconds that the last write of tokens may delay the end of the process
 
 
 class StoreMetadata(msgspec.Struct, frozen=True):
@@ -95,9 +98,9 @@
 
 
 class TokenStore:
-    """The LMDB database of spent tokens; must be used by only one thread at a time.
+    """The LMDB database of spent order tokens; must be used by only one thread at a time.
 
-    `map_mb` is its greatest size in MiB, and `key` the key of the checksums, if any.
+    `map_mb` is its greatest size in MiB, and `key` the operator's key of the checksums, if any.
     """
 
     def __init__(self, path: Path, map_mb: int, key: bytes | None) -> None:
@@ -107,10 +110,9 @@
         self._metadata = StoreMetadata(VERSION, "", 0.0, 0.0, 0, "0")
 
     def open(self, write: bool = True) -> None:
-        """Opens the store and creates it if missing, or, if `write` is False, opens it read-only without
-        lock.
+        """Opens the token store and creates it if missing.
 
-        Raises lmdb.Error or OSError.
+        If `write` is False, it is opened read-only without lock. Raises lmdb.Error or OSError.
         """
         if write:
             self._path.mkdir(mode=0o700, exist_ok=True)
@@ -130,7 +132,7 @@
         self._file = os.open(self._path / "data.mdb", os.O_RDONLY | os.O_CLOEXEC)
 
     def close(self) -> None:
-        """Closes the store; may be called more than once."""
+        """Closes the token store; may be called more than once."""
         if self._env is not None:
             self._env.close()
             self._env = None
@@ -149,7 +151,7 @@
         return (current.st_ino, current.st_dev) == (opened.st_ino, opened.st_dev)
 
     def read(self, gateway: str | None) -> tuple[StoreMetadata | None, dict[bytes, float]]:
-        """Reads and checks the store of `gateway`, or of any gateway if None.
+        """Reads and checks the token store that `gateway` wrote, or that any gateway wrote if None.
 
         Returns the metadata, None if the store is new, and the expiry time of each spent token by its digest.
         Raises BadStore if a check fails, or lmdb.Error.
@@ -188,12 +190,15 @@
             return metadata, found
 
     def begin(self, gateway: str, covered_since: float) -> None:
-        """Initialises an empty store, to hold every token of `gateway` spent from `covered_since` on."""
+        """Initialises an empty store, to hold every token of `gateway` spent from `covered_since` on.
+
+        `covered_since` is in Unix seconds.
+        """
         self._metadata = StoreMetadata(VERSION, gateway, covered_since, 0.0, 0, "0")
         self.commit(Group({}, [], 0.0))
 
     def commit(self, group: Group) -> None:
-        """Writes a group of changes in one LMDB transaction, which is durable on return.
+        """Writes a group of spent and removed tokens in one LMDB transaction, which is durable on return.
 
         Raises lmdb.Error or OSError; the group has then been applied either entirely or not at all.
         """
@@ -217,12 +222,12 @@
             )
             raw = msgspec.json.encode(metadata)
             txn.put(b"about", _checksum(self._key, raw, length=32) + raw, db=self._meta)
-        if not self.path_unchanged():  # synced to a file that a restart would not find
+        if not self.path_unchanged():  # the tokens were written to a file that a restart would not find
             raise OSError("the folder is gone")
         self._metadata = metadata
 
     def reopen(self) -> None:
-        """Opens the store again by its path after a failed transaction.
+        """Opens the token store again by its path after a failed transaction.
 
         What is found there must be this gateway's store or empty. Raises BadStore, lmdb.Error or OSError.
         """
@@ -324,9 +329,11 @@
     # Interface that fronts.tokens calls -----------------------------------------------------------------
 
     def spend(self, name: str, exp: float, now_s: float) -> None:
-        """Spends the token `name` (issuer and id), or raises Rejected with the HTTP status for its order.
+        """Spends the order token `name` (issuer and id), so that no other write request can use it.
 
-        The order may be sent only once `when_durable` has reported the token as durable.
+        Raises Rejected, with the HTTP status of the response to the write request (order), if the token is
+        used already (401) or cannot be recorded now (503). The request may be sent to a store only once
+        `when_durable` has reported the token as durable. `exp` and `now_s` are in Unix seconds.
         """
         verdict = self.group_commit.spend(token_digest(name), exp, self._loop.clock.now(), now_s)
         if verdict is Verdict.USED:
@@ -341,12 +348,12 @@
         self._loop.after(0, self._begin_commit)
 
     def release(self, name: str) -> None:
-        """Frees a token whose order has not run, so that it may be used again."""
+        """Frees a spent token whose order (write request) has not run, so that it may be used again."""
         self._waiting.pop(token_digest(name), None)
         self.group_commit.release(token_digest(name))
 
     def when_durable(self, name: str, call: Callable[[bool], object]) -> bool:
-        """Whether the token is durable (on disk) already, so that its order may be sent.
+        """Whether the spent token is durable (on disk) already, so that its order may be sent to a store.
 
         If it is not, `call` is called later: with True once the token is durable, or with False if its write
         failed or took longer than `most_wait_ms`; the order must then be refused.
@@ -366,7 +373,7 @@
             self._ended(None, OSError("the writer's queue is full"))
 
     def _commit(self, group: Group) -> None:
-        """Commits a group; runs on the writer thread.
+        """Commits a group of spent and removed tokens to disk; runs on the writer thread.
 
         After a failed transaction, the group holds all entries, and the folder and store are opened again.
         """
@@ -397,7 +404,7 @@
                 call(durable)
 
     def stop(self) -> None:
-        """Commits what is queued and closes the store; gives up if that takes longer than STOP_S."""
+        """Writes the queued tokens to disk and then closes the token store; gives up after STOP_S."""
         self._begin_commit()
         if not self._worker.stop(STOP_S):
             self._log("tokens_left_unwritten", folder=str(self._config.folder))
@@ -407,7 +414,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Entry point of the process that `probe` starts: reads every entry of the store; returns exit code 0.
+    """Entry point of the process that `probe` starts: reads all of the token store; returns exit code 0.
 
     The arguments are the store's path and its greatest size in MiB. A fault raises an exception, or crashes
     the process.
