--- a/olivecourse/memory/commands.py
+++ b/olivecourse/memory/commands.py
@@ -85,7 +85,7 @@
         self.folder = Folder(self.disk, PART, section.keep, section.max_kb * 1024, config.key())
 
     def load(self) -> LoadResult:
-        """Loads the newest intact snapshot of `gateway`, whatever its age."""
+        """Loads the newest intact snapshot that `gateway` wrote (any gateway if None), whatever its age."""
         return self.folder.load(self.gateway)
 
     def lock(self) -> None:
@@ -200,7 +200,7 @@
 @memory.command()
 @_options
 def show(operator: str | None, folder: str | None, key: str | None) -> None:
-    """Print what would be restored if the gateway started now."""
+    """Print what would be restored from the memory folder if the gateway started now."""
     opened = OpenFolder(*_config(operator, folder, key))
     found = opened.load()
     console = Console(width=None if sys.stdout.isatty() else 120)
@@ -293,7 +293,7 @@
 @_options
 @click.option("--json", "as_json", is_flag=True, required=True, help="The only output format so far.")
 def export(operator: str | None, folder: str | None, key: str | None, as_json: bool) -> None:
-    """Print all records as JSON; ages and times are in nanoseconds."""
+    """Print all records of the newest intact snapshot as JSON; ages and times are in nanoseconds."""
     opened = OpenFolder(*_config(operator, folder, key))
     found = opened.load()
     if found.snapshot is None:
--- a/olivecourse/memory/tokenstore.py
+++ b/olivecourse/memory/tokenstore.py
@@ -77,7 +77,7 @@
 
 
 def token_digest(name: str) -> bytes:
-    """The key of a token in the store: a hash, from which its `name` (issuer and id) cannot be read."""
+    """The key of a spent token in the store: a hash, which does not show its `name` (issuer and id)."""
     return bytes(blake3(name.encode()).digest(length=DIGEST))
 
 
@@ -237,7 +237,7 @@
         previous = self._metadata
         self.open()
         metadata, _ = self.read(previous.gateway)
-        if metadata is None:  # the store is new; the next group writes all entries, so `covered_since` holds
+        if metadata is None:  # new store: the next group writes all known tokens, so `covered_since` holds
             self._metadata = msgspec.structs.replace(previous, count=0, total="0")
 
 
@@ -264,8 +264,9 @@
 class DurableSpent:
     """The table of spent order tokens that `fronts.tokens.Tokens` uses, kept on disk.
 
-    The constructor raises FolderLocked if another process uses the folder. Disk faults are logged; after one,
-    orders are refused until the disk can be written. `clock` returns Unix seconds.
+    An order is a client's write request; its token permits only one. The constructor raises FolderLocked if
+    another process uses the folder. Disk faults are logged; after one, orders are refused until the disk can
+    be written. `clock` returns Unix seconds.
     """
 
     def __init__(
@@ -343,8 +344,8 @@
         if verdict is Verdict.BUSY or not self._usable:
             self.group_commit.release(token_digest(name))
             raise Rejected(503, "orders cannot be recorded")
-        # The commit begins in the event loop's next turn, so that all orders of this turn share the
-        # transaction.
+        # The commit begins in the event loop's next turn, so that the tokens of all orders that arrive in
+        # this turn share one transaction.
         self._loop.after(0, self._begin_commit)
 
     def release(self, name: str) -> None:
--- a/olivecourse/storm/controller.py
+++ b/olivecourse/storm/controller.py
@@ -32,8 +32,8 @@
 # served.
 MIN_SPARE_PART = 0.05
 MAX_BUCKETS = 4096  # token buckets of the retry budgets: one per request class, store and fill source
-# Clients whose Retry-After compliance is tracked, and failed requests in each of the two generations of the
-# retry tracker: at most about 4 MB in all.
+# Clients whose Retry-After compliance is tracked, and failed requests in each of the two tables of the retry
+# tracker: at most about 4 MB in all.
 MAX_CLIENTS, MAX_FAILURES = 16_384, 16_384
 # A client's request counts as a retry if its request for the same object failed within this time.
 RETRY_WINDOW_NS = 5_000 * MS
