--- a/olivecourse/choice.py
+++ b/olivecourse/choice.py
@@ -97,8 +97,9 @@
 # router sees few misses.
 CLEARLY_FASTER = 0.5
 # REFERENCE_ROUTERS: number of routers for which the steps of the fill shares for the shared origin were
-# tuned. With more routers, one fill from the origin counts for at least (routers / REFERENCE_ROUTERS) fills.
-# MAX_ORIGIN_SAMPLE_WEIGHT: the most fills that one fill from the origin counts for.
+# tuned. One fill from the origin counts for as many fills as one from a parent's own copy does, or for
+# routers // REFERENCE_ROUTERS if that is more. MAX_ORIGIN_SAMPLE_WEIGHT: the most fills that one fill from
+# the origin counts for; this cap wins, even if routers // REFERENCE_ROUTERS is above it.
 REFERENCE_ROUTERS, MAX_ORIGIN_SAMPLE_WEIGHT = 4, 10
 # One outcome that this router observes counts for as many outcomes as routers share the node, but for at most
 # this many, because the routers of a zone meet the same troubles.
@@ -237,8 +238,9 @@
         self.fill_shares = [MAX_FILL_SHARE] * len(settings.classes)
         self.parent_fill_shares = list(self.fill_shares)
         self.last_late_fill_at = [now] * len(self.fill_shares)  # time of the last late fill, by class index
-        # Number of timely fills since the last late one, by class index and by whether the share for fills
-        # from a parent's own copy was adapted.
+        # Number of timely fills since the last late one, by (class index, kind of fill). The kind is True for
+        # fills from a parent's own copy, which adapt `parent_fill_shares`, and False for all other fills,
+        # which adapt `fill_shares`.
         self.timely_fill_streak: dict[tuple[int, bool], int] = {}
         self.retune_at = now + INTERVAL_NS
         self.purges = PurgeTable()
--- a/olivecourse/emulator/clients.py
+++ b/olivecourse/emulator/clients.py
@@ -24,9 +24,9 @@
 class TrafficClass:
     """A request class as emulated clients send it.
 
-    `share` is its weight relative to the other classes' shares, and `deadline_ms` the time from sending a
-    request to its deadline. With `write` its requests carry a body. `sized_per_ten` of ten requests, chosen
-    at random, state the expected size of the object.
+    Clients choose the class of each request at random, in proportion to `share`. `deadline_ms` is the time
+    from sending a request to its deadline. With `write` its requests carry a body. `sized_per_ten` of ten
+    requests, chosen at random, state the expected size of the object.
     """
 
     name: str
@@ -70,7 +70,7 @@
         self.lost_requests = (
             0  # requests without an answer when their connection ended, as when the gateway is killed
         )
-        self.latencies_s: list[float] = []  # from sending to the answer, of served requests
+        self.latencies_s: list[float] = []  # of served requests, from sending to the answer
         self.running = True
         self._open_requests: dict[tuple[int, int], tuple[float, TrafficClass, bytes]] = {}
         self._last_numbers = [0] * connection_count
@@ -119,8 +119,8 @@
         now = time.monotonic()
         self._report_overdue(now)
         i = self.random.randrange(len(self._socks))
-        # A connection without open requests that fell back to a later port of `_ports` returns to the first
-        # port with a probability of 0.1.
+        # A connection that was opened to a later port of `_ports`, because the first did not accept it,
+        # returns to the first port with a probability of 0.1 while it has no open requests.
         return_to_first = (
             self._port_indexes[i]
             and not any(key[0] == i for key in self._open_requests)
@@ -204,7 +204,9 @@
         self.outcomes_by_class[request_class.name][outcome] += 1
 
     def finish_requests(self, seconds: float) -> None:
-        """Stops sending requests and runs the EmulatorLoop until none is open, for at most `seconds`."""
+        """Stops sending requests and runs the EmulatorLoop until all sent requests are answered, lost or
+        reported as overdue, for at most `seconds`.
+        """
         self.running = False
         end = time.monotonic() + seconds
         while self._open_requests and time.monotonic() < end:
--- a/olivecourse/emulator/deployments.py
+++ b/olivecourse/emulator/deployments.py
@@ -26,7 +26,9 @@
     "k9",
 )
 REPORT_FIELDS = ("active", "cpu", "x0", "x1", "avg_ms", "rps", "waiting")
-REPORT_FIELD_ALIASES = {"active": "inflight", "cpu": "util"}  # field names that stores may report instead
+# Names of load report fields: the settings use the one on the left; stores may report the field under the
+# one on the right instead.
+REPORT_FIELD_ALIASES = {"active": "inflight", "cpu": "util"}
 ADMIN_ADDRESS_KEYS = {"mgmt": "EDGE_MGMT", "admin": "EDGE_ADMIN"}
 FAULTS = ("none", "board refuses", "drain by hand", "file replaced", "file spoilt", "store resets")
 
@@ -41,8 +43,8 @@
     administration ports are open, `troubles` the faults of FAULTS to inject, in this order, and `replaced`
     the complete settings that a configuration reload brings. `drain_s` is the time in seconds within which
     the gateway must stop sending requests to a draining store, and `purge_s` that within which it must stop
-    using purged copies. With `changes_at_start` the first list of stores has only one, and a list of changes
-    adds the others. `office` is the edge zone of the gateway.
+    using purged copies. With `changes_at_start` the first server list from discovery has only one
+    store, and a list of changes adds the others. `office` is the edge zone of the gateway.
     """
 
     seed: int
@@ -62,12 +64,12 @@
 
 
 def draw_deployment(seed: int) -> RandomDeployment:
-    """Draws the deployment that belongs to a seed."""
+    """Draws a deployment at random; the same `seed` always gives the same one."""
     rng = random.Random(seed)
     hubs = rng.sample(HUB_ZONES, rng.randint(1, 5))
     offices = rng.sample(EDGE_ZONES, rng.randint(1, 2))
     if rng.random() < 0.1:
-        hubs[0] = offices[0]  # one name for a hub zone and an edge zone, which settings may have
+        hubs[0] = offices[0]  # settings may use one name for both a hub zone and an edge zone
     traffic_classes, profiles, per_class = _classes(rng)
     parents = rng.randint(0, len(hubs))
     direct = rng.random() < 0.6
--- a/olivecourse/emulator/discovery_server.py
+++ b/olivecourse/emulator/discovery_server.py
@@ -54,7 +54,7 @@
         self._listen()
 
     def publish(self, **event_body: Any) -> float:
-        """Adds one event with the next revision and answers all open polls.
+        """Adds one event with the next revision and the fields `event_body`, and answers all open polls.
 
         Returns the time of publication on the time.monotonic clock, in seconds.
         """
--- a/olivecourse/emulator/faults.py
+++ b/olivecourse/emulator/faults.py
@@ -58,7 +58,7 @@
         self._delayed = 0
         self._socks: list[socket.socket] = []
 
-    # Datagrams ----------------------------------------------------------------------------------------
+    # Proxy ports for UDP datagrams --------------------------------------------------------------------
 
     def datagrams(self, source: str, target: str, address: tuple[str, int]) -> str:
         """Opens a proxy port for UDP datagrams from `source` to `target`, which listens at `address`.
@@ -101,7 +101,7 @@
         with contextlib.suppress(OSError):
             sock.sendto(data, address)
 
-    # Streams ------------------------------------------------------------------------------------------
+    # Proxy ports for TCP streams ----------------------------------------------------------------------
 
     def stream(self, source: str, target: str, address: tuple[str, int]) -> str:
         """Opens a proxy port for TCP connections from `source` to `target`, which listens at `address`.
@@ -179,7 +179,7 @@
             sock.sendall(data)
             sock.setblocking(False)
 
-    # Cuts ---------------------------------------------------------------------------------------------
+    # Cutting and reopening links ----------------------------------------------------------------------
 
     def partition(self, *groups: Sequence[str]) -> None:
         """Cuts all links between processes of different groups, in both directions."""
@@ -204,19 +204,22 @@
             sock.close()
 
 
-# Scripts -------------------------------------------------------------------------------------------------
+# Fault scripts -------------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True)
 class Fault:
     """One step of a fault script: the action `what` on the processes `who`, `at_s` seconds after its start.
 
-    "part" cuts the processes off from all others, and "mute" cuts only the links from the first one.
-    "weather" sets the conditions of all links to `figures`: loss, duplicate share, greatest delay in seconds.
+    "kill" sends SIGKILL, "start" starts a process that is not running, "stop" sends SIGSTOP, and "go on"
+    sends SIGCONT. "part" partitions the network: no data passes between `who` and all other processes. "mute"
+    cuts the links from the first of `who` to all others, which can still send to it. "heal" reopens all links
+    that were cut. "weather" replaces the conditions of all links by `figures`: the share of lost datagrams,
+    the share of duplicated ones, and the greatest delay in seconds.
     """
 
     at_s: float
-    what: str  # kill, start, stop (SIGSTOP), go on (SIGCONT), part, mute, heal or weather
+    what: str  # the action: kill, start, stop, go on, part, mute, heal or weather
     who: tuple[str, ...] = ()
     figures: tuple[float, ...] = ()
 
@@ -229,7 +232,8 @@
 ) -> list[Fault]:
     """Draws a fault script of `seconds` for the named processes, sorted by time.
 
-    At its end every killed or stopped process runs again and every link is open and without faults.
+    After its last faults, at `seconds`, every killed or stopped process runs again, and no link is cut or has
+    loss, duplication or delay.
     """
     rng = random.Random(seed)
     faults = [
--- a/olivecourse/emulator/observer.py
+++ b/olivecourse/emulator/observer.py
@@ -11,16 +11,20 @@
 
 from olivecourse.emulator.stores import Store
 
-SOCKET_TOLERANCE_S = 0.05  # added to each grace period, for delays on sockets
-OBSERVER_DELAY_S = 0.05  # also added to each grace period, for delays in this process
+# Both are added to each grace period (the time that gateways have to act on a drain or purge): the first for
+# delays on sockets, the second for delays in this process.
+SOCKET_TOLERANCE_S = 0.05
+OBSERVER_DELAY_S = 0.05
 
 
 class Observer:
-    """Counts rule violations in `violations`, by rule: drain, purge, twice.
+    """Counts violations by rule in `violations`.
 
-    `on_answer` must be given to the EmulatorLoop of the stores as its `on_answer`. The caller reports the
-    events that the discovery server publishes by `drained`, `back` and `purged`. `asks` counts the requests
-    by store.
+    The rules are "drain" (a store was used too long after its drain), "purge" (a purged copy was used too
+    long after the purge) and "twice" (a request that must not run twice did). `on_answer` must be given to
+    the EmulatorLoop of the stores as its `on_answer`. The caller reports the events that the discovery server
+    publishes by `record_drain`, `record_ready` and `record_purge`. `request_counts` counts the requests by
+    store.
     """
 
     def __init__(self, drain_s: float, purge_s: float, at_most_once_classes: frozenset[str]) -> None:
@@ -39,7 +43,8 @@
     def record_drain(self, store: str, at: float) -> None:
         """Records that discovery published at `at` (time.monotonic) that the store is draining or gone.
 
-        Once the grace period for drains is over, a request to the store is a violation.
+        Once the grace period for drains is over, a request to the store is a violation, and so is one to
+        another store that names it as the source of a fill.
         """
         self._removed_at.setdefault(store, at)
 
@@ -56,7 +61,7 @@
         self._purges[asset] = (at, unix_ms)
 
     def record_violation(self, rule: str, description: str) -> None:
-        """Counts a violation of a rule; `told` keeps the descriptions of the first eight violations."""
+        """Counts a violation of `rule`; `first_violations` keeps the descriptions of the first eight."""
         self.violations[rule] += 1
         if len(self.first_violations) < 8:
             self.first_violations.append(f"{rule}: {description}")
--- a/olivecourse/emulator/stores.py
+++ b/olivecourse/emulator/stores.py
@@ -33,10 +33,11 @@
     `mode` is good, failing (answers an error at once) or silent (accepts requests and answers none).
     An answer takes `delay_s`, and `fill_s` longer for a miss or a write.
     With `holds_all`, every read is a hit with a copy that the origin issued at this moment; otherwise the
-    store keeps at most `max_copies` copies. `asked` counts the received requests, `open` those whose
-    answer has not been sent.
-    `write_counts` counts the executions of each write by its body, as soon as the body is complete.
-    `copies` maps each copy to the Unix time in ms at which the origin issued it.
+    store keeps at most `max_copies` copies. `request_count` counts the received requests, `open` those
+    whose answer is decided but not yet sent.
+    `write_counts` counts the executions of each write by its body, as soon as the body is complete, in every
+    `mode`.
+    `copies` maps the key of each copy ("OBJECT/PART") to the Unix time in ms at which the origin issued it.
     `fresh_ms` is the greatest age of a class's copies for requests that state none (0: any age).
     `reports` names the fields of the load report that each answer carries; without fields there is no report.
     """
@@ -115,7 +116,9 @@
         on_answer: AnswerCallback | None = None,
         writes: frozenset[str] = frozenset({"commande"}),
     ) -> None:
-        """`writes` names the request classes that are writes: they are counted as orders and never stored."""
+        """`writes` names the request classes that are writes. Stores count them in `Store.write_counts` and
+        keep no copies of their answers.
+        """
         self.stores, self._on_answer, self._writes = stores, on_answer, writes
         self._stores_by_name = {store.name: store for store in stores}
         self.selector = selectors.DefaultSelector()
@@ -216,8 +219,8 @@
             note, delay = "MISS", delay + store.fill_s
             source = self._stores_by_name.get(fields["fetch"])
             stamp = unix_ms()
-            # If the store of the field `fetch` is a parent with a copy, the fill gets that one; otherwise the
-            # origin issues a new copy now.
+            # If the store that the field `fetch` names is a parent with a copy, the fill gets that one;
+            # otherwise the origin issues a new copy now.
             if source is not None and source is not store:
                 stamp = source.lookup(key, oldest_ms) or stamp
                 source.add_copy(key, stamp)
--- a/olivecourse/fronts/tokens.py
+++ b/olivecourse/fronts/tokens.py
@@ -120,14 +120,15 @@
 
 
 class SpentTokens(Protocol):
-    """The record of used order tokens, each named by its mark (issuer and token id)."""
+    """The record of used order tokens, each identified by its issuer and token id (`jti`) in one string."""
 
     covered_since: float  # Unix time in seconds; the record may lack tokens that were used before it
 
     def spend(self, name: str, exp: float, now_s: float) -> None:
-        """Records the token with the mark `name` as used; raises Rejected if it was already, or cannot be.
+        """Records the order token `name` as used; raises Rejected if it was already, or cannot be recorded.
 
-        `exp` is the token's expiry and `now_s` the present time, both in Unix seconds.
+        `name` is the string of issuer and token id that `Tokens.check_order` returns, `exp` the
+        token's expiry and `now_s` the present time, both in Unix seconds.
         """
 
     def release(self, name: str) -> None:
@@ -148,7 +149,9 @@
 
     def __init__(self, started: float, leeway_s: float) -> None:
         self.covered_since, self._leeway_s = started, leeway_s
-        self._spent: dict[str, float] = {}  # by mark: the Unix time from which a used token is expired
+        # For each used token, by its issuer and token id in one string: the Unix time in seconds after which
+        # it has expired and may be forgotten.
+        self._spent: dict[str, float] = {}
 
     def spend(self, name: str, exp: float, now_s: float) -> None:
         if name in self._spent:
@@ -260,10 +263,10 @@
             raise Rejected(403, "not for this URI")
 
     def check_order(self, token: str, uri: str) -> str:
-        """Checks an order token for a write of this URI and marks it as used; raises Rejected.
+        """Checks an order token for a write of this URI and records it as used; raises Rejected.
 
-        Returns its mark (issuer and token id). The token permits another write only after
-        `SpentTokens.release`.
+        Returns the string that identifies the token in the record: its issuer, a line feed and its token id.
+        The token permits another write only after `SpentTokens.release` with that string.
         """
         claims = self._claims(token, 401, ["exp", "iat", "jti", "aud", "cdniuc"], self.gateway)
         self._check_container(claims, uri)
--- a/olivecourse/ops/hot_restart.py
+++ b/olivecourse/ops/hot_restart.py
@@ -31,7 +31,11 @@
 
 
 class DrainHolder(Protocol):
-    """The holder of this process's manual drains, which GatewayHandlers implements."""
+    """Holds the records of manual drains (stores, or the gateway itself, taken out of service by hand).
+
+    HotRestart uses it to write this process's records for the gateway's other processes, and to apply theirs
+    here. GatewayHandlers implements it.
+    """
 
     def merge_drains(self, records: DrainRecords) -> None:
         """Merges manual drain records of another process, and applies those that are newer."""
--- a/olivecourse/relay/history.py
+++ b/olivecourse/relay/history.py
@@ -298,10 +298,11 @@
         return b'{"rev":%d,"notices":[%b]}' % (self._revision, b",".join(parts))
 
     def _base_after(self, revision: int) -> list[bytes]:
-        """Returns the JSON encodings of the base's events for a watcher that holds `revision`, in ascending
-        numbers.
+        """Returns the compacted base (the folded purges and server list) for a watcher that holds `revision`,
+        as JSON encodings of events in ascending order of their numbers.
 
-        The server list is left out if the watcher already holds its newest change.
+        Only purges with numbers above `revision` are included. The server list is included with all its
+        stores, or left out if the watcher already holds its newest change or if the list is incomplete.
         """
         records = self._purges.after(revision)
         parts = [record.encoded for record in records]
--- a/olivecourse/relay/members.py
+++ b/olivecourse/relay/members.py
@@ -1,4 +1,4 @@
-"""The server list that results from the events that a relay has folded, that is dropped from its log.
+"""The server list that results from a relay's folded events: applied to the list, then dropped from the log.
 
 It is encoded as JSON only when a watcher needs the complete list.
 """
--- a/olivecourse/relay/watermarks.py
+++ b/olivecourse/relay/watermarks.py
@@ -43,8 +43,10 @@
     """Counters of watchers since the relay's start, written to its status under these names.
 
     `lapsed` counts expired leases, `returned` lapsed watchers that polled again, `refused` polls refused
-    because the table of watchers was full. `lapsed_dropped` counts watchers dropped from the full list of
-    lapsed ones, `lapsed_forgotten` those dropped from it after LAPSED_RETENTION_NS.
+    because the table of watchers was full. `lapsed_dropped` counts lapsed watchers dropped from their list
+    because it exceeded its capacity (MAX_LAPSED unless set otherwise), those that lapsed first before others.
+    `lapsed_forgotten` counts those dropped because their time in the list (LAPSED_RETENTION_NS unless set
+    otherwise) was over.
     """
 
     lapsed: int
--- a/olivecourse/rollout/agent.py
+++ b/olivecourse/rollout/agent.py
@@ -114,7 +114,7 @@
         self.works: dict[int, Work] = {}
         self._next_own_request_at = self._next_orphan_check_at = now
 
-    # Requests -----------------------------------------------------------------------------------------
+    # Start and end of work under a lease --------------------------------------------------------------
 
     def request_lease(self, key: str, item: int, why: LeasePurpose, now: int, forced: bool = False) -> Work:
         """Starts to request a lease for an item of group `key`, and returns its `Work`. A repeated call for
@@ -155,7 +155,7 @@
         self.works.pop(work.item, None)
         self._member.submit(work.key, LeaseOperation(LeaseAction.CANCEL, work.item, self.me, work.token), now)
 
-    # Timer and answers --------------------------------------------------------------------------------
+    # Periodic work, and answers to lease operations ---------------------------------------------------
 
     def tick(self, now: int) -> None:
         """Sends the lease requests that are due; must be called every few tens of milliseconds."""
--- a/olivecourse/rollout/component.py
+++ b/olivecourse/rollout/component.py
@@ -168,7 +168,7 @@
             self.gateway.log("rollout_folder_old", folder=str(self.config.folder))
         return disk, acceptor_states or {}, acceptor_states is not None and not stale
 
-    # Interface of parts -------------------------------------------------------------------------------
+    # Calls that the gateway makes to each of its parts ------------------------------------------------
 
     def configure_planner(self, planner: Planner) -> None:
         """Receives the gateway's planner, before the planner's first event."""
@@ -198,7 +198,7 @@
         if self._disk is not None:
             self._disk.close()
 
-    # Timer --------------------------------------------------------------------------------------------
+    # Periodic work ------------------------------------------------------------------------------------
 
     def _tick(self) -> None:
         """Runs the periodic work of `self.member` (agreement with the other gateways) and `self.agent` (this
@@ -372,7 +372,7 @@
             return self.names[item] if item < len(self.names) else str(item)
         return self.gateway.directory.names.get(item, str(item))
 
-    # Steps --------------------------------------------------------------------------------------------
+    # Execution of the member's steps: disk writes, then messages and answers --------------------------
 
     def _flush(self) -> None:
         """Carries out the step that `self.member` has collected. Its messages and answers wait in a queue if
@@ -535,7 +535,8 @@
         return _reply(200, {"pending": False, "ok": not why, "why": why, "term": term})
 
     def _find_item(self, name: str) -> tuple[str, int] | None:
-        """The group key and number of the gateway or store with this name, or None if there is none."""
+        """Finds a gateway or store by its name. Returns the key of its group and its item number, by which
+        that group's lease table refers to it, or None if no gateway or store has this name."""
         if name in self.names:
             item = self.names.index(name)
             return self.member.setup.offices[item], item
--- a/olivecourse/rollout/disruption_leases.py
+++ b/olivecourse/rollout/disruption_leases.py
@@ -19,7 +19,9 @@
 from olivecourse.rollout.budgets import Group
 
 MAX_LEASES, MAX_QUEUED = 6, 4  # per group: an encoded lease table must fit into one datagram
-MAX_VALUE_BYTES = 160  # of an encoded lease table, which must fit into one datagram
+# Longest encoded lease table. It must fit into one datagram, of at most 256 bytes (wire.MAX_DATAGRAM_BYTES);
+# the other 96 bytes are left for the datagram's header and the other fields of the message.
+MAX_VALUE_BYTES = 160
 
 
 class Phase(IntEnum):
--- a/olivecourse/rollout/member.py
+++ b/olivecourse/rollout/member.py
@@ -171,7 +171,7 @@
         self._learn_accepted_values()
         self.register.on_chosen = self._gossip
 
-    # Known values -------------------------------------------------------------------------------------
+    # Register values and states of items, as known to this member -------------------------------------
 
     def _learn_accepted_values(self) -> None:
         """Called at the start: treats the register values that this member has accepted in ballots as if a
@@ -277,7 +277,7 @@
         `is_fenced`); always False if fencing is switched off."""
         return self.setup.fences and is_fenced(self.register.acceptor_states, key, value)
 
-    # Requests -----------------------------------------------------------------------------------------
+    # Requests: operations on the registers, sent to a coordinating member -----------------------------
 
     def submit(self, key: str, operation: LeaseOperation | CommandRequest, now: int) -> int:
         """Submits an operation on register `key` and returns its handle. The answer appears under that handle
@@ -339,7 +339,7 @@
         if pending is not None:
             self.register.step.done.append((pending.handle, reply.answer))
 
-    # Messages -----------------------------------------------------------------------------------------
+    # Messages from and to other gateways --------------------------------------------------------------
 
     def _send(self, target: int, message: Any) -> None:
         self.register.step.sends.append((target, message))
@@ -415,7 +415,7 @@
         entries = sorted((key, b.count, b.member) for key, (b, _) in self.register.learned.items())
         return zlib.crc32(repr(entries).encode())
 
-    # Timer --------------------------------------------------------------------------------------------
+    # Periodic work ------------------------------------------------------------------------------------
 
     def tick(self, now: int) -> None:
         """Times out and resends requests, and runs the periodic work: heartbeats and, on the coordinating
@@ -537,7 +537,7 @@
             if (heartbeat := self.liveness.heartbeat(n)) is not None
         }
 
-    # Effects ------------------------------------------------------------------------------------------
+    # Effects that the caller must carry out -----------------------------------------------------------
 
     def take_step(self) -> Step:
         """Returns the effects collected since the last call: disk writes, messages, and answers to this
--- a/olivecourse/rollout/quorum_register.py
+++ b/olivecourse/rollout/quorum_register.py
@@ -208,7 +208,7 @@
         self._pending.setdefault(key, []).append((handle, operation, now))
         self._start(key, now)
 
-    # Proposer -----------------------------------------------------------------------------------------
+    # Proposer: ballots to change a register's value ---------------------------------------------------
 
     def _start(self, key: str, now: int) -> None:
         """Starts a ballot for the pending proposals of register `key`, unless a ballot for it is open, this
@@ -294,7 +294,7 @@
         self._pending[key] = ballot_round.proposals + self._pending.get(key, [])
         self._not_before[key] = now + int(MAX_BACKOFF_NS * self._random.random())
 
-    # Acceptor -----------------------------------------------------------------------------------------
+    # Acceptor: promises to proposers and accepted values ----------------------------------------------
 
     def _store_acceptor_state(self, key: str, acceptor_state: AcceptorState) -> None:
         """Changes the acceptor state of register `key`, and adds it to the state that the caller must write
@@ -329,7 +329,7 @@
             )
         return Accepted(message.key, message.ballot)
 
-    # Messages -----------------------------------------------------------------------------------------
+    # Dispatch of messages, learned values and periodic work -------------------------------------------
 
     def _send(self, member: int, message: Any) -> None:
         self.step.sends.append((member, message))
--- a/olivecourse/rollout/releases.py
+++ b/olivecourse/rollout/releases.py
@@ -217,7 +217,7 @@
     return encode(release), answers
 
 
-# Order of the gateways ---------------------------------------------------------------------------------
+# Order in which the gateways get a new version ---------------------------------------------------------
 
 
 def order(version: str, gateways: Sequence[int]) -> list[int]:
