--- a/benchmarks/_hollow.py
+++ b/benchmarks/_hollow.py
@@ -64,7 +64,7 @@
         self.longest_us = max(self.longest_us, elapsed_us)
 
     def row(self) -> dict[str, Any]:
-        """Returns the non-empty buckets and the longest time as JSON, which `merge_times` sums up."""
+        """Returns the non-empty buckets and the longest time as JSON, for `_deployment.merge_times`."""
         counts = [(ms, count) for ms, count in enumerate(self._counts) if count]
         return {"counts": counts, "longest_us": self.longest_us}
 
--- a/benchmarks/_virtual_agreement.py
+++ b/benchmarks/_virtual_agreement.py
@@ -9,8 +9,8 @@
 All voting members and a sample of the other nodes run a tick every 20 ms, as in the program. The remaining
 nodes run only when a datagram or a heartbeat is due, and between `poll_all(True)` and `poll_all(False)` also
 every 240 ms, the interval at which a node that does not vote asks the members for their state
-(`Register._rejoin`). Therefore the loads of members are complete only while all nodes poll. The loads of the
-sample are always complete, because these polls are not answered.
+(`QuorumRegisters._request_recovery`). Therefore the loads of members are complete only while all nodes poll.
+The loads of the sample are always complete, because these polls are not answered.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 MAX_DELIVERY_NS = 15 * MS  # longest simulated delivery time of a datagram
 POLL_NS = (
     4 * RESEND_INTERVAL_NS
-)  # interval at which a node without a vote polls members, see `Register._rejoin`
+)  # interval at which a node without a vote polls members, see `QuorumRegisters._request_recovery`
 SAMPLE = 12  # number of nodes without a vote that run every tick and are measured
 SITE_GATEWAYS = 16  # gateways of a site: 7,500 at 470 sites
 STORES, FIRST_STORE, ZONE_STORES = "stores:zone", 100_000, 24  # a zone's group: 1,100 stores in 46 zones
@@ -386,7 +386,7 @@
 
 
 def release_steer_cpu_ms(nodes: int) -> float:
-    """Returns the mean processor time of one call of `releases.through` for a fleet of `nodes`, in ms.
+    """Returns the mean processor time of one call of `releases.wave_complete` for a fleet of `nodes`, in ms.
 
     The coordinator of a release calls it every 250 ms to see whether the current wave is complete. Here it is
     (every gateway runs the new version and is warm), so that the call looks at all gateways of the wave.
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -208,8 +208,8 @@
 def shares(results: Results) -> dict[str, float]:
     """Returns what the target's requests and list changes cost one gateway, by name.
 
-    Names with `_pct` are percent of a core, `planner_kb_s` is the KB/s between forwarder and planner. All use
-    the upper ends of the slopes' intervals.
+    Figures with `_pct` in their names are percent of a core, `planner_kb_s` is the KB/s between forwarder and
+    planner. All use the upper ends of the slopes' intervals.
     """
     requests_per_s = target.REQUESTS_PER_S / target.GATEWAYS
     changes_s = target.CHANGES_PER_DAY / target.DAY_S
--- a/benchmarks/notice.py
+++ b/benchmarks/notice.py
@@ -75,7 +75,7 @@
 
 
 def bins(scenario: str, seed: int) -> Iterator[tuple[int, int, int]]:
-    """Yields for each bin of the scenario `story` its drawn counts.
+    """Yields for each bin of `scenario` its randomly drawn counts.
 
     They are first attempts, retries, and requests of both kinds that are served in time.
     """
--- a/olivecourse/choice.py
+++ b/olivecourse/choice.py
@@ -61,9 +61,9 @@
 # Weight of one outcome in the moving average that is a node's error score: of an answer, of a failed attempt
 # and of a failed connection.
 ANSWER_WEIGHT, FAILURE_WEIGHT, CONNECT_FAILURE_WEIGHT = 0.1, 0.3, 0.6
-# Above this error score (0 healthy, 1 failing) a node counts as failing, until its score is down to SLACK.
-# Where the settings let requests bypass the caches, a cache above it is skipped; if no cache is left, the
-# request goes straight to a parent or origin.
+# Above this error score (0 healthy, 1 failing) a node counts as failing, until its score is down to
+# SCORE_TOLERANCE. Where the settings let requests bypass the caches, a cache above it is skipped; if no cache
+# is left, the request goes straight to a parent or origin.
 FAILED_SCORE = 0.8
 # The error score of a node halves in this time while no outcome updates it, so that a node that was avoided
 # gradually gets trial traffic again.
--- a/olivecourse/config/discovery_events.py
+++ b/olivecourse/config/discovery_events.py
@@ -107,7 +107,7 @@
         return name in self.manually_drained or name in self.leased_out
 
     def effective_member(self, member: interface.Member) -> interface.Member:
-        """Returns the member as the routing module is told of it: a ready server that is in
+        """Returns the member as it is reported to the routing module: a ready server that is in
         `manually_drained` or `leased_out` is reported as draining.
         """
         withdrawn = member.state is interface.State.READY and self._withdrawn(member.cache)
--- a/olivecourse/core/requests.py
+++ b/olivecourse/core/requests.py
@@ -377,7 +377,7 @@
         attempt.entry.first_sent_at = attempt.entry.first_sent_at or attempt.sent_at
 
     def mark_unsent(self, attempt: Attempt) -> None:
-        """Undoes `goes`: the socket accepted no byte of the attempt, so a store cannot have executed it."""
+        """Undoes `mark_sent`: the socket accepted no byte of the attempt, so no store can have run it."""
         attempt.sent = False
         self._reset_first_sent(attempt.entry)
 
--- a/olivecourse/fronts/listener.py
+++ b/olivecourse/fronts/listener.py
@@ -125,7 +125,7 @@
         """Returns the client's IP address as a number, by which the retry storm guard identifies the client.
 
         The port is left out, since a returning client comes from a new port. Returns None if the guard is not
-        in use (`Listener.names` is False) or the client has disconnected already.
+        in use (`Listener.identifies_clients` is False) or the client has disconnected already.
         """
         if self._client_address is None and self.listener.identifies_clients:
             try:
@@ -270,8 +270,8 @@
         self._new_clients: dict[Client, int] = {}
         # Idle clients (with a response and without an open request) and the time since which they are idle,
         # the longest idle first. Clients that have sent only one valid request are kept apart and closed
-        # first: a crowd of them would otherwise displace regular clients, whose reconnections would add to
-        # the crowd.
+        # first: otherwise many of them at once would displace regular clients, whose reconnections would add
+        # to the load.
         self._single_request_clients: dict[Client, int] = {}
         self._idle_clients: dict[Client, int] = {}
         self._sock = listen(address, shared) if sock is None else sock
--- a/olivecourse/gateway.py
+++ b/olivecourse/gateway.py
@@ -329,8 +329,8 @@
         self.log("reloaded", moved=changed + merged.applied, needs_restart=list(dict.fromkeys(needs_restart)))
 
     def _connection_limits(self) -> dict[str, int]:
-        """Returns those fields of `Limits` (of the connections to stores) that come from the configuration
-        and not from the number of file descriptors: `connect_ns`, the connect timeout in nanoseconds;
+        """Returns those fields of `ConnectionLimits` (for connections to stores) that come from the
+        configuration and not from the number of file descriptors: `connect_ns`, the connect timeout in ns;
         `idle_ns`, the time after which an idle connection is closed, 0.8 of the configured one; and
         `streams`, the maximum number of requests at once on one connection.
         """
--- a/olivecourse/net/loop.py
+++ b/olivecourse/net/loop.py
@@ -52,12 +52,12 @@
         self.on_stall: Callable[[int, int], object] = lambda wall, cpu: None
         self.longest_turn_ns = 0  # the largest `lag_ns` since the start
         # Called with each exception that a handler raises, after the kind of the handler: "socket", "timer"
-        # or "call" (a callback given to `soon` or `next_turn`).
+        # or "call" (a callback given to `after_sockets` or `next_turn`).
         self.on_fault: Callable[[str, Exception], object] = lambda where, error: None
         # Called when the process is out of file descriptors; returns whether the callback has freed one.
         self.free_descriptor: Callable[[], bool] = lambda: False
         # True while the handlers of ready sockets run: handlers that follow in this turn may still read data
-        # that matters to work in progress, so such work is postponed by `soon`.
+        # that matters to work in progress, so such work is postponed by `after_sockets`.
         self.dispatching = False
         self._deferred: list[Callable[[], object]] = []
         self._next: list[Callable[[], object]] = []
--- a/olivecourse/net/server_pool.py
+++ b/olivecourse/net/server_pool.py
@@ -184,7 +184,7 @@
 
         Those handlers may still report disconnected clients, or changes from discovery, that make an attempt
         pointless. Each attempt is sent after the socket has accepted the previous one completely, and only if
-        `Pool.may_go` still permits it.
+        `ServerPool.may_send` still permits it.
         """
         if self.waiting and not self._sending and not self.connecting:
             self.loop.after_sockets(self._send_waiting)
@@ -337,7 +337,7 @@
     def abort(self, attempt: Attempt) -> None:
         """Cancels an attempt: sends the line `abort ID` if it was sent, else removes it from the queue.
 
-        Marks the connection as `spent` if the attempt has timed out or its response counts as lost.
+        Sets `retiring` on the connection if the attempt has timed out or its response counts as lost.
         """
         request = attempt.entry.request_event.request
         if self.in_flight.get(request) is attempt:
--- a/olivecourse/net/stream.py
+++ b/olivecourse/net/stream.py
@@ -80,7 +80,7 @@
         """Returns a new non-blocking TCP socket whose connection to `address` is being established.
 
         Raises OSError if the connection is refused at once, or if no file descriptor is available and
-        `Loop.short` cannot free one.
+        `Loop.free_descriptor` cannot free one.
         """
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
--- a/olivecourse/net/worker.py
+++ b/olivecourse/net/worker.py
@@ -21,7 +21,7 @@
     """
 
     def __init__(self, loop: Loop, name: str, max_pending: int = 16) -> None:
-        """`name` is the name of the thread; at most `most` jobs wait for it, besides the one that it runs."""
+        """`name` is the thread's name; at most `max_pending` jobs wait for it, besides the running one."""
         self._loop, self._name, self._max_pending = loop, name, max_pending
         self._jobs: deque[tuple[Job, Done]] = deque()
         self._results: deque[tuple[Done, Any, Exception | None]] = deque()
--- a/olivecourse/ops/handlers.py
+++ b/olivecourse/ops/handlers.py
@@ -91,8 +91,8 @@
         )
 
     def set_store_drained(self, store: str, out: bool) -> None:
-        """Drains the store with this id if `out`, else ends its drain; tells the other process of a hot
-        restart through `spoken`.
+        """Drains the store with this id if `out`, else ends its drain. After a change, calls
+        `on_drain_change`, which notifies the other process of a hot restart.
         """
         if self.manual_drains.set_drained(store, out):
             self._apply_changes({store})
@@ -103,7 +103,7 @@
         self.set_store_drained(GATEWAY_ID, draining)
 
     def extension_reply(self, method: str, path: str, body: bytes) -> Reply | None:
-        """Returns the reply of the first handler in `others` that handles this call, else None."""
+        """Returns the reply of the first of `extension_handlers` that handles this call, else None."""
         return next(
             (reply for call in self.extension_handlers if (reply := call(method, path, body)) is not None),
             None,
--- a/olivecourse/ops/hot_restart.py
+++ b/olivecourse/ops/hot_restart.py
@@ -247,7 +247,8 @@
         return not self._transferred.has_unanswered() and all(link.flushed for link in self._links())
 
     def message_received(self, link: Link, message: Message, sock: socket.socket | None) -> None:
-        """Called by a link for each message of another process, whose fields `Decoder` has checked.
+        """Called by a link for each message of another process, whose fields `Decoder` (in
+        `handover_codec`) has checked.
 
         `sock` is the socket that accompanied it, if any.
         """
--- a/olivecourse/ops/socket_handover.py
+++ b/olivecourse/ops/socket_handover.py
@@ -31,7 +31,7 @@
 
 
 class LinkHandler(Protocol):
-    """Receives the messages of a link to another process, and is told of its end."""
+    """Receives the messages of a link to another process, and is notified of its end."""
 
     def message_received(self, link: Link, message: Message, sock: socket.socket | None) -> None:
         """Handles one message, and takes ownership of the socket that came with it, if any."""
--- a/olivecourse/ops/warm_state.py
+++ b/olivecourse/ops/warm_state.py
@@ -28,8 +28,8 @@
 
     About 60 stores and a few hundred hot objects take a few milliseconds.
 
-    `watcher` holds the Router's ended counting intervals, `name` is the gateway's name, `now` the Router's
-    clock and `unix_ns` the Unix time, both in nanoseconds.
+    `interval_recorder` holds the Router's ended counting intervals, `name` is the gateway's name, `now` the
+    Router's clock and `unix_ns` the Unix time, both in nanoseconds.
     """
     snapshot = Snapshot(name, Stamp(unix_ns), router.density)
     for records in collect(router, interval_recorder, now):
--- a/olivecourse/relay/events.py
+++ b/olivecourse/relay/events.py
@@ -1,5 +1,5 @@
-"""Parsing of one numbered event from decoded JSON. The events come from the notice board, the platform's
-discovery service, which publishes changes of the server list and purges under ascending numbers.
+"""Parsing of one numbered event from decoded JSON. The events come from the platform's discovery
+service, which publishes changes of the server list and purges under ascending numbers.
 
 An event is passed on to watchers (gateways and relays below) unchanged. Parsed is only what a relay needs to
 merge old events into a compact state: the members of a server list, and the key and time of a purge. A part
--- a/olivecourse/relay/history.py
+++ b/olivecourse/relay/history.py
@@ -1,10 +1,10 @@
 """A relay's bounded event history: a compacted base (snapshot) and a run of the newest events after it (log).
 
-Event numbers are those of the platform's notice board (its discovery service), so a watcher (a gateway or
-relay that polls this relay) may continue at another relay with the number of its newest event. The oldest
-events of the run are folded, that is merged, into the base, which keeps the newest server list entry of each
-store and the newest purge of each object or group. A watcher whose number is in the run gets a slice of the
-run; an older one gets the events of the base above its number, and then the whole run.
+Event numbers are those of the platform's discovery service, so a watcher (a gateway or relay that polls this
+relay) may continue at another relay with the number of its newest event. The oldest events of the run are
+folded, that is merged, into the base, which keeps the newest server list entry of each store and the newest
+purge of each object or group. A watcher whose number is in the run gets a slice of the run; an older one gets
+the events of the base above its number, and then the whole run.
 
 In such a compacted answer each purge keeps its number. The server list gets the lowest number above the
 watcher's that no purge has, and `folded_through` holds the number of its newest change. A watcher whose
@@ -45,7 +45,7 @@
 
     `most_purges` bounds the folded purges: over 1,000 per second through the whole retention.
 
-    `purge_retention_ns` is how long a folded purge is kept. It must be at least `purge_settles` of the
+    `purge_retention_ns` is how long a folded purge is kept. It must be at least `purge_settles_ns` of the
     gateways' settings, the time after which no store holds a copy older than the purge; the default is ten
     times the usual 6 s, to allow for clock differences and for stores that were unreachable.
     """
--- a/olivecourse/relay/section.py
+++ b/olivecourse/relay/section.py
@@ -35,7 +35,7 @@
     - `shortest_grace_ms`: the shortest time that the gateways' settings allow for an event (drain, purge) to
       be obeyed; it sets the pace of answers.
     - `purge_retention_s` (seconds): how long purges are kept after they have left the log of newest events;
-      ten times the usual `purge_settles` of 6 s.
+      ten times the usual `purge_settles_ns`, 6 s.
     - `history_kb`, `history_events`: the size of the log of newest events; half a minute at 150 purges a
       second.
     - `most_members`: the most stores in the server list; 15 times the largest deployment planned.
--- a/olivecourse/state.py
+++ b/olivecourse/state.py
@@ -27,7 +27,8 @@
     # How many attempts of this router the node can safely handle at the same time, by the load reports of the
     # node; 0 without reports.
     reported_capacity: float = 0.0
-    # Whether the error score has exceeded `choice.FAILED_SCORE` and not fallen to `choice.SLACK` since.
+    # Whether the error score has exceeded `choice.FAILED_SCORE` and not fallen to `choice.SCORE_TOLERANCE`
+    # since.
     failing: bool = False
     # While the node is cold (recently started): total time of sending answers to clients, in ns, that this
     # router may still cause there. Each attempt takes off the mean sending time of its request class.
--- a/olivecourse/storm/section.py
+++ b/olivecourse/storm/section.py
@@ -20,7 +20,8 @@
     # arrivals x share of arrivals that were not served in time).
     notice_on: Level = 0.3
     notice_off: Level = 0.15  # detector's level, from 0 to 1, at or below which a storm ends
-    limiter: Literal["aimd", "gradient"] = "aimd"  # limits open requests: `admission.Aimd` or `Gradient`
+    # Limits the open requests: "aimd" is `admission.Aimd`, "gradient" is `admission.Gradient`.
+    limiter: Literal["aimd", "gradient"] = "aimd"
     # "aimd" lowers its limit of open requests when one takes longer than this beyond its sending time.
     target_wait_ms: Annotated[int, msgspec.Meta(ge=5, le=10_000)] = 150
     retry_share: Level = 0.1  # retry attempts that the gateway may make for each successful attempt
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -37,7 +37,7 @@
 
 
 def drain(fleet, number, store):
-    """Requests at gateway `number` that a store be drained; returns the agent's `Work` on that store."""
+    """Requests at gateway `number` that a store be drained; returns the `agent.Work` on that store."""
     node = fleet.nodes[number]
     return node.agent.request_lease(STORES, store, LeasePurpose.DRAIN, fleet.clock(node))
 
