--- a/olivecourse/config/gateway_config.py
+++ b/olivecourse/config/gateway_config.py
@@ -64,8 +64,8 @@
     # Further discovery addresses, used when `board`, the first one, fails; from an operator's file only.
     boards: tuple[Address, ...] = ()
     doors: tuple[Address, ...] = ()  # Listening addresses of the operators' HTTP endpoints.
-    # Directory in which an old and a new process of this gateway meet during an upgrade; used only with an
-    # operators' endpoint.
+    # Directory for the files by which an old and a new process of this gateway find each other during an
+    # upgrade; used only with an operators' endpoint.
     tmpdir: str | None = None
     peer_listen: Address | None = None
     peers: list[Address] = field(default_factory=list)
--- a/olivecourse/ops/handover_codec.py
+++ b/olivecourse/ops/handover_codec.py
@@ -24,8 +24,8 @@
     """Message kinds: the sender, the fields of the JSON head in braces, and what the raw bytes hold.
 
     `conn` is the sender's number for a transferred client connection, `number` a request's sequence number on
-    that connection. The fields of CLIENT are those of `ConnectionState`; `in` is the length of the bytes
-    read.
+    that connection. The fields of CLIENT come from `ConnectionState`: `last` is `last_number`, `taken` is
+    `request_count`, `open` is `open`, and `in` is the length of `read`.
     """
 
     UNKNOWN = 0  # never sent; stands for a received kind that only a later version knows
--- a/olivecourse/ops/hot_restart.py
+++ b/olivecourse/ops/hot_restart.py
@@ -75,7 +75,7 @@
 class HotRestart:
     """One process's part in hot restarts, as the successor of one process and the predecessor of others.
 
-    The constructor asks a living process of the gateway for a hand-over; it raises FolderUnusable if
+    The constructor asks a running process of the gateway for a hand-over; it raises FolderUnusable if
     `$TMPDIR` can't be used.
     """
 
--- a/olivecourse/rollout/liveness.py
+++ b/olivecourse/rollout/liveness.py
@@ -75,8 +75,8 @@
         if record is not None and heartbeat.incarnation < record.heartbeat.incarnation:
             return  # a delayed heartbeat of an earlier process
         if record is None or heartbeat.incarnation > record.heartbeat.incarnation:
-            # A restarted process began at zero, so all its requests count. Of a gateway heard for the first
-            # time, only the requests from now on count.
+            # A restarted process began at zero, so all its requests count. After the first heartbeat that is
+            # received from a gateway, only its requests from then on count.
             restarted = record is not None
             self._records[sender] = PeerRecord(
                 heartbeat, now, 0 if restarted else heartbeat.ended, 0 if restarted else heartbeat.bad
@@ -107,8 +107,8 @@
 
     def silent(self, node: int, now: int) -> bool:
         """Returns whether the last heartbeat of `node` arrived more than MISSED_HEARTBEATS_LIMIT heartbeat
-        periods ago. For a gateway that was never heard, the time counts from the start of this
-        process. The local gateway is never silent."""
+        periods ago. For a gateway from which no heartbeat has been received, the time counts from the
+        start of this process. The local gateway is never silent."""
         record = self._records.get(node)
         since = self._since if record is None else record.received_at
         return node != self.me and now - since > MISSED_HEARTBEATS_LIMIT * self.period_ns
