--- a/olivecourse/config/__init__.py
+++ b/olivecourse/config/__init__.py
@@ -1,1 +1,1 @@
-"""What a gateway is told from outside, read and checked: no sockets of its own, no decisions on requests."""
+"""Configuration of a gateway: its files, settings, inventory and discovery events."""
--- a/olivecourse/config/address.py
+++ b/olivecourse/config/address.py
@@ -1,4 +1,4 @@
-"""Addresses as they are told: HOST:PORT."""
+"""Network addresses in the form HOST:PORT."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def parse_address(text: str) -> Address:
-    """Raises ValueError."""
+    """Parses HOST:PORT. Raises ValueError if the text is not an address."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) < 65536:
         raise ValueError(f"not an address: {text!r}")
--- a/olivecourse/config/gateway_config.py
+++ b/olivecourse/config/gateway_config.py
@@ -1,4 +1,6 @@
-"""What a gateway is told at its start: EDGE_CONFIG's JSON, checked, every error with one plain line."""
+"""The configuration of a gateway, read from EDGE_CONFIG's JSON or an operator's YAML file. Every error is one
+line.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +19,7 @@
 from olivecourse.config.settings import Malformed, check, nested_pairs, read_settings, unread
 from olivecourse.config.vocabulary import DOORS
 
-# Sections of an operator's file, and what reads each from the file at a path.
+# Optional sections of an operator's file, with the function that reads each from the file's path.
 SECTIONS = {
     "memory": "olivecourse.memory.section:read_memory",
     "rollout": "olivecourse.rollout.section:read_rollout",
@@ -26,12 +28,14 @@
 
 
 class BadConfig(Exception):
-    """A configuration that the gateway can't start with."""
+    """A configuration that a gateway cannot start with."""
 
 
 @dataclass(frozen=True)
 class Signed:
-    """The second front: how clients name this gateway, where the keys are, how far clocks may differ."""
+    """The signed HTTP listener: the public URL of this gateway, the path of the key file, and the accepted
+    clock difference.
+    """
 
     public: str
     keys: str
@@ -40,6 +44,8 @@
 
 @dataclass(frozen=True)
 class Config:
+    """The checked configuration of one gateway process."""
+
     name: str
     listen: Address
     settings: w.Settings
@@ -53,20 +59,23 @@
     sockets: int = 1024
     memory_mb: int = 192
     board: Address | None = None
-    boards: tuple[Address, ...] = ()  # to turn to where `board` fails; from an operator's file only
-    doors: tuple[Address, ...] = ()  # for operators only
-    tmpdir: str | None = None  # what two processes of one gateway share; used with a door only
+    boards: tuple[Address, ...] = ()  # alternatives to `board` after a failure; from an operator's file only
+    doors: tuple[Address, ...] = ()  # addresses of the operators' endpoints
+    # directory shared by two processes of one gateway; used only with an operators' endpoint
+    tmpdir: str | None = None
     peer_listen: Address | None = None
     peers: list[Address] = field(default_factory=list)
     peers_all: Address | None = None
     signed: Signed | None = None
     inventory: str | None = None
-    planner: str | None = None  # the socket of a planner in a process of its own
-    unread: tuple[str, ...] = ()  # paths of the settings that nothing here reads
-    sections: Mapping[str, Any] = field(default_factory=dict)  # of an operator's file: see SECTIONS
+    planner: str | None = None  # path of the Unix socket of a planner in a separate process
+    unread: tuple[str, ...] = ()  # paths of settings that this program does not use
+    # sections of an operator's file, by name; see SECTIONS
+    sections: Mapping[str, Any] = field(default_factory=dict)
 
 
 def _address(raw: Mapping[str, Any], name: str) -> Address | None:
+    """Returns the address stored under `name`, or None if it is absent. Raises BadConfig if it is invalid."""
     text = raw.get(name)
     if text in (None, ""):
         return None
@@ -77,12 +86,13 @@
 
 
 def _doors(raw: Mapping[str, Any], env: Mapping[str, str]) -> tuple[Address, ...]:
-    """Every address that is told for operators, by whatever name, each once."""
+    """Returns the addresses of the operators' endpoints, under any of their names, without duplicates."""
     found = [_address({name: env.get(variable) or raw.get(name)}, name) for name, variable in DOORS]
     return tuple(dict.fromkeys(address for address in found if address is not None))
 
 
 def read_config(raw: Any, env: Mapping[str, str]) -> Config:
+    """Checks a parsed JSON object and returns it as a Config. Raises BadConfig."""
     if not isinstance(raw, dict):
         raise BadConfig("the configuration is not a JSON object")
     nested = raw.get("settings")
@@ -94,7 +104,11 @@
     try:
         seed = int(str(raw.get("seed", "0")), 16)
         settings = read_settings(seed, nested_pairs(nested))
-        bounds, known, limits = nested.get("limits", {}), raw.get("known", {}), raw.get("limits", {})
+        setting_limits, known, process_limits = (
+            nested.get("limits", {}),
+            raw.get("known", {}),
+            raw.get("limits", {}),
+        )
         check(settings)
         return Config(
             name=env.get("EDGE_NAME") or str(raw.get("name", "gateway")),
@@ -102,19 +116,19 @@
             settings=settings,
             zones=list(nested.get("zones", ())),
             kinds=list(nested.get("kinds", ())),
-            connect_ns=int(bounds.get("connect_timeout_ns", 400_000_000)),
-            idle_ns=int(bounds.get("conn_idle_ns", 15_000_000_000)),
-            streams=max(int(bounds.get("streams_per_conn", 100)), 1),
+            connect_ns=int(setting_limits.get("connect_timeout_ns", 400_000_000)),
+            idle_ns=int(setting_limits.get("conn_idle_ns", 15_000_000_000)),
+            streams=max(int(setting_limits.get("streams_per_conn", 100)), 1),
             rev=int(known.get("rev", 0)),
             notices=list(known.get("notices", ())),
-            sockets=int(limits.get("sockets", 1024)),
-            memory_mb=int(limits.get("memory_mb", 192)),
+            sockets=int(process_limits.get("sockets", 1024)),
+            memory_mb=int(process_limits.get("memory_mb", 192)),
             board=_address(raw, "board"),
             doors=_doors(raw, env),
             unread=unread(nested_pairs(nested)),
             tmpdir=env.get("TMPDIR"),
             peer_listen=_address(raw, "peer_listen"),
-            peers=[parse_address(p) for p in raw.get("peers", ())],
+            peers=[parse_address(peer) for peer in raw.get("peers", ())],
             peers_all=_address(raw, "peers_all"),
         )
     except Malformed as error:
@@ -124,6 +138,7 @@
 
 
 def load_config(env: Mapping[str, str], path: str | None = None) -> Config:
+    """Reads the JSON file at `path`, or the one named by EDGE_CONFIG. Raises BadConfig."""
     path = path or env.get("EDGE_CONFIG")
     if not path:
         raise BadConfig("no configuration: set EDGE_CONFIG or give --config")
@@ -140,7 +155,7 @@
 
 
 def _sections(path: str, raw: dict[str, Any]) -> dict[str, Any]:
-    """The sections that the file has, each read by its own package, which is loaded only then."""
+    """Returns the sections in the file. Each is read by its own package, which is imported only if needed."""
     from olivecourse.config.sections import BadSection
 
     found = {}
@@ -155,7 +170,9 @@
 
 
 def load_operator(path: str, env: Mapping[str, str]) -> Config:
-    """An operator's file: YAML that names an inventory, the settings and, if wanted, the signed front."""
+    """Reads an operator's YAML file, which names an inventory, the settings and optionally the signed
+    listener. Raises BadConfig.
+    """
     try:
         raw = yaml.safe_load(Path(path).read_text("utf-8"))
     except OSError as error:
@@ -165,22 +182,22 @@
         raise BadConfig(f"{path}:{mark.line + 1 if mark else 1}: not YAML") from None
     if not isinstance(raw, dict):
         raise BadConfig(f"{path}: not a mapping")
-    here = Path(path).parent
+    folder = Path(path).parent
     try:
         if isinstance(raw.get("settings"), str):
-            raw["settings"] = json.loads((here / raw["settings"]).read_text("utf-8"))
+            raw["settings"] = json.loads((folder / raw["settings"]).read_text("utf-8"))
         config = read_config({"limits": {"sockets": raw.get("sockets", 1024)}, **raw}, env)
-        front = raw.get("signed")
-        if front is not None:
-            if not isinstance(front, dict) or not {"public", "keys"} <= set(front):
+        signed = raw.get("signed")
+        if signed is not None:
+            if not isinstance(signed, dict) or not {"public", "keys"} <= set(signed):
                 raise BadConfig("signed: public and keys are needed")
-            leeway = float(front.get("leeway_s", 3))
+            leeway = float(signed.get("leeway_s", 3))
             if not 0 <= leeway <= 60:
                 raise BadConfig("signed: leeway_s is 0 to 60 seconds")
-            front = Signed(str(front["public"]), str(here / front["keys"]), leeway)
+            signed = Signed(str(signed["public"]), str(folder / signed["keys"]), leeway)
         if not raw.get("inventory"):
             raise BadConfig("inventory: missing")
-        inventory = str(here / raw["inventory"])
+        inventory = str(folder / raw["inventory"])
         notice = read_inventory(inventory, config.zones, config.kinds)
         planner = raw.get("planner")
         boards = raw.get("boards") or []
@@ -188,15 +205,15 @@
             raise BadConfig("boards: they stand in for `board`, which is missing")
         return replace(
             config,
-            signed=front,
+            signed=signed,
             inventory=inventory,
             notices=[notice, *config.notices],
-            planner=str(here / planner) if planner else None,
+            planner=str(folder / planner) if planner else None,
             boards=tuple(parse_address(str(text)) for text in boards),
             sections=_sections(path, raw),
         )
     except (BadConfig, BadInventory) as error:
-        text = str(error)  # which may name the file and a line of it already
+        text = str(error)  # the text may already start with the file and a line
         raise BadConfig(text if text.startswith(f"{path}:") else f"{path}: {text}") from None
     except (OSError, ValueError, TypeError) as error:
         raise BadConfig(f"{path}: cannot read a value: {error}") from None
--- a/olivecourse/config/inventory.py
+++ b/olivecourse/config/inventory.py
@@ -1,6 +1,7 @@
-"""The stores as configuration tools keep them: a CSV or YAML file, checked line by line.
+"""Reads the store inventory of a configuration management tool: a CSV or YAML file, checked line by line.
 
-Columns or keys: name, address, zone, kind; and size (1), cell (none), state (ready).
+Columns or keys are name, address, zone and kind, and optionally size (default 1), cell (default none) and
+state (default ready).
 """
 
 from __future__ import annotations
@@ -15,42 +16,45 @@
 
 from olivecourse.config.address import parse_address
 
-NEEDED, MAY = ("name", "address", "zone", "kind"), ("size", "cell", "state")
+REQUIRED_COLUMNS, OPTIONAL_COLUMNS = ("name", "address", "zone", "kind"), ("size", "cell", "state")
 STATES = {"ready": "Ready", "draining": "Terminating", "gone": "Gone"}
 
 
 class BadInventory(Exception):
-    """An entry that can't be used; the text names the file and the line."""
+    """An entry that cannot be used; the text contains the file and the line."""
 
 
 def read_inventory(path: str, zones: list[str], kinds: list[str]) -> dict[str, Any]:
-    """The inventory as a notice with the whole list, as the notice board would tell it."""
+    """Returns the inventory as a discovery event with a complete list of stores. Raises BadInventory."""
     try:
         text = Path(path).read_text("utf-8")
     except (OSError, UnicodeDecodeError) as error:
         raise BadInventory(f"{path}: {getattr(error, 'strerror', None) or 'not UTF-8'}") from None
-    rows = _yaml(path, text) if path.endswith((".yaml", ".yml")) else _csv(path, text)
+    rows = _yaml_rows(path, text) if path.endswith((".yaml", ".yml")) else _csv_rows(path, text)
     members, names, addresses = [], dict[str, int](), dict[str, int]()
     for line, row in rows:
         member = _member(f"{path}:{line}", row, zones, kinds)
-        for what, seen in (("id", names), ("host_port", addresses)):
-            if member[what] in seen:
+        for field, seen in (("id", names), ("host_port", addresses)):
+            if member[field] in seen:
                 raise BadInventory(
-                    f"{path}:{line}: {member[what]} stands at line {seen[member[what]]} already"
+                    f"{path}:{line}: {member[field]} stands at line {seen[member[field]]} already"
                 )
-            seen[member[what]] = line
+            seen[member[field]] = line
         members.append(member)
     if not members:
         raise BadInventory(f"{path}: no store")
     return {"rev": 0, "pool": {"revision": 0, "complete": True, "members": members}}
 
 
-def _csv(path: str, text: str) -> Iterator[tuple[int, dict[str, Any]]]:
+def _csv_rows(path: str, text: str) -> Iterator[tuple[int, dict[str, Any]]]:
+    """Yields the line number and the values of each CSV row."""
     reader = csv.DictReader(io.StringIO(text), strict=True)
     try:
-        head = reader.fieldnames or []
-        if set(NEEDED) - set(head):
-            raise BadInventory(f"{path}:1: columns missing: {', '.join(sorted(set(NEEDED) - set(head)))}")
+        columns = reader.fieldnames or []
+        if set(REQUIRED_COLUMNS) - set(columns):
+            raise BadInventory(
+                f"{path}:1: columns missing: {', '.join(sorted(set(REQUIRED_COLUMNS) - set(columns)))}"
+            )
         for row in reader:
             if None in row or None in row.values():
                 raise BadInventory(f"{path}:{reader.line_num}: as many values as columns are needed")
@@ -59,7 +63,8 @@
         raise BadInventory(f"{path}:{reader.line_num}: {error}") from None
 
 
-def _yaml(path: str, text: str) -> Iterator[tuple[int, dict[str, Any]]]:
+def _yaml_rows(path: str, text: str) -> Iterator[tuple[int, dict[str, Any]]]:
+    """Yields the line number and the mapping of each store in a YAML list."""
     try:
         root = yaml.compose(text, Loader=yaml.SafeLoader)
         value = yaml.safe_load(text)
@@ -78,18 +83,19 @@
 
 
 def _member(where: str, row: dict[str, Any], zones: list[str], kinds: list[str]) -> dict[str, Any]:
-    unknown = set(map(str, row)) - {*NEEDED, *MAY}
+    """Checks one entry and returns it as a member of a discovery event. `where` is the file and the line."""
+    unknown = set(map(str, row)) - {*REQUIRED_COLUMNS, *OPTIONAL_COLUMNS}
     if unknown:
         raise BadInventory(f"{where}: unknown: {', '.join(sorted(unknown))}")
-    text = {k: "" if v is None else str(v).strip() for k, v in row.items()}
-    for name in NEEDED:
+    text = {key: "" if value is None else str(value).strip() for key, value in row.items()}
+    for name in REQUIRED_COLUMNS:
         if not text.get(name):
             raise BadInventory(f"{where}: {name} is missing")
-    if not all(c.isalnum() or c in "-_." for c in text["name"]):
+    if not all(character.isalnum() or character in "-_." for character in text["name"]):
         raise BadInventory(f"{where}: name {text['name']!r}: letters, digits, '-', '_' and '.' only")
-    for name, known in (("zone", zones), ("kind", kinds)):
-        if text[name] not in known:
-            raise BadInventory(f"{where}: {name} {text[name]!r} is none of {', '.join(known)}")
+    for name, choices in (("zone", zones), ("kind", kinds)):
+        if text[name] not in choices:
+            raise BadInventory(f"{where}: {name} {text[name]!r} is none of {', '.join(choices)}")
     state = text.get("state") or "ready"
     if state not in STATES:
         raise BadInventory(f"{where}: state {state!r} is none of {', '.join(STATES)}")
--- a/olivecourse/config/merging.py
+++ b/olivecourse/config/merging.py
@@ -1,8 +1,8 @@
-"""What of a new configuration's settings is taken while requests run. No I/O.
+"""Decides which settings of a reloaded configuration take effect while requests run. No I/O.
 
-A class keeps its number for the life of the process, as open requests, counts and all that was learned go by
-it: a known name keeps its place with its new terms, a new name gets the next place, and one that is no longer
-told keeps its place and is asked for no more.
+A class keeps its index for the life of the process, because open requests, counters and learned values refer
+to classes by index. A known class keeps its index with its new settings, a new class gets the next index, and
+a class that is no longer listed keeps its index without receiving requests.
 """
 
 from __future__ import annotations
@@ -11,9 +11,12 @@
 
 from olivecourse.interface import Settings
 
-MOST_CLASSES = 256  # names of classes in the life of a process: each has its counts and means for good
-# What a gateway is, and where: parts of it were laid out by these.
-FIXED = (
+# maximum number of class names in the life of a process, because each keeps its counters and averages until
+# the end
+MOST_CLASSES = 256
+# Settings that define what a gateway is and where it stands. Data structures are sized and arranged by them
+# at the start.
+NEEDS_RESTART = (
     "me",
     "routers",
     "zone",
@@ -24,17 +27,20 @@
     "parent_kind",
     "origin_kind",
 )
-OWN = ("seed", "classes")  # the first is another at every start, the second is merged
+NOT_COMPARED = ("seed", "classes")  # the seed differs at every start, and the classes are merged separately
 
 
 class Unfit(ValueError):
-    """Settings that can't be taken as they stand; nothing has changed."""
+    """Settings that cannot be applied; nothing has changed."""
 
 
 @dataclass(frozen=True)
 class Merged:
-    """`settings` to go on with; `live` the places of the classes that are told now; `taken` the names of what
-    differs and holds from now on, `waits` of what differs and waits for a restart."""
+    """The result of a reload.
+
+    `settings` are the settings to use from now on, and `live` maps the classes in use to their indexes.
+    `taken` names the changed settings that take effect now, `waits` those that take effect at a restart.
+    """
 
     settings: Settings
     live: dict[str, int]
@@ -42,27 +48,34 @@
     waits: list[str]
 
 
-def merge(old: Settings, fresh: Settings) -> Merged:
-    """Raises Unfit where more than MOST_CLASSES names of classes would have been told."""
-    places = {c.name: i for i, c in enumerate(old.classes)}
+def merge(old: Settings, new: Settings) -> Merged:
+    """Merges reloaded settings into the current ones. Raises Unfit if there would be more than MOST_CLASSES
+    class names since the start.
+    """
+    indexes = {request_class.name: index for index, request_class in enumerate(old.classes)}
     classes = list(old.classes)
-    for cls in fresh.classes:
-        if cls.name in places:
-            classes[places[cls.name]] = cls
+    for request_class in new.classes:
+        if request_class.name in indexes:
+            classes[indexes[request_class.name]] = request_class
         else:
-            places[cls.name] = len(classes)
-            classes.append(cls)
+            indexes[request_class.name] = len(classes)
+            classes.append(request_class)
     if len(classes) > MOST_CLASSES:
         raise Unfit(f"more than {MOST_CLASSES} names of classes since the start: restart")
-    differs = [
-        f.name
-        for f in fields(Settings)
-        if f.name not in OWN and getattr(old, f.name) != getattr(fresh, f.name)
+    changed = [
+        setting.name
+        for setting in fields(Settings)
+        if setting.name not in NOT_COMPARED and getattr(old, setting.name) != getattr(new, setting.name)
     ]
-    waits = [name for name in differs if name in FIXED]
-    kept = {name: getattr(old, name) for name in (*waits, "seed")}
-    merged = replace(fresh, **kept, classes=tuple(classes))
-    taken = [name for name in differs if name not in FIXED]
+    waits = [name for name in changed if name in NEEDS_RESTART]
+    unchanged = {name: getattr(old, name) for name in (*waits, "seed")}
+    merged = replace(new, **unchanged, classes=tuple(classes))
+    taken = [name for name in changed if name not in NEEDS_RESTART]
     if merged.classes != old.classes:
         taken.append("classes")
-    return Merged(merged, {c.name: places[c.name] for c in fresh.classes}, taken, waits)
+    return Merged(
+        merged,
+        {request_class.name: indexes[request_class.name] for request_class in new.classes},
+        taken,
+        waits,
+    )
--- a/olivecourse/config/sections.py
+++ b/olivecourse/config/sections.py
@@ -1,7 +1,8 @@
-"""Sections of an operator's file, checked against a msgspec type; every error names file and line.
+"""Reads sections of an operator's file and checks them against a msgspec type. Every error contains file and
+line.
 
-A section's type says what may stand there: names, types, bounds, defaults. Each new section is one more
-type; nothing else is written for it.
+The type of a section defines its names, value types, bounds and defaults. A new section needs only such a
+type.
 """
 
 from __future__ import annotations
@@ -14,17 +15,17 @@
 import yaml
 
 T = TypeVar("T")
-PLACE = re.compile(r"^(.*?)(?: - at `\$(.*)`)?$", re.S)
-UNKNOWN = re.compile(r"unknown field `([^`]+)`")
-STEP = re.compile(r"\.([^.\[]+)|\[(\d+)\]")
+VALIDATION_MESSAGE = re.compile(r"^(.*?)(?: - at `\$(.*)`)?$", re.S)
+UNKNOWN_FIELD = re.compile(r"unknown field `([^`]+)`")
+PATH_STEP = re.compile(r"\.([^.\[]+)|\[(\d+)\]")
 
 
 class BadSection(Exception):
-    """A section that can't be used; the text names file, line and place."""
+    """A section that cannot be used; the text contains the file, the line and the path of the value."""
 
 
 def _find(node: yaml.Node, name: str) -> tuple[yaml.Node, yaml.Node] | None:
-    """The key and the value of a mapping's entry."""
+    """Returns the key node and the value node of a mapping's entry, or None."""
     if isinstance(node, yaml.MappingNode):
         for key, value in node.value:
             if key.value == name:
@@ -33,9 +34,11 @@
 
 
 def _line(node: yaml.Node, path: str, text: str) -> int:
-    """The line that an error is about, from the place that msgspec names; the nearest one that there is."""
+    """Returns the line number of the value that an error refers to, or of the nearest enclosing value, from
+    the path that msgspec reports.
+    """
     line = node.start_mark.line
-    for name, index in STEP.findall(path):
+    for name, index in PATH_STEP.findall(path):
         if index and isinstance(node, yaml.SequenceNode) and int(index) < len(node.value):
             node = node.value[int(index)]
             line = node.start_mark.line
@@ -43,13 +46,13 @@
             line, node = found[0].start_mark.line, found[1]
         else:
             break
-    if (unknown := UNKNOWN.search(text)) and (found := _find(node, unknown[1])):
+    if (unknown := UNKNOWN_FIELD.search(text)) and (found := _find(node, unknown[1])):
         line = found[0].start_mark.line
     return int(line) + 1
 
 
 def read_section(path: str, name: str, kind: type[T]) -> T | None:
-    """The section `name` of the YAML file at `path` as a `kind`, or None where it is absent.
+    """Returns the section `name` of the YAML file at `path` as a `kind`, or None if it is absent.
 
     Raises BadSection with one line of text.
     """
@@ -66,7 +69,11 @@
     try:
         return msgspec.convert(value, kind, strict=True)
     except msgspec.ValidationError as error:
-        match = PLACE.match(str(error))
-        what, place = (match[1], match[2] or "") if match else (str(error), "")
-        line = _line(node, place, what) if place or UNKNOWN.search(what) else key.start_mark.line + 1
-        raise BadSection(f"{path}:{line}: {name}{place}: {what}") from None
+        match = VALIDATION_MESSAGE.match(str(error))
+        reason, value_path = (match[1], match[2] or "") if match else (str(error), "")
+        line = (
+            _line(node, value_path, reason)
+            if value_path or UNKNOWN_FIELD.search(reason)
+            else key.start_mark.line + 1
+        )
+        raise BadSection(f"{path}:{line}: {name}{value_path}: {reason}") from None
--- a/olivecourse/config/settings.py
+++ b/olivecourse/config/settings.py
@@ -1,6 +1,6 @@
-"""The settings that an instance is given, from the simulator's path=value pairs or from nested JSON.
+"""Reads the settings of a gateway, from the simulator's path=value pairs or from nested JSON.
 
-One table names where each setting stands; nested JSON is first written as the same pairs.
+One table maps each setting to its path. Nested JSON is converted to the same pairs first.
 """
 
 from __future__ import annotations
@@ -16,20 +16,22 @@
 
 
 class Malformed(Exception):
-    """A line or a setting that does not follow the wire."""
+    """A line or a setting that does not follow the expected format."""
 
 
 def read_flag(text: str) -> bool:
+    """Parses a boolean. Raises ValueError."""
     if text not in ("0", "1", "true", "false"):
         raise ValueError(text)
     return text in ("1", "true")
 
 
-def read_list(of: Convert) -> Convert:
-    return lambda text: tuple(of(v) for v in text.split(",")) if text else ()
+def read_list(parse: Convert) -> Convert:
+    """Returns a function that parses a comma-separated list, each element with `of`."""
+    return lambda text: tuple(parse(item) for item in text.split(",")) if text else ()
 
 
-# Where each setting stands in the start message.
+# The path of each setting in the start message, with its parser.
 SETTINGS: dict[str, tuple[str, Convert]] = {
     "me": ("me", int),
     "routers": ("instances", int),
@@ -77,7 +79,7 @@
     "price_probe": ("fees.probe", float),
     "price_late_fail": ("fees.late_fail", float),
 }
-CLASS: dict[str, tuple[str, Convert]] = {
+CLASS_SETTINGS: dict[str, tuple[str, Convert]] = {
     "name": ("name", str),
     "aim_ns": ("on_time_ns", int),
     "aim_stretch": ("aim_stretch", float),
@@ -89,7 +91,7 @@
     "key_memory_ns": ("memory_span_ns", int),
     "streamed": ("streamed", read_flag),
 }
-# Per-class lists that the start message keeps apart from the classes.
+# Per-class values that the start message stores in separate lists, one element for each class.
 CLASS_LISTS: dict[str, tuple[str, Convert]] = {
     "fresh_ns": ("family_info.max_age_ns", int),
     "stale_grace_ns": ("family_info.grace_for_ns", int),
@@ -98,100 +100,115 @@
 }
 
 
-def _pick(conf: dict[str, str], table: dict[str, tuple[str, Convert]], prefix: str = "") -> dict[str, Any]:
-    found: dict[str, Any] = {}
+def _parse_fields(
+    pairs: dict[str, str], table: dict[str, tuple[str, Convert]], prefix: str = ""
+) -> dict[str, Any]:
+    """Returns the fields of a table that `conf` contains, parsed. Raises Malformed."""
+    values: dict[str, Any] = {}
     for field, (path, convert) in table.items():
-        text = conf.get(prefix + path)
+        text = pairs.get(prefix + path)
         if text is not None and text != "-":
             try:
-                found[field] = convert(text)
+                values[field] = convert(text)
             except ValueError:
                 raise Malformed(f"conf {prefix}{path}: cannot read {text!r}") from None
-    return found
+    return values
 
 
 def read_settings(seed: int, pairs: Iterable[str]) -> w.Settings:
-    """The typed settings of a start message's path=value pairs; unknown paths are passed over."""
-    conf = dict(pair.split("=", 1) for pair in pairs if "=" in pair)
-    count = _pick(conf, {"count": ("profiles.count", int)}).get("count", 0)
+    """Returns the settings from a start message's path=value pairs. Unknown paths are ignored. Raises
+    Malformed.
+    """
+    values = dict(pair.split("=", 1) for pair in pairs if "=" in pair)
+    count = _parse_fields(values, {"count": ("profiles.count", int)}).get("count", 0)
     classes = []
-    for i in range(count):
-        own = _pick(conf, CLASS, f"profiles.{i}.")
+    for index in range(count):
+        class_values = _parse_fields(values, CLASS_SETTINGS, f"profiles.{index}.")
         for field, (path, convert) in CLASS_LISTS.items():
-            row = _pick(conf, {field: (path, read_list(convert))}).get(field, ())
-            if i < len(row):
-                own[field] = row[i]
-        own["aim_ns"] = own.get("aim_ns") or own.get("deadline_ns", 0)  # not told: any time will do
-        classes.append(w.RequestClass(**own))
-    return w.Settings(seed=seed, classes=tuple(classes), **_pick(conf, SETTINGS))
+            column = _parse_fields(values, {field: (path, read_list(convert))}).get(field, ())
+            if index < len(column):
+                class_values[field] = column[index]
+        # without a target time, any time within the deadline is on time
+        class_values["aim_ns"] = class_values.get("aim_ns") or class_values.get("deadline_ns", 0)
+        classes.append(w.RequestClass(**class_values))
+    return w.Settings(seed=seed, classes=tuple(classes), **_parse_fields(values, SETTINGS))
 
 
-READ_ELSEWHERE = {
+PATHS_READ_ELSEWHERE = {
     "kinds",
     "profiles.count",
     "limits.connect_timeout_ns",
     "limits.conn_idle_ns",
     "limits.streams_per_conn",
 }
-MOST_UNREAD = 40  # names that are told of
+MAX_REPORTED_PATHS = 40  # maximum number of unused paths that are reported
 
 
 def unread(pairs: Iterable[str]) -> tuple[str, ...]:
-    """The paths that nothing here reads, a class's under `profiles.*`: kept in the file, without effect."""
-    known = READ_ELSEWHERE | {path for path, _ in (*SETTINGS.values(), *CLASS_LISTS.values())}
-    known |= {f"profiles.*.{path}" for path, _ in CLASS.values()}
+    """Returns the paths that this program does not use; those of a class appear under `profiles.*`. They may
+    stay in the file and have no effect.
+    """
+    known_paths = PATHS_READ_ELSEWHERE | {path for path, _ in (*SETTINGS.values(), *CLASS_LISTS.values())}
+    known_paths |= {f"profiles.*.{path}" for path, _ in CLASS_SETTINGS.values()}
     paths = (pair.partition("=")[0] for pair in pairs)
-    plain = (
-        "profiles.*." + p.split(".", 2)[2] if p.startswith("profiles.") and p.count(".") > 1 else p
-        for p in paths
+    normalized_paths = (
+        "profiles.*." + path.split(".", 2)[2]
+        if path.startswith("profiles.") and path.count(".") > 1
+        else path
+        for path in paths
     )
-    return tuple(sorted(set(plain) - known))[:MOST_UNREAD]
+    return tuple(sorted(set(normalized_paths) - known_paths))[:MAX_REPORTED_PATHS]
 
 
-NONE_OF_THE_KIND = ("parent_kind", "origin_kind")  # -1 tells that there is none
+MAY_BE_MINUS_ONE = ("parent_kind", "origin_kind")  # for these fields, -1 means that there is no such kind
 
 
 def check(settings: w.Settings) -> None:
-    """Raises Malformed where a gateway could not serve by these settings: for a start and for a reload.
+    """Checks the settings at a start and at a reload. Raises Malformed if a gateway could not serve with
+    them.
 
     Unlike the simulator's start message, a file may have been written by hand.
     """
     if not settings.classes:
         raise Malformed("profiles: no class of requests")
-    names = [c.name for c in settings.classes]
+    names = [request_class.name for request_class in settings.classes]
     for name in names:
         if not name or names.count(name) > 1:
             raise Malformed(f"profiles: a class {'told twice: ' + name if name else 'without a name'}")
-    parts: list[tuple[str, Any]] = [("", settings), *((f"class {c.name}: ", c) for c in settings.classes)]
-    for place, told in parts:
-        for field in fields(told):
-            value = getattr(told, field.name)
-            for one in value if isinstance(value, tuple) else (value,):
-                if isinstance(one, int | float) and not (
-                    math.isfinite(one) and (one >= 0 or field.name in NONE_OF_THE_KIND)
+    sections: list[tuple[str, Any]] = [
+        ("", settings),
+        *((f"class {request_class.name}: ", request_class) for request_class in settings.classes),
+    ]
+    for prefix, section in sections:
+        for field in fields(section):
+            value = getattr(section, field.name)
+            for number in value if isinstance(value, tuple) else (value,):
+                if isinstance(number, int | float) and not (
+                    math.isfinite(number) and (number >= 0 or field.name in MAY_BE_MINUS_ONE)
                 ):
-                    raise Malformed(f"{place}{field.name} is {one}")
-    for c in settings.classes:
-        if not c.deadline_ns:
-            raise Malformed(f"class {c.name}: no deadline")
+                    raise Malformed(f"{prefix}{field.name} is {number}")
+    for request_class in settings.classes:
+        if not request_class.deadline_ns:
+            raise Malformed(f"class {request_class.name}: no deadline")
     if not settings.max_attempts:
         raise Malformed("max_attempts is 0")
 
 
 def nested_pairs(value: Any, path: str = "") -> Iterator[str]:
-    """The pairs of a nested object, as the simulator's start message writes them."""
+    """Yields the path=value pairs of a nested object, in the form of the simulator's start message."""
     if isinstance(value, dict):
         for name, inner in value.items():
             yield from nested_pairs(inner, f"{path}.{name}" if path else str(name))
-    elif isinstance(value, list) and any(isinstance(v, dict) for v in value):
+    elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
         yield f"{path}.count={len(value)}"
-        for i, inner in enumerate(value):
-            yield from nested_pairs(inner, f"{path}.{i}")
+        for index, inner in enumerate(value):
+            yield from nested_pairs(inner, f"{path}.{index}")
     else:
-        yield f"{path}={','.join(map(_plain, value)) if isinstance(value, list) else _plain(value)}"
+        yield f"{path}={','.join(map(_plain_text, value)) if isinstance(value, list) else _plain_text(value)}"
 
 
-def _plain(value: Any) -> str:
+def _plain_text(value: Any) -> str:
+    """Returns a single value as text, in the form of the simulator's start message."""
     if isinstance(value, bool):
         return "true" if value else "false"
     if value is None:
--- a/olivecourse/config/vocabulary.py
+++ b/olivecourse/config/vocabulary.py
@@ -1,6 +1,7 @@
-"""The words that deployments use for the same things, read from here and nowhere else.
+"""The words that different deployments use for the same things. No other module defines such words.
 
-Every word is understood everywhere: which one arrives depends on who calls, not on where we run.
+Every word is accepted everywhere, because the words that arrive depend on the caller and not on the
+deployment.
 """
 
 from __future__ import annotations
@@ -9,7 +10,7 @@
 
 
 class Call(Enum):
-    """What operators ask at a door."""
+    """The operations that operators can call at their endpoint."""
 
     READY = "ready"
     FIGURES = "figures"
@@ -19,11 +20,11 @@
     UNDRAIN = "undrain"
 
 
-# A further address, for operators only: its name in the configuration, and in the environment.
+# A further listening address for operators: its name in the configuration, and in the environment.
 DOORS: tuple[tuple[str, str], ...] = (("mgmt", "EDGE_MGMT"), ("admin", "EDGE_ADMIN"))
 
-# Path at the door -> the call, and the methods that make it. After a path that ends in a slash comes the id
-# of a store, which else stands in the body.
+# Path at the operators' endpoint, with the operation and the methods that it accepts. If a path ends in a
+# slash, the id of a store follows it; otherwise the id is in the request body.
 CALLS: dict[str, tuple[Call, tuple[str, ...]]] = {
     "/ops/readiness": (Call.READY, ("GET",)),
     "/ready": (Call.READY, ("GET",)),
@@ -39,27 +40,29 @@
     "/undrain": (Call.UNDRAIN, ("POST",)),
 }
 
-# Figures of a gateway. Counts by class and end: the name, the label of the class, and how each end (served,
-# refused, failed) is told: by a label's value, or by a name of its own.
+# Metrics of a gateway. Request counters by class and result: the metric name, the label for the class, and
+# the label for the result (served, refused, failed) with its values. Without a result label, the result is
+# part of the metric name.
 ENDS: tuple[tuple[str, str, str, tuple[str, str, str]], ...] = (
     ("app_transactions", "group", "state", ("answered", "deferred", "errored")),
     ("lb_{}", "class", "", ("served", "refused", "failed")),
 )
-# The others, each with all its names.
+# The other metrics, each with all its names.
 ATTEMPTS = ("app_sends", "lb_attempts")
 OPEN = ("app_current", "lb_in_flight")
 KNOWN = ("app_cluster_size", "lb_servers_known")
 AVOIDED = ("app_cluster_unhealthy", "lb_servers_out")
-TAKEN_UP = ("app_conf_loaded",)  # with the configuration of the start
-RELOADS = ("lb_reloads",)  # without it
+TAKEN_UP = ("app_conf_loaded",)  # configurations applied, including the one at the start
+RELOADS = ("lb_reloads",)  # configurations applied, not including the one at the start
 REFUSED = ("app_conf_invalid", "lb_reloads_refused")
 LONGEST_TURN = ("app_turn_seconds_max",)
 
-# The key by which stores know a repeat; clients give it for classes with a window for repeats. Its field in a
-# client's request, and in one to a store (`kit/sites/real.json`, "idem").
+# The key by which stores recognize a repeat; clients send it for classes whose repeats are deduplicated. The
+# first name is its field in a client's request, the second its field in a request to a store
+# (`kit/sites/real.json`, "idem").
 IDEMPOTENCY_KEY, STORE_IDEMPOTENCY_KEY = "k", "op"
 
-# Fields of load reports: the settings name them by the right-hand words, stores may write either.
+# Fields of load reports. The settings use the names on the right; stores may use either name.
 REPORTED: dict[str, str] = {
     "inflight": "active",
     "queue": "waiting",
--- a/olivecourse/demo.py
+++ b/olivecourse/demo.py
@@ -91,7 +91,9 @@
 @click.option("--seconds", type=click.FloatRange(0), default=None, help="Stop after this many seconds.")
 def demo(seconds: float | None) -> None:
     """Start a gateway with one office of emulated stores, and print a link and an order to try with curl."""
-    stores = [Store(folder, holds_all=False) for folder in ("box-1", "box-2", "box-3", "hub-1", "archive-1")]
+    stores = [
+        Store(store_name, holds_all=False) for store_name in ("box-1", "box-2", "box-3", "hub-1", "archive-1")
+    ]
     world, port = World(stores, _print_store_event), _free_port()
     public = f"http://127.0.0.1:{port}"
     log_lines: deque[dict[str, Any]] = deque(maxlen=1000)
--- a/olivecourse/discovery/__init__.py
+++ b/olivecourse/discovery/__init__.py
@@ -1,1 +1,3 @@
-"""How a long-poll client of the notice board finds and changes its upstream; without I/O."""
+"""Decisions of the long-poll discovery client: parsing, polling intervals and failover between upstreams. No
+I/O.
+"""
--- a/olivecourse/discovery/event_stream.py
+++ b/olivecourse/discovery/event_stream.py
@@ -1,7 +1,7 @@
-"""Reads a poll's answer event by event, in bounded memory, from bytes as they arrive. No I/O.
+"""Parses a poll response event by event, in bounded memory, from bytes as they arrive. No I/O.
 
-An answer is `{"rev":LAST,"notices":[event, ...]}` in UTF-8: its members in any order, white space anywhere,
-members that are not known skipped.
+A response is `{"rev":LAST,"notices":[event, ...]}` in UTF-8. Its members may come in any order, with white
+space anywhere, and unknown members are skipped.
 """
 
 from __future__ import annotations
@@ -11,47 +11,55 @@
 from json.decoder import WHITESPACE  # type: ignore[attr-defined]
 from typing import Any, Final
 
-MAX_VALUE_CHARS: Final = 2**20  # of one event: a list of some 7,000 servers; also without any event in it
-EAGER_CHARS: Final = 65_536  # a value cut off within this is tried again with every chunk
-DELIMITERS: Final = ",]} \t\r\n"  # what may follow a number
-CUT_CHARS: Final = 16  # how far before the end of what is there an error may only be due to that end
-# Up to so many bytes an answer counts as a whole: sorted, and nothing is taken unless all can be read.
+# maximum length of one event, enough for a list of about 7,000 servers; also the maximum number of characters
+# without an event
+MAX_VALUE_CHARS: Final = 2**20
+RETRY_EACH_CHUNK_CHARS: Final = (
+    65_536  # an incomplete value up to this length is parsed again with every chunk
+)
+DELIMITERS: Final = ",]} \t\r\n"  # characters that may follow a number
+# a parse error this close to the end of the received text may only mean that the rest has not arrived yet
+INCOMPLETE_MARGIN_CHARS: Final = 16
+# A response up to this size is handled as a whole: its events are sorted, and none is used unless all can be
+# parsed.
 WHOLE_RESPONSE_BYTES: Final = 65_536
 
-# What comes next at the place reached.
+# Parser states: what is expected next.
 START: Final = 0
-FIRST_KEY: Final = 1  # or the end of the object
+FIRST_KEY: Final = 1  # a first key or the end of the object
 KEY: Final = 2
 COLON: Final = 3
-MEMBER: Final = 4  # the value that belongs to the key
+MEMBER: Final = 4  # the value of the last key
 AFTER_MEMBER: Final = 5
-FIRST_EVENT: Final = 6  # or the end of the list
+FIRST_EVENT: Final = 6  # a first event or the end of the list
 EVENT: Final = 7
 AFTER_EVENT: Final = 8
 END: Final = 9
 
 
 class EventStreamError(ValueError):
-    """An answer that can't be read any further."""
+    """A response that cannot be parsed any further."""
 
 
 class EventStreamParser:
-    """`feed` bytes and get events; `error` is set where the rest can't be read."""
+    """An incremental parser. `feed` takes bytes and returns events; `error` is set when the rest cannot be
+    parsed.
+    """
 
     def __init__(self) -> None:
         self.error: EventStreamError | None = None
         self._decoder = codecs.getincrementaldecoder("utf-8-sig")()
         self._raw_decode = json.JSONDecoder().raw_decode
-        self._text = ""  # not read yet
+        self._text = ""  # text received but not parsed yet
         self._state: int = START
         self._key = ""
         self._revision: Any = None
-        self._listed = False  # whether there was a list of events
-        self._next_try = 0  # length at which a value that was cut off is tried again
+        self._has_event_list = False  # whether the response contained a list of events
+        self._next_try = 0  # text length at which an incomplete value is parsed again
         self._chars_without_event = 0
 
     def feed(self, data: bytes) -> list[Any]:
-        """The events that end in this chunk, in their order."""
+        """Returns the events completed by this chunk, in their order."""
         events: list[Any] = []
         if self.error is None:
             try:
@@ -67,22 +75,24 @@
                 self._text = ""
         return events
 
-    def _read_before(self, bad: UnicodeDecodeError, events: list[Any]) -> None:
-        """Reads the part of a chunk that comes before bytes that are no UTF-8."""
-        self.error = EventStreamError(f"UnicodeDecodeError: {bad}")
+    def _read_before(self, decode_error: UnicodeDecodeError, events: list[Any]) -> None:
+        """Parses the part of a chunk that precedes invalid UTF-8."""
+        self.error = EventStreamError(f"UnicodeDecodeError: {decode_error}")
         try:
-            self._text += bad.object[: bad.start].decode()
+            self._text += decode_error.object[: decode_error.start].decode()
             self._read(events)
         except (ValueError, RecursionError) as error:
             self.error = EventStreamError(f"{type(error).__name__}: {error}")
 
     def finish(self) -> int:
-        """The answer's own revision. Raises EventStreamError unless all of it came and could be read."""
+        """Returns the response's own revision. Raises EventStreamError if the response is incomplete or
+        invalid.
+        """
         if self.error is not None:
             raise self.error
         if self._state != END or self._text:
             raise EventStreamError("the answer is cut off")
-        if not self._listed:
+        if not self._has_event_list:
             raise EventStreamError("no list of events")
         try:
             return int(self._revision)
@@ -90,33 +100,39 @@
             raise EventStreamError(f"no revision: {str(self._revision)[:40]}") from None
 
     def _read(self, events: list[Any]) -> None:
-        text, place, had = self._text, 0, len(events)
-        while place < len(text):
-            character = text[place]
+        """Parses as much of the text as possible and appends the completed events."""
+        text, position, previous_count = self._text, 0, len(events)
+        while position < len(text):
+            character = text[position]
             if character in " \t\r\n":
-                place = WHITESPACE.match(text, place).end()
+                position = WHITESPACE.match(text, position).end()
             elif self._state in (EVENT, FIRST_EVENT) and not (
                 character == "]" and self._state == FIRST_EVENT
             ):
-                value, end = self._value(text, place)
+                value, end = self._value(text, position)
                 if end < 0:
                     break
                 events.append(value)
-                self._state, place = AFTER_EVENT, end
+                self._state, position = AFTER_EVENT, end
             elif self._state in (KEY, MEMBER) or (self._state == FIRST_KEY and character == '"'):
-                end = self._key_or_member(text, place, character)
+                end = self._key_or_member(text, position, character)
                 if end < 0:
                     break
-                place = end
+                position = end
             else:
                 self._punctuation(character)
-                place += 1
-        self._text = text[place:]
-        self._chars_without_event = 0 if len(events) > had else self._chars_without_event + place
+                position += 1
+        self._text = text[position:]
+        self._chars_without_event = (
+            0 if len(events) > previous_count else self._chars_without_event + position
+        )
         if self._chars_without_event + len(self._text) > MAX_VALUE_CHARS:
             raise EventStreamError(f"{MAX_VALUE_CHARS} characters without an event")
 
     def _punctuation(self, character: str) -> None:
+        """Advances the state over one punctuation character. Raises EventStreamError if it is not allowed
+        here.
+        """
         state = self._state
         if state == AFTER_EVENT and character == ",":
             self._state = EVENT
@@ -133,14 +149,16 @@
         else:
             raise EventStreamError(f"{character!r} is out of place")
 
-    def _key_or_member(self, text: str, place: int, character: str) -> int:
-        """Reads a key, or a member other than the list of events; the place after it, -1 if cut off."""
+    def _key_or_member(self, text: str, position: int, character: str) -> int:
+        """Parses a key, or a member other than the list of events. Returns the position after it, or -1 if it
+        is incomplete.
+        """
         if self._state == MEMBER and self._key == "notices":
             if character != "[":
                 raise EventStreamError("the events are no list")
-            self._state, self._listed = FIRST_EVENT, True
-            return place + 1
-        value, end = self._value(text, place)
+            self._state, self._has_event_list = FIRST_EVENT, True
+            return position + 1
+        value, end = self._value(text, position)
         if end < 0:
             return end
         if self._state == MEMBER:
@@ -153,46 +171,50 @@
             raise EventStreamError("a key is no string")
         return end
 
-    def _value(self, text: str, place: int) -> tuple[Any, int]:
-        """The value that begins at the place and where it ends; -1 where its end has not come yet."""
-        length = len(text) - place
-        # An answer ends in a brace, so that no try is missed at its end.
-        if EAGER_CHARS < length < self._next_try and not text.rstrip().endswith("}"):
+    def _value(self, text: str, position: int) -> tuple[Any, int]:
+        """Parses the value at the position. Returns the value and its end, or -1 as the end if the value is
+        incomplete.
+        """
+        length = len(text) - position
+        # A response ends in a brace, so that a text ending in one is always parsed at once.
+        if RETRY_EACH_CHUNK_CHARS < length < self._next_try and not text.rstrip().endswith("}"):
             return None, -1
         try:
-            value, end = self._raw_decode(text, place)
+            value, end = self._raw_decode(text, position)
         except json.JSONDecodeError as error:
-            if error.pos < len(text) - CUT_CHARS and not error.msg.startswith("Unterminated string"):
+            if error.pos < len(text) - INCOMPLETE_MARGIN_CHARS and not error.msg.startswith(
+                "Unterminated string"
+            ):
                 raise
             self._next_try = length + length // 4
             return None, -1
-        if text[place] not in '{["' and (end == len(text) or text[end] not in DELIMITERS):
+        if text[position] not in '{["' and (end == len(text) or text[end] not in DELIMITERS):
             if len(text) - end > len("e+"):
                 raise EventStreamError(f"{text[end]!r} is out of place")
-            return None, -1  # a number may go on
+            return None, -1  # a number may continue in the next chunk
         self._next_try = 0
         return value, end
 
 
 class ResponseReader:
-    """One answer: which of its events are to be taken, and when.
+    """Decides which events of one poll response are used, and when.
 
-    A short answer is taken as a whole, sorted, or not at all. Of a longer one each whole event is taken as
-    it comes; numbers that are not above the last taken are passed over.
+    The events of a short response are used together and sorted, or not at all. Each event of a longer
+    response is used as it arrives; events whose number is not above the last one used are skipped.
     """
 
     def __init__(self, rev: int) -> None:
-        """`rev` is the number of the last event held."""
+        """`rev` is the revision of the last event received."""
         self.rev = rev
         self.error: EventStreamError | None = None
-        self.revision = 0  # the answer's own, once it is complete
-        self.empty = True  # whether it listed no event
+        self.revision = 0  # the response's own revision, once the response is complete
+        self.empty = True  # whether the response contains no event
         self._parser = EventStreamParser()
         self._bytes = 0
-        self._held: list[Any] = []
+        self._held_events: list[Any] = []
 
     def feed(self, data: bytes) -> list[Any]:
-        """The events to be taken now, in ascending order."""
+        """Returns the events to use now, in ascending order."""
         if self.error is not None:
             return []
         self._bytes += len(data)
@@ -201,27 +223,31 @@
         if events:
             self.empty = False
         if self._bytes <= WHOLE_RESPONSE_BYTES:
-            self._held += events
+            self._held_events += events
             return []
-        if self._held:
-            events, self._held = self._held + events, []
+        if self._held_events:
+            events, self._held_events = self._held_events + events, []
         return self._newer(events)
 
     def finish(self) -> list[Any]:
-        """The answer has ended: what is left to be taken. `error` is set if it could not be read."""
+        """Returns the remaining events after the end of the response. Sets `error` if the response could not
+        be parsed.
+        """
         if self.error is None:
             try:
                 self.revision = self._parser.finish()
             except EventStreamError as error:
                 self.error = error
-        held, self._held = self._held, []
+        held_events, self._held_events = self._held_events, []
         if self.error is not None:
             return []
-        fresh = self._newer(held)
-        return [] if self.error is not None else fresh
+        new_events = self._newer(held_events)
+        return [] if self.error is not None else new_events
 
     def _newer(self, events: list[Any]) -> list[Any]:
-        """Those above the last taken, up to the first without a number, which is an error."""
+        """Returns the events above the last one used, up to the first event without a number, which sets
+        `error`.
+        """
         last, numbered, sorted_so_far = self.rev, [], True
         previous = last
         for event in events:
--- a/olivecourse/discovery/failover.py
+++ b/olivecourse/discovery/failover.py
@@ -1,7 +1,9 @@
-"""Which upstream a long-poll client asks next, and when: failover with exponential backoff and jitter.
+"""Decides which upstream a long-poll client asks next, and when: failover with exponential backoff and
+jitter.
 
-Backoff is "full jitter" over a span whose end doubles with each failure in a row (M. Brooker, "Exponential
-Backoff and Jitter", AWS Architecture Blog, 2015), with a floor so that a refusal is never met by a busy loop.
+The backoff is "full jitter" over a range whose upper end doubles with each consecutive failure (M. Brooker,
+"Exponential Backoff and Jitter", AWS Architecture Blog, 2015). It has a minimum, so that an upstream that
+refuses connections does not cause a busy loop.
 """
 
 from __future__ import annotations
@@ -12,70 +14,83 @@
 Address = tuple[str, int]
 
 MS = 1_000_000  # nanoseconds
-SHORTEST_NS = 20 * MS  # a board that restarts on the same machine is back within a few of these
-LONGEST_NS = 320 * MS  # well below the shortest time within which purges have to be everywhere
+# a discovery server that restarts on the same machine is back within a few of these delays
+MIN_DELAY_NS = 20 * MS
+MAX_DELAY_NS = 320 * MS  # well below the shortest time within which purges must reach every gateway
 
-# Of a grace, the part in which clients of a dead relay may come back; the rest is for connecting and for the
-# events that they missed to be taken in.
+# The part of a grace period over which the clients of a failed relay reconnect. The rest is left for
+# connecting and for processing the events that they missed.
 SPREAD_SHARE = 0.5
 
 
 @dataclass(frozen=True)
 class RetryPlan:
-    """The address to ask next, and after how many nanoseconds."""
+    """The address to ask next, and the delay before it in nanoseconds."""
 
     address: Address
     delay_ns: int
 
 
 class UpstreamSelector:
-    """The upstream in use. The first address is the operator's preference; after a failure one of the others
-    is drawn, so that the clients of a dead relay spread over those left, and none is tried twice before each
-    was tried once."""
+    """Selects the upstream in use. The first address is the operator's preference.
+
+    After a failure, one of the other addresses is chosen at random, so that the clients of a failed relay
+    spread over the remaining ones. No address is tried twice before each has been tried once.
+    """
 
     def __init__(
         self,
         addresses: Sequence[Address],
         random: Callable[[], float],
-        shortest_ns: int = SHORTEST_NS,
-        longest_ns: int = LONGEST_NS,
+        shortest_ns: int = MIN_DELAY_NS,
+        longest_ns: int = MAX_DELAY_NS,
     ) -> None:
-        """`random` gives floats in [0, 1). Raises ValueError without an address or for an empty span."""
+        """`random` returns floats in [0, 1). Raises ValueError without an address or for an empty range of
+        delays.
+        """
         if not 0 < shortest_ns <= longest_ns:
             raise ValueError("0 < shortest_ns <= longest_ns does not hold")
-        self._addresses = _distinct(addresses)
+        self._addresses = _without_duplicates(addresses)
         self._random = random
         self._shortest_ns = shortest_ns
         self._longest_ns = longest_ns
         self._current = self._addresses[0]
         self._untried: list[Address] = []
-        self._backoff_ns = shortest_ns  # the floor of the first span is half of its end
+        # doubled by the first failure, so that the first delay is between `shortest_ns` and twice as much
+        self._backoff_ns = shortest_ns
 
     @property
     def current(self) -> Address:
-        """The address to ask."""
+        """The address of the upstream in use."""
         return self._current
 
     def succeeded(self) -> None:
-        """An answer of `current` could be read: the next failure is a first one."""
+        """Records a valid response from `current`, which resets the backoff."""
         self._backoff_ns = self._shortest_ns
         self._untried = []
 
     def failed(self) -> RetryPlan:
-        """`current` refused, was silent or gave what can't be read: whom to ask next, and when."""
+        """Records that `current` refused, did not answer or sent an invalid response. Returns the next
+        address and delay.
+        """
         self._current = self._next_address()
         self._backoff_ns = min(self._backoff_ns * 2, self._longest_ns)
         span_ns = self._backoff_ns - self._shortest_ns
         return RetryPlan(self._current, self._shortest_ns + int(span_ns * self._random()))
 
     def replace(self, addresses: Sequence[Address]) -> None:
-        """Another configuration: `current` stays if still named. Raises ValueError without an address."""
-        self._addresses = _distinct(addresses)
+        """Applies a new list of addresses. `current` stays in use if it is still listed. Raises ValueError
+        without an address.
+        """
+        self._addresses = _without_duplicates(addresses)
         if self._current not in self._addresses:
             self._current = self._addresses[0]
         self.succeeded()
 
     def _next_address(self) -> Address:
+        """Draws a random address other than the current one. None is drawn twice before all others have been
+        tried.
+        """
         if not self._untried:
             self._untried = [address for address in self._addresses if address != self._current]
         if not self._untried:
@@ -84,15 +99,17 @@
 
 
 def spread_ns(random: Callable[[], float], grace_ns: int) -> int:
-    """A delay before asking again after an upstream has ended, so that its clients don't come all at once.
+    """Returns a random delay before reconnecting after an upstream has ended, so that its clients do not
+    reconnect all at once.
 
-    `grace_ns` is the shortest grace of the settings. A client that waits is told nothing, so the spread is
-    only SPREAD_SHARE of it.
+    `grace_ns` is the shortest grace period in the settings. A client receives no events while it waits, so
+    the delay is at most the fraction SPREAD_SHARE of the grace period.
     """
     return int(max(grace_ns, 0) * SPREAD_SHARE * random())
 
 
-def _distinct(addresses: Sequence[Address]) -> list[Address]:
+def _without_duplicates(addresses: Sequence[Address]) -> list[Address]:
+    """Returns the addresses without duplicates. Raises ValueError if there are none."""
     distinct = list(dict.fromkeys(addresses))
     if not distinct:
         raise ValueError("no address to ask")
--- a/olivecourse/logs.py
+++ b/olivecourse/logs.py
@@ -25,10 +25,8 @@
     del sys.modules["rich"]
 
 MAX_LINE_BYTES = 4096  # PIPE_BUF: the size up to which a pipe that is writable accepts a write as a whole
-MAX_LINES_PER_WINDOW, WINDOW_S = (
-    20,
-    10.0,
-)  # lines of one event name within 10 s; further lines are counted and dropped
+# lines of one event name within 10 s; further lines are counted and dropped
+MAX_LINES_PER_WINDOW, WINDOW_S = 20, 10.0
 
 
 class RateLimiter:
@@ -71,8 +69,8 @@
         data = line.encode("utf-8", "replace")
         if len(data) > MAX_LINE_BYTES - 64:
             data = json.dumps({"event": "line_too_long", "bytes": len(data), "begins": line[:500]}).encode()
+        # a writable pipe has room for MAX_LINE_BYTES bytes, so that the write below cannot block
         if not any(events & select.POLLOUT for _, events in self._poll.poll(0)):
-            # a writable pipe has room for MAX_LINE_BYTES bytes, so that the write below cannot block
             self._lost += 1
             return
         if self._lost:
