--- a/olivecourse/cli.py
+++ b/olivecourse/cli.py
@@ -1,4 +1,6 @@
-"""The command line. Without a subcommand the program serves, which is how the platform starts it."""
+"""The command line. Without a subcommand the program runs a gateway (`serve`), which is how the platform
+starts it.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +23,9 @@
 
 
 def _load(path: str | None, operator: str | None) -> Config:
-    """Loads the configuration, or exits with status 2 and one line on standard error if it is invalid."""
+    """Loads the configuration from the operator's YAML file `operator`, or else from the JSON file `path` or
+    the one that EDGE_CONFIG names. If it is invalid, exits with status 2 and one line on standard error.
+    """
     try:
         return load_operator(operator, os.environ) if operator else load_config(os.environ, path)
     except BadConfig as error:
@@ -31,7 +35,8 @@
 
 class Signals:
     """Collects SIGTERM, SIGINT and SIGHUP for the event loop, because a signal handler that did more could
-    interrupt the planner in the middle of a decision. `readable` becomes readable once a signal has arrived.
+    interrupt the planner in the middle of a decision. The socket `readable` becomes readable once a signal
+    has arrived, which wakes the event loop.
     """
 
     def __init__(self) -> None:
@@ -39,8 +44,8 @@
         self._waker, self.readable = socket.socketpair()
         self._waker.setblocking(False)
         self.readable.setblocking(False)
-        # A full buffer needs no warning: the loop has been woken already, and the set alone records which
-        # signals arrived.
+        # Python need not warn when the waker socket's buffer is full: the event loop has been woken already,
+        # and which signals arrived is recorded in `_arrived` alone.
         signal.set_wakeup_fd(self._waker.fileno(), warn_on_full_buffer=False)
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             signal.signal(number, lambda came, frame: self._arrived.add(came))
@@ -71,11 +76,13 @@
     }
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Returns the names of all commands, without importing those that are loaded on demand."""
+        """Returns the names of all commands, without importing the modules in COMMAND_MODULES."""
         return sorted([*super().list_commands(ctx), *self.COMMAND_MODULES])
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Returns a command, importing its module if necessary."""
+        """Returns the command with a name, after importing its module if it is in COMMAND_MODULES; None if
+        there is no such command.
+        """
         if cmd_name in self.COMMAND_MODULES:
             found: click.Command = getattr(import_module(self.COMMAND_MODULES[cmd_name]), cmd_name)
             return found
@@ -120,7 +127,7 @@
         return
     config = _load(path, operator)
     logs.set_up()
-    # Imported here because the other commands start faster without it.
+    # Imported here and not at the top, because the other commands start faster without these modules.
     from olivecourse.gateway import Gateway
     from olivecourse.service import PlannerService
 
@@ -137,18 +144,20 @@
         sys.exit(2)
 
     def wake(mask: int) -> None:
-        """Handles the signals that have arrived."""
+        """Called by the event loop when signals have arrived: reloads at SIGHUP, stops at SIGTERM or
+        SIGINT.
+        """
         arrived = signals.take()
-        # SIGHUP is handled even before a stop, which may take seconds in which discovery still announces
-        # drains.
+        # The configuration is reloaded even if SIGTERM has arrived together with SIGHUP, because the stop may
+        # take seconds, in which discovery still announces drains.
         if signal.SIGHUP in arrived:
             reload()
         if arrived & {signal.SIGTERM, signal.SIGINT}:
             gateway.stop()
 
     def reload() -> None:
-        """Reads the configuration again in the same way as at the start. An invalid configuration changes
-        nothing.
+        """Reads the configuration again, from the same file as at the start, and applies it. An invalid one
+        is logged and changes nothing.
         """
         try:
             new_config = load_operator(operator, os.environ) if operator else load_config(os.environ, path)
@@ -163,7 +172,9 @@
 
 
 def _serve_relay(operator: str | None, signals: Signals) -> None:
-    """Runs a relay: a process that distributes discovery events to many gateways."""
+    """Runs a relay, a process that receives discovery events and distributes them to many gateways, as
+    configured by the operator's file `operator`, until SIGTERM or SIGINT.
+    """
     from olivecourse.config.sections import BadSection
     from olivecourse.relay.commands import most_descriptors
     from olivecourse.relay.section import read_relay
@@ -182,7 +193,9 @@
         sys.exit(2)
 
     def wake(mask: int) -> None:
-        """Handles the signals that have arrived."""
+        """Called by the event loop when signals have arrived: reloads at SIGHUP, stops at SIGTERM or
+        SIGINT.
+        """
         arrived = signals.take()
         if signal.SIGHUP in arrived:
             try:
--- a/olivecourse/config/gateway_config.py
+++ b/olivecourse/config/gateway_config.py
@@ -35,8 +35,8 @@
 @dataclass(frozen=True)
 class SignedListenerConfig:
     """Configuration of the client listener that accepts signed links and order tokens over HTTP: `public` is
-    the public URL of this gateway, `keys` the path of the file with the signing keys, and `leeway_s` the
-    accepted difference between the clocks of signer and gateway, in seconds.
+    the public URL of this gateway, `keys` the path of the file with the keys that check the signatures, and
+    `leeway_s` the accepted difference between the clocks of signer and gateway, in seconds.
     """
 
     public: str
--- a/olivecourse/config/merging.py
+++ b/olivecourse/config/merging.py
@@ -27,8 +27,8 @@
     "parent_kind",
     "origin_kind",
 )
-# Settings that are not compared to find what a reload changed: the seed may differ without meaning a change,
-# and the classes are merged one by one.
+# Settings that are not compared to find what a reload changed: the seed differs at every start, and the
+# request classes are merged one by one.
 NOT_COMPARED = ("seed", "classes")
 
 
--- a/olivecourse/config/settings.py
+++ b/olivecourse/config/settings.py
@@ -1,6 +1,8 @@
-"""Reads the settings of a gateway, from the simulator's path=value pairs or from nested JSON.
+"""Reads the settings of a gateway, from the path=value pairs of the simulator's start message or from nested
+JSON.
 
-One table maps each setting to its path. Nested JSON is converted to the same pairs first.
+The table SETTINGS maps each setting to its path, such as "limits.max_attempts". Nested JSON is converted to
+path=value pairs first.
 """
 
 from __future__ import annotations
@@ -16,22 +18,26 @@
 
 
 class Malformed(Exception):
-    """A line or a setting that does not follow the expected format."""
+    """Raised for a line of the simulator's protocol or a setting that does not follow the expected format, or
+    has a value that a gateway cannot serve with.
+    """
 
 
 def read_flag(text: str) -> bool:
-    """Parses a boolean. Raises ValueError."""
+    """Returns whether the text is "1" or "true". Raises ValueError unless it is one of these, "0" or
+    "false".
+    """
     if text not in ("0", "1", "true", "false"):
         raise ValueError(text)
     return text in ("1", "true")
 
 
 def read_list(parse: Convert) -> Convert:
-    """Returns a function that parses a comma-separated list, each element with `of`."""
+    """Returns a function that parses a comma-separated list into a tuple, each element with `parse`."""
     return lambda text: tuple(parse(item) for item in text.split(",")) if text else ()
 
 
-# The path of each setting in the start message, with its parser.
+# For each field of `Settings`, its path in the simulator's start message or the nested JSON, and its parser.
 SETTINGS: dict[str, tuple[str, Convert]] = {
     "me": ("me", int),
     "routers": ("instances", int),
@@ -79,6 +85,7 @@
     "price_probe": ("fees.probe", float),
     "price_late_fail": ("fees.late_fail", float),
 }
+# For each field of a request class, its path below `profiles.INDEX.`, and its parser.
 CLASS_SETTINGS: dict[str, tuple[str, Convert]] = {
     "name": ("name", str),
     "aim_ns": ("on_time_ns", int),
@@ -91,7 +98,8 @@
     "key_memory_ns": ("memory_span_ns", int),
     "streamed": ("streamed", read_flag),
 }
-# Per-class values that the start message stores in separate lists, one element for each class.
+# Further fields of a request class. The start message has a list for each, outside `profiles`, with one
+# element for each class; this is the path of the list and the parser of an element.
 CLASS_LISTS: dict[str, tuple[str, Convert]] = {
     "fresh_ns": ("family_info.max_age_ns", int),
     "stale_grace_ns": ("family_info.grace_for_ns", int),
@@ -103,7 +111,9 @@
 def _parse_fields(
     text_by_path: dict[str, str], table: dict[str, tuple[str, Convert]], prefix: str = ""
 ) -> dict[str, Any]:
-    """Returns the fields of a table whose paths `text_by_path` contains, parsed. Raises Malformed."""
+    """Returns the parsed values of those fields of `table` whose path, after `prefix`, is in `text_by_path`.
+    The text "-" means no value. Raises Malformed.
+    """
     values: dict[str, Any] = {}
     for field, (path, convert) in table.items():
         text = text_by_path.get(prefix + path)
@@ -116,8 +126,8 @@
 
 
 def read_settings(seed: int, pairs: Iterable[str]) -> w.Settings:
-    """Returns the settings from a start message's path=value pairs. Unknown paths are ignored. Raises
-    Malformed.
+    """Returns the settings that path=value pairs, as in the simulator's start message, contain. Unknown paths
+    are ignored. Raises Malformed.
     """
     values = dict(pair.split("=", 1) for pair in pairs if "=" in pair)
     count = _parse_fields(values, {"count": ("profiles.count", int)}).get("count", 0)
@@ -128,12 +138,13 @@
             column = _parse_fields(values, {field: (path, read_list(convert))}).get(field, ())
             if index < len(column):
                 class_values[field] = column[index]
-        # Without a target time, any answer within the deadline is on time.
+        # For a class without a target time `aim_ns`, any answer within the deadline counts as on time.
         class_values["aim_ns"] = class_values.get("aim_ns") or class_values.get("deadline_ns", 0)
         classes.append(w.RequestClass(**class_values))
     return w.Settings(seed=seed, classes=tuple(classes), **_parse_fields(values, SETTINGS))
 
 
+# Paths of settings that other functions than `_parse_fields` with the tables above read.
 PATHS_READ_ELSEWHERE = {
     "kinds",
     "profiles.count",
@@ -141,12 +152,13 @@
     "limits.conn_idle_ns",
     "limits.streams_per_conn",
 }
-MAX_REPORTED_PATHS = 40  # Maximum number of unused paths that are reported.
+MAX_REPORTED_PATHS = 40  # Maximum number of paths of unused settings that `unread` returns.
 
 
 def unread(pairs: Iterable[str]) -> tuple[str, ...]:
-    """Returns the paths that this program does not use; those of a class appear under `profiles.*`. They may
-    stay in the file and have no effect.
+    """Returns the sorted paths of the settings that this program does not use, at most MAX_REPORTED_PATHS, to
+    be logged at the start. The paths of a request class appear under `profiles.*`. Such settings may stay in
+    the file and have no effect.
     """
     known_paths = PATHS_READ_ELSEWHERE | {path for path, _ in (*SETTINGS.values(), *CLASS_LISTS.values())}
     known_paths |= {f"profiles.*.{path}" for path, _ in CLASS_SETTINGS.values()}
@@ -160,15 +172,16 @@
     return tuple(sorted(set(normalized_paths) - known_paths))[:MAX_REPORTED_PATHS]
 
 
-# For these fields, -1 means that there is no such kind of server.
+# Fields of `Settings` that are the index of a kind of servers, where -1 means that there is no such kind. All
+# other numbers must not be negative.
 MAY_BE_MINUS_ONE = ("parent_kind", "origin_kind")
 
 
 def check_settings(settings: w.Settings) -> None:
-    """Checks the settings at a start and at a reload. Raises Malformed if a gateway could not serve with
-    them.
+    """Raises Malformed if a gateway could not serve with these settings. Called for a configuration file, at
+    the start and at a reload.
 
-    Unlike the simulator's start message, a file may have been written by hand.
+    Unlike the simulator's start message, which is not checked, a file may have been written by hand.
     """
     if not settings.classes:
         raise Malformed("profiles: no class of requests")
@@ -196,7 +209,9 @@
 
 
 def nested_pairs(value: Any, path: str = "") -> Iterator[str]:
-    """Yields the path=value pairs of a nested object, in the form of the simulator's start message."""
+    """Yields a parsed JSON object as path=value pairs, as in the simulator's start message. Names are joined
+    by dots, and a list of objects also yields its length as PATH.count.
+    """
     if isinstance(value, dict):
         for name, inner in value.items():
             yield from nested_pairs(inner, f"{path}.{name}" if path else str(name))
@@ -209,7 +224,9 @@
 
 
 def _plain_text(value: Any) -> str:
-    """Returns a single value as text, in the form of the simulator's start message."""
+    """Returns a JSON value other than an object or list as the simulator's start message writes it: None as
+    "-", whole floats as integers, and spaces and commas in a text as underscores.
+    """
     if isinstance(value, bool):
         return "true" if value else "false"
     if value is None:
--- a/olivecourse/config/vocabulary.py
+++ b/olivecourse/config/vocabulary.py
@@ -1,7 +1,8 @@
-"""The words that different deployments use for the same things. No other module defines such words.
+"""Names that differ between deployments for the same thing: configuration keys, paths of the operators'
+endpoint, metrics, and fields of messages. No other module defines such names.
 
-Every word is accepted everywhere, because the words that arrive depend on the caller and not on the
-deployment.
+Every name is accepted, and every metric is exported under all its names, in every deployment, because the
+names that arrive depend on the caller and not on the deployment.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 
 
 class Call(Enum):
-    """The operations that operators can call at their endpoint."""
+    """The operations that operators can call at the operators' HTTP endpoint."""
 
     READY = "ready"
     FIGURES = "figures"
@@ -20,11 +21,14 @@
     UNDRAIN = "undrain"
 
 
-# A further listening address for operators: its name in the configuration, and in the environment.
+# The names under which the listening address of an operators' HTTP endpoint may be given, one pair for each
+# kind of deployment: the key in the configuration, and the environment variable that takes precedence over
+# it.
 DOORS: tuple[tuple[str, str], ...] = (("mgmt", "EDGE_MGMT"), ("admin", "EDGE_ADMIN"))
 
-# Path at the operators' endpoint, with the operation and the methods that it accepts. If a path ends in a
-# slash, the id of a store follows it; otherwise the id is in the request body.
+# For each path at the operators' HTTP endpoint, the operation and the HTTP methods that it accepts. If the
+# operation concerns one store (DOWN and UP), the store's id follows a path that ends in a slash, and is in
+# the request body otherwise.
 CALLS: dict[str, tuple[Call, tuple[str, ...]]] = {
     "/ops/readiness": (Call.READY, ("GET",)),
     "/ready": (Call.READY, ("GET",)),
@@ -40,29 +44,33 @@
     "/undrain": (Call.UNDRAIN, ("POST",)),
 }
 
-# Metrics of a gateway. Request counters by class and result: the metric name, the label for the class, and
-# the label for the result (served, refused, failed) with its values. Without a result label, the result is
-# part of the metric name.
+# The metric that counts a gateway's requests by request class and result, under the names of each kind of
+# deployment: the metric's name, the label for the class, the label for the result, and the words for the
+# results served, refused and failed. Where the label for the result is empty, the word replaces {} in the
+# metric's name.
 ENDS: tuple[tuple[str, str, str, tuple[str, str, str]], ...] = (
     ("app_transactions", "group", "state", ("answered", "deferred", "errored")),
     ("lb_{}", "class", "", ("served", "refused", "failed")),
 )
-# The other metrics, each with all its names.
-ATTEMPTS = ("app_sends", "lb_attempts")
-OPEN = ("app_current", "lb_in_flight")
-KNOWN = ("app_cluster_size", "lb_servers_known")
-AVOIDED = ("app_cluster_unhealthy", "lb_servers_out")
+# The metrics of a gateway other than the one in ENDS. Each constant lists all names under which one value is
+# exported, because deployments differ in their names for it.
+ATTEMPTS = ("app_sends", "lb_attempts")  # Counts the attempts that were written to stores as a whole.
+OPEN = ("app_current", "lb_in_flight")  # Requests accepted and not closed yet.
+KNOWN = ("app_cluster_size", "lb_servers_known")  # Stores in the list from discovery or the inventory.
+AVOIDED = ("app_cluster_unhealthy", "lb_servers_out")  # Listed stores that get no requests at present.
 TAKEN_UP = ("app_conf_loaded",)  # Counts configurations applied, including the one at the start.
 RELOADS = ("lb_reloads",)  # Counts configurations applied, not including the one at the start.
-REFUSED = ("app_conf_invalid", "lb_reloads_refused")
+REFUSED = ("app_conf_invalid", "lb_reloads_refused")  # Counts configurations rejected as invalid.
+# The duration in seconds of the longest turn of the event loop since the start.
 LONGEST_TURN = ("app_turn_seconds_max",)
 
-# The key by which stores recognize a repeat; clients send it for classes whose repeats are deduplicated. The
-# first name is its field in a client's request, the second its field in a request to a store
-# (`kit/sites/real.json`, "idem").
+# The idempotency key, by which stores recognize a repeat; clients send it with requests of classes whose
+# repeats are deduplicated. The first name is its field in a client's request, the second its field in a
+# request to a store (`kit/sites/real.json`, "idem").
 IDEMPOTENCY_KEY, STORE_IDEMPOTENCY_KEY = "k", "op"
 
-# Fields of load reports. The settings use the names on the right; stores may use either name.
+# Fields of the load reports that stores send with their answers. Stores may use the name on the left or the
+# one on the right for a field; the settings use the one on the right.
 REPORTED: dict[str, str] = {
     "inflight": "active",
     "queue": "waiting",
--- a/olivecourse/demo.py
+++ b/olivecourse/demo.py
@@ -1,7 +1,7 @@
-"""`olivecourse demo` runs a gateway with emulated stores on free loopback ports.
+"""The command `olivecourse demo`, which runs a gateway with emulated stores on free loopback ports.
 
-The emulated stores are those of one office, its hub and its archive. The command prints a signed link and an
-order to try, and one line for each event.
+The emulated stores are the cache boxes of one office, a hub cache and an archive. The command prints a signed
+link and an order to try with curl, and one line for each request at a store and each log line of the gateway.
 """
 
 from __future__ import annotations
@@ -38,14 +38,16 @@
 
 
 def _free_port() -> int:
-    """Returns a loopback port that is currently free."""
+    """Returns a TCP port of the loopback address that is free at the time of the call."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return int(sock.getsockname()[1])
 
 
 def _write_files(folder: Path, stores: list[Store], public: str, port: int) -> Path:
-    """Writes the configuration files of the demo and returns the path of the operator's file."""
+    """Writes the configuration files of the demo's gateway to `folder` and returns the path of the operator's
+    file. The gateway listens on `port` and has the URL `public`.
+    """
     (folder / "settings.json").write_text(json.dumps(settings(CLASSES)))
     inventory_rows = [
         f"{store.name},{store.address},{'praia' if store.name.startswith('box') else 'hub-nord'},"
@@ -67,7 +69,7 @@
 
 
 def _print_store_event(store: Store, request: str, word: str, fields: dict[str, str]) -> None:
-    """Prints what a store did with a request."""
+    """Prints what an emulated store did with a request; `word` and `fields` are those of its answer."""
     target = f"{fields.get('sort', '?')} {fields.get('asset', '?')}"
     if word == "data" and fields.get("sort") == "commande":
         click.echo(f"  {store.name}: passed the order {request} on to {fields.get('fetch', 'the archive')}")
@@ -81,7 +83,9 @@
 
 
 def _format_log_line(line: dict[str, Any]) -> str:
-    """Formats a log line of the gateway for the terminal."""
+    """Returns a parsed log line of the gateway as text for the terminal: the event name and the fields,
+    without time and level.
+    """
     omitted = ("event", "level", "timestamp", "gateway")
     fields = " ".join(f"{key}={value}" for key, value in line.items() if key not in omitted)
     return f"  gateway: {line['event']} {fields}"
@@ -108,7 +112,9 @@
         )
 
         def listen() -> None:
-            """Collects the gateway's log lines until it ends."""
+            """Adds the gateway's log lines, parsed from JSON, to `log_lines` until the gateway process
+            ends.
+            """
             assert gateway.stderr is not None
             for line in gateway.stderr:
                 with contextlib.suppress(ValueError):
@@ -135,7 +141,9 @@
     signing_key: tokens.Key,
     seconds: float | None,
 ) -> None:
-    """Runs the emulated stores and prints events until the demo is stopped or `seconds` have passed."""
+    """Runs the emulated stores and prints the gateway's log lines and the examples, until a signal arrives,
+    the gateway ends or `seconds` have passed.
+    """
     started, ready_at, link_printed = time.monotonic(), 0.0, False
     while not stop_signals and gateway.poll() is None:
         world.turn(time.monotonic() + 0.1)
@@ -152,7 +160,9 @@
 
 
 def _print_examples(public: str, signing_key: tokens.Key) -> None:
-    """Prints a signed link and a signed order as curl commands."""
+    """Prints curl commands for a signed link and for an order with its token, both valid at the gateway with
+    the URL `public`.
+    """
     read_uri, order_uri = (
         f"{public}/fichiers/{OBJECT}/0?shard=17&kb=41.5",
         f"{public}/commande/{OBJECT}/0?shard=17",
--- a/olivecourse/gateway.py
+++ b/olivecourse/gateway.py
@@ -1,6 +1,7 @@
-"""Assembles one gateway: event loop, request tracker, planner, stores, discovery, peers and client listener.
+"""Assembles one gateway: event loop, request tracker, planner, connections to stores, discovery, optional
+components and client listener.
 
-Each turn of the loop collects the pending events into one batch, passes the batch to the planner, and
+Each turn of the event loop collects the pending events into one batch, passes the batch to the planner, and
 executes the actions that the planner returns.
 """
 
@@ -34,36 +35,43 @@
 
 ComponentT = TypeVar("ComponentT", bound=Part)
 MS = 1_000_000
-# After a start, the gateway reports not ready for at most this long while discovery has not answered.
+# A gateway that discovery has not answered yet reports that it is not ready, but no longer than this after
+# its start.
 MAX_DISCOVERY_WAIT_NS = 3_000 * MS
-# Clients keep connecting for 0.6 s after SIGTERM, and the platform requires at least 0.7 s of service.
+# After SIGTERM, the gateway accepts new connections for at least this long, unless another process has taken
+# over its clients: clients keep connecting for 0.6 s, and the platform requires at least 0.7 s of service.
 LINGER_NS = 900 * MS
-# SIGKILL may come 0.7 s after the longest deadline of a class, of which at most this much counts
+# After SIGTERM, SIGKILL may come once the longest deadline of any request class plus 0.7 s have passed. At
+# most this much of the deadline counts.
 MAX_DEADLINE_NS = 3_000 * MS
-# A class removed by a reload is still accepted for this long, because requests of the class are on their way.
+# Requests of a class that a reload removed are still accepted for this long after it, because clients may
+# have sent them already.
 REMOVED_CLASS_GRACE_NS = 1_000 * MS
-# The time that clients get at the end to see that the gateway stops and to close their connections.
+# During the shutdown, after the last answer, clients get this long to see that the gateway stops and to close
+# their connections.
 CLIENT_CLOSE_GRACE_NS = 250 * MS
-STOP_MARGIN_NS = 500 * MS  # The last answers are sent this long before SIGKILL may come.
+STOP_MARGIN_NS = 500 * MS  # All requests still open are answered this long before SIGKILL may come.
 
 
 class LoopTimers:
-    """Gives the request tracker access to the loop's clock and timers."""
+    """Gives the request tracker access to the event loop's clock and timers, without the rest of the loop."""
 
     def __init__(self, loop: Loop) -> None:
         self._loop = loop
 
     def now(self) -> int:
-        """Returns the current time in nanoseconds."""
+        """Returns the current time on the event loop's clock in nanoseconds."""
         return self._loop.clock.now()
 
     def after(self, delay_ns: int, call: Callable[[], object]) -> Timer:
-        """Schedules `call` to run after `delay_ns` nanoseconds."""
+        """Schedules `call` to run after `delay_ns` nanoseconds. The timer returned can cancel it."""
         return self._loop.after(delay_ns, call)
 
 
 class Gateway:
-    """One gateway process: it owns the event loop and all components, and runs until SIGTERM."""
+    """One gateway process: it owns the event loop and all components, and runs until the shutdown after
+    SIGTERM is complete.
+    """
 
     def __init__(self, config: Config, log: Callable[..., None]) -> None:
         self.config, self.log = config, log
@@ -72,8 +80,11 @@
         loop.faulted = self._on_fault
         self.batch: list[w.Event] = []
         self.stopping = False
-        self._last_reload: MergeResult | None = None  # The merged settings of the last reload, or None.
-        # Empty while the components are created, which happens before the client listener exists.
+        # The result of merging the settings at the last reload that applied settings, or None before the
+        # first.
+        self._last_reload: MergeResult | None = None
+        # The client listeners, as a list so that it can be empty while the optional components are created,
+        # which happens before there is a listener.
         self.fronts: list[Listener] = []
         settings = config.settings
         self.started = loop.clock.now()
@@ -83,7 +94,8 @@
             loop, config, self.ledger, self.batch.append, self._on_server_terminated, log
         )
         self.directory = self.control.directory
-        # The operating system's limit applies as well, whatever the configuration says.
+        # The number of file descriptors that this process may use: the configured number, or the operating
+        # system's limit if that is lower.
         self.sockets = min(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         descriptors = split(self.sockets, len(config.doors))
         limits = Limits(
@@ -100,7 +112,8 @@
         )
         self.ledger.carrier = self.pool
         self.parts: list[Part] = []
-        # Components are created one by one, because each may use those created before it.
+        # The optional components are added to the list one by one, because the constructor of each may look
+        # up those created before it.
         for component_class in parts_of(config):
             self.parts.append(component_class(self))
         self.remote: RemotePlanner | None = None
@@ -112,7 +125,9 @@
             self.carry_out(self.local.start())
         self.on_events(config.notices, first=True)
         if config.planner is not None:
-            self.batch.clear()  # The events known at startup are sent again to every planner that connects.
+            # Every planner process that connects is sent the servers and purges known by then, those known at
+            # startup included, so the events need not be sent as well.
+            self.batch.clear()
             self.remote = RemotePlanner(
                 loop, config.planner, self.carry_out, self._sync_planner, self._on_planner_lost, log
             )
@@ -123,38 +138,45 @@
         self.front: Listener = self._create_front()
         self.fronts.append(self.front)
         loop.short = self.front.make_room
-        # This state is reported to the previous process during an upgrade.
+        # Whether this process drains is reported to the previous process of this gateway during an upgrade.
         self.front.draining = not self.takes_work()
         for part in self.parts:
             part.start(self.front)
 
     def part(self, kind: type[ComponentT]) -> ComponentT | None:
-        """Returns the component of that class if it is enabled and already created, else None."""
+        """Returns the optional component of the class `kind`, or None if the configuration does not enable it
+        or it has not been created yet.
+        """
         return next((part for part in self.parts if isinstance(part, kind)), None)
 
     def _on_stall(self, wall_ns: int, cpu_ns: int) -> None:
-        """Logs a turn of the loop that took too long. High CPU time means that the gateway itself was busy;
-        low CPU time means that the operating system did not run the process.
+        """Logs a turn of the event loop that took longer than STALL_NS (0.6 s). Both arguments are the turn's
+        duration: in real time and in CPU time of this process. High CPU time means that the gateway itself
+        was busy, low CPU time that the operating system did not run the process.
         """
         self.log("loop_stalled", ms=wall_ns // MS, cpu_ms=cpu_ns // MS)
 
     def _on_fault(self, where: str, error: Exception) -> None:
-        """Logs an unexpected exception. The operation that raised it is lost, and deadline timers answer the
-        requests concerned; everything else continues.
+        """Logs an unexpected exception in a callback of the event loop or in an action. `where` says in
+        which. The operation that raised it is lost, and deadline timers answer the requests concerned;
+        everything else continues.
         """
         self.log("loop_fault", where=where, error=repr(error))
 
     def _client_limits(self, sockets: int) -> tuple[int, int]:
-        """Returns the limits for clients and for bytes of their unread answers, if this process may use
-        `sockets` of the descriptors.
+        """Returns the maximum number of client connections, and the maximum number of answer bytes that
+        clients have not read yet, for a process that may use `sockets` file descriptors. The second is an
+        eighth of the configured memory, reduced in proportion if `sockets` is less than this process may use
+        by itself.
         """
         config = self.config
         max_unread_bytes = config.memory_mb * 2**20 // 8 * sockets // max(self.sockets, 1)
         return split(sockets, len(config.doors)).clients, max_unread_bytes
 
     def share_descriptors(self, shared: bool) -> None:
-        """Halves this process's descriptor limits while another process of the same gateway runs, so that
-        both together stay within the limit of one, and restores them afterwards.
+        """Halves this process's limits for file descriptors if `shared` is true, and restores them otherwise.
+        They are halved while another process of the same gateway runs during an upgrade, so that both
+        together stay within the limit of one.
         """
         sockets = self.sockets // 2 if shared else self.sockets
         descriptors = split(sockets, len(self.config.doors))
@@ -164,7 +186,9 @@
         self.front.limit(*self._client_limits(sockets))
 
     def _create_front(self) -> Listener:
-        """Creates the configured client listener."""
+        """Creates the client listener: the one for signed links and order tokens over HTTP if it is
+        configured, else the Thrift one.
+        """
         config, settings = self.config, self.config.settings
         classes = {c.name: (index, c.write) for index, c in enumerate(settings.classes)}
         refusal_wait_ns = settings.max_retry_after_ns if settings.retry_after else 0
@@ -210,7 +234,8 @@
         )
 
     def reload_keys(self) -> bool:
-        """Reads the signed listener's key file again and returns whether there is such a listener.
+        """Reads the file with the keys of the signed HTTP listener again. Returns false, without reading
+        anything, if this gateway has no such listener.
 
         Raises ValueError if the file is invalid; the keys in use then stay unchanged.
         """
@@ -231,7 +256,8 @@
         discovery continues from the last event received.
         """
         old = self.config
-        # Settings cannot change while a remote planner or order tokens also depend on them.
+        # Settings cannot change while a planner in a separate process, or the order tokens of a signed
+        # listener, also depend on them.
         settings_reloadable = self.remote is None and old.signed is None
         merged = merge(old.settings, new_config.settings if settings_reloadable else old.settings)
         keys: Any = None
@@ -263,7 +289,9 @@
         )
         if new_config.listen != old.listen:
             needs_restart.append("listen")
-        # The leeway must not change either: with another leeway, an order token could be used a second time.
+        # Of the signed listener's configuration, only the path of the key file may change. Not even the
+        # accepted clock difference `leeway_s` may: with another one, an order token could be used a second
+        # time.
         signed = (
             new_config.signed
             if new_config.signed is None or old.signed is None
@@ -296,7 +324,11 @@
         self.log("reloaded", moved=changed + merged.applied, needs_restart=list(dict.fromkeys(needs_restart)))
 
     def _connection_limits(self) -> dict[str, int]:
-        """Returns the limits for connections to stores that do not depend on the number of descriptors."""
+        """Returns those fields of `Limits` (of the connections to stores) that come from the configuration
+        and not from the number of file descriptors: `connect_ns`, the connect timeout in nanoseconds;
+        `idle_ns`, the time after which an idle connection is closed, 0.8 of the configured one; and
+        `streams`, the maximum number of requests at once on one connection.
+        """
         config = self.config
         return {
             "connect_ns": config.connect_ns,
@@ -305,7 +337,9 @@
         }
 
     def _apply_settings(self, merged: MergeResult) -> None:
-        """Applies new settings to every component. Classes keep their indexes."""
+        """Applies the settings that a reload has merged to every component, so far as they change while
+        requests run. Request classes keep their indexes.
+        """
         settings = merged.settings
         self.ledger.settle(settings)
         if self.local is not None:
@@ -324,8 +358,9 @@
         self._last_reload = merged
 
     def _remove_old_classes(self, merged: MergeResult) -> None:
-        """Removes the classes that the last reload no longer lists, unless another reload came in the
-        meantime. Requests for a removed class get an error.
+        """Called REMOVED_CLASS_GRACE_NS after a reload. Removes the request classes that the new
+        configuration does not list, unless another reload has applied settings since. New requests of a
+        removed class get an error.
         """
         if merged is self._last_reload:
             self.front.classes = {
@@ -333,25 +368,29 @@
             }
 
     def _sync_planner(self) -> None:
-        """Sends a newly connected planner, which has no state, the stores and the purges still in effect."""
+        """Sends the list of stores and the purges still in effect to a planner process that has just
+        connected and knows neither.
+        """
         self.control.sync_planner()
 
     def _on_planner_lost(self) -> None:
-        """Answers every open request, because the planner is lost together with the actions it had
-        planned.
+        """Called when the connection to the planner process is lost, and with it the actions that the planner
+        had planned. Answers every open request with a refusal or a failure.
         """
         self.batch.clear()
         self.ledger.give_up_all("planner lost")
         self.batch.clear()
 
     def drain(self, draining: bool) -> None:
-        """Starts or ends the drain of all client listeners."""
+        """Starts or ends the drain of all client listeners. A draining listener closes each connection once
+        no request is open on it, so that clients go elsewhere.
+        """
         for front in self.fronts:
             front.drain(draining)
 
     def takes_work(self) -> bool:
-        """Returns whether clients should send requests here: false while the gateway stops or an operator
-        drains it.
+        """Returns whether clients should send requests to this gateway. They should not while it stops or an
+        operator drains it.
         """
         return not self.stopping and all(part.takes_work() for part in self.parts)
 
@@ -359,7 +398,9 @@
         """Returns the reason why this gateway is not ready to serve requests, or an empty string if it is
         ready.
 
-        A gateway is ready once it listens, has a usable store, and has received an answer from discovery.
+        A gateway is ready if it is neither stopping nor draining, has a store that is ready and not taken out
+        of service, and has received an answer from discovery or waited MAX_DISCOVERY_WAIT_NS for one. With a
+        planner in a separate process it must also be connected to it.
         """
         if not self.takes_work():
             return "stopping" if self.stopping else "draining"
@@ -375,17 +416,19 @@
         return ""
 
     def avoided(self) -> set[int]:
-        """Returns the stores that the local planner avoids; empty with a planner in a separate process, which
-        is not asked.
+        """Returns the numbers of the stores to which the planner in this process sends no requests at
+        present. With a planner in a separate process, which is not asked, the set is empty.
         """
         return set() if self.local is None else self.local.router.avoided()
 
     def longest_turn_s(self) -> float:
-        """Returns the duration of the longest turn of the loop in seconds."""
+        """Returns the duration of the longest turn of the event loop since the process started, in seconds,
+        without the time spent waiting for sockets and timers. It is exported as a metric.
+        """
         return self.loop.longest_ns / 1e9
 
     def emit(self, event: w.Event) -> None:
-        """Adds an event to the batch for the planner."""
+        """Adds an event to the batch that the planner gets in this turn of the event loop."""
         self.batch.append(event)
 
     @property
@@ -394,16 +437,21 @@
         return self.control.discovery
 
     def on_events(self, events: list[Any], first: bool = False) -> None:
-        """Processes discovery events in order. `first` marks the events known at startup."""
+        """Records discovery events in order and forwards them to the planner. `first` is true for the events
+        that the configuration contains, which are processed at startup.
+        """
         self.control.on_events(events, first)
 
     def _on_server_terminated(self, server: int, terminated_at: int) -> None:
-        """Drops the connections to a server whose process ended at `terminated_at` or earlier."""
+        """Drops the connections to the process of a server that ended at the time `terminated_at` or
+        earlier.
+        """
         self.pool.drop(server, terminated_at)
 
     def decide(self) -> None:
-        """Passes events to the planner and executes its actions until no new events result, so that the
-        planner receives the outcomes of its own actions at once.
+        """Called at the start and at the end of each turn of the event loop. Passes the batch of events to
+        the planner. With the planner in this process, also executes its actions, and repeats both until no
+        new events result, so that the planner receives the outcomes of its own actions at once.
         """
         while self.batch:
             events = self.batch[:]
@@ -412,13 +460,15 @@
                 for action in self.local.decide(events, self.loop.clock.now()):
                     try:
                         self.carry_out([action])
-                    except Exception as error:  # The other actions of this turn are still executed.
+                    except Exception as error:  # The planner's remaining actions are still executed.
                         self._on_fault("action", error)
             elif self.remote is None or not self.remote.send(events, self.loop.clock.now()):
                 self._on_planner_lost()
 
     def carry_out(self, actions: list[w.Action]) -> None:
-        """Executes the planner's actions."""
+        """Executes the planner's actions, by passing each to the request tracker, the timers or another
+        component.
+        """
         for action in actions:
             if isinstance(action, w.ReadThrough | w.Look):
                 self.ledger.attempt(action)
@@ -439,12 +489,12 @@
                 self.pool.close_idle(action.cache)
 
     def _set_timer(self, action: w.SetTimer) -> None:
-        """Schedules a timer event that the planner asked for."""
+        """Adds a TimerFired event to the planner's batch after the delay that the planner asked for."""
         self.loop.after(action.delay_ns, lambda: self.batch.append(w.TimerFired(action.token)))
 
     def stop(self) -> None:
-        """Starts the shutdown after SIGTERM: keeps listening and answering, finishes open requests, and ends
-        before SIGKILL may come.
+        """Starts the shutdown after SIGTERM. The gateway keeps listening for LINGER_NS unless another process
+        has taken over its clients, finishes the open requests, and ends before SIGKILL may come.
         """
         if self.stopping:
             return
@@ -467,7 +517,9 @@
         self.ledger.give_up_all("stopping")
 
     def _close_when_flushed(self) -> None:
-        """Closes the client connections once all answers are sent; checks again after 20 ms otherwise."""
+        """Stops listening and closes the client connections if no request is open and all answers are
+        sent; else checks again after 20 ms.
+        """
         if self._flushed():
             self.front.retire()
             self._end_when_closed(self.loop.clock.now() + CLIENT_CLOSE_GRACE_NS)
@@ -475,13 +527,16 @@
             self.loop.after(20 * MS, self._close_when_flushed)
 
     def _flushed(self) -> bool:
-        """Returns whether no request is open and all answers have been sent."""
+        """Returns whether no request is open and all answers, also those that optional components still had
+        to send, have been sent.
+        """
         flushed = self.front.flushed() and all(part.flushed() for part in self.parts)
         return flushed and not self.ledger.open
 
     def _end_when_closed(self, close_at: int) -> None:
-        """Ends the loop once all clients, which know that the gateway stops, have disconnected, or at the
-        time `close_at` if every answer has been sent.
+        """Ends the event loop once every answer has been sent and all clients, which have been told that the
+        gateway stops, have disconnected or the time `close_at` is reached. Checks again after 10 ms
+        otherwise.
         """
         if self._flushed() and (not self.front.clients or self.loop.clock.now() >= close_at):
             self._end()
@@ -489,7 +544,7 @@
             self.loop.after(10 * MS, lambda: self._end_when_closed(close_at))
 
     def _end(self) -> None:
-        """Ends the event loop."""
+        """Makes `run` leave the event loop after the current turn."""
         self.loop.running = False
 
     def run(self) -> None:
@@ -502,10 +557,12 @@
         if self.config.unread:
             self.log("settings_unread", names=list(self.config.unread))
         gc.collect()
-        # Requests create many short-lived objects but few reference cycles. Collecting after every 700
-        # allocations, as Python does by default, took an eighth of the CPU time.
+        # Requests create many short-lived objects but few reference cycles. A garbage collection after every
+        # 700 allocations, as is Python's default, took an eighth of the CPU time.
         gc.set_threshold(50_000, 20, 100)
-        gc.freeze()  # Excludes objects that live as long as the process from every later collection.
+        # Excludes the objects that exist now, most of which live as long as the process, from later
+        # collections.
+        gc.freeze()
         self.loop.run(self.decide)
         self.log("stopped", open=self.ledger.open, **self.ledger.tally)
         self.front.close()
--- a/olivecourse/parts.py
+++ b/olivecourse/parts.py
@@ -1,5 +1,5 @@
-"""Optional components of a gateway, besides its request path, and the list of those that a configuration
-enables.
+"""The optional components of a gateway, such as the operators' endpoint, and the list of those that a
+configuration enables.
 
 Each component imports its own modules only when it is created, so that a disabled one costs nothing.
 """
@@ -27,12 +27,13 @@
     from olivecourse.net.stores import Pool
 
 MS = 1_000_000
-FILE_CHECK_INTERVAL_NS = 1_000 * MS  # Interval between checks of the operator's files for changes.
+# Interval between checks of the inventory file and the key file for changes.
+FILE_CHECK_INTERVAL_NS = 1_000 * MS
 ComponentT = TypeVar("ComponentT", bound="Part")
 
 
 class Host(Protocol):
-    """The gateway as its components see it."""
+    """What the optional components use of the gateway that they belong to; `Gateway` implements it."""
 
     config: Config
     loop: Loop
@@ -44,19 +45,25 @@
     conf_invalid: int
 
     def emit(self, event: w.Event) -> None:
-        """Adds an event to the batch for the planner."""
+        """Adds an event to the batch that the planner gets in this turn of the event loop."""
         ...
 
     def on_events(self, events: list[Any], first: bool = False) -> None:
-        """Processes discovery events in order. `first` marks the events known at startup."""
+        """Records discovery events in order and forwards them to the planner. `first` is true for the events
+        that the configuration contains, which are processed at startup.
+        """
         ...
 
     def share_descriptors(self, shared: bool) -> None:
-        """Halves the descriptor limits while another process of the same gateway runs, or restores them."""
+        """Halves this process's limits for file descriptors while another process of the same gateway runs
+        (`shared` true), or restores them (`shared` false).
+        """
         ...
 
     def part(self, kind: type[ComponentT]) -> ComponentT | None:
-        """Returns the component of that class if it is enabled and already created, else None."""
+        """Returns the optional component of the class `kind`, or None if the configuration does not enable it
+        or it has not been created yet.
+        """
         ...
 
     def why_not_ready(self) -> str:
@@ -66,77 +73,99 @@
         ...
 
     def drain(self, draining: bool) -> None:
-        """Starts or ends the drain of all client listeners."""
+        """Starts or ends the drain of all client listeners. A draining listener closes each connection once
+        no request is open on it, so that clients go elsewhere.
+        """
         ...
 
     def avoided(self) -> set[int]:
-        """Returns the stores that the local planner avoids."""
+        """Returns the numbers of the stores to which the planner in this process sends no requests at
+        present; empty if the planner runs in a separate process.
+        """
         ...
 
     def longest_turn_s(self) -> float:
-        """Returns the duration of the longest turn of the event loop in seconds."""
+        """Returns the duration of the longest turn of the event loop since the process started, in seconds,
+        without the time spent waiting for sockets and timers. It is exported as a metric.
+        """
         ...
 
     def reload_keys(self) -> bool:
-        """Reads the key file again and returns whether there is a signed listener. Raises ValueError if the
-        file is invalid.
+        """Reads the file with the keys of the signed HTTP listener again. Returns false, without reading
+        anything, if the gateway has no such listener. Raises ValueError if the file is invalid.
         """
         ...
 
 
 class Part:
     """Base class of the optional components. Every method does nothing unless a component overrides it.
-    Components are created before the planner.
+    Components are created before the planner and the client listener.
     """
 
     def __init__(self, host: Host) -> None:
         self.host = host
 
     def teach(self, planner: Planner) -> None:
-        """Configures a planner in this process before its first event."""
+        """Called before the first event of a planner that runs in this process, so that the component can
+        configure it. Not called if the planner runs in a separate process.
+        """
 
     def start(self, front: Listener) -> None:
-        """Starts the component; clients can connect from now on."""
+        """Called at the end of the gateway's start, when the client listener `front` accepts connections."""
 
     def listener(self) -> socket.socket | None:
-        """Returns a socket that already accepts clients, taken over from another process, or None."""
+        """Returns the listening socket for clients that this component has taken over from the previous
+        process of the gateway, or None if there is none.
+        """
         return None
 
     def reloaded(self, old: Config) -> None:
         """Called after a reload has replaced the gateway's configuration; `old` is the previous one."""
 
     def execute_action(self, action: w.TellPeer) -> None:
-        """Executes a planner action that is meant for components."""
+        """Executes an action of the planner that the gateway itself does not: sending a message to peer
+        gateways.
+        """
 
     def settle(self, classes: Sequence[str]) -> None:
-        """Applies the new list of class names after a reload."""
+        """Called after a reload with the names of all request classes since the start, in the order of their
+        indexes.
+        """
 
     def takes_work(self) -> bool:
-        """Returns whether this component allows the gateway to accept requests."""
+        """Returns whether clients should send requests to the gateway, as far as this component is concerned;
+        false while an operator drains the gateway.
+        """
         return True
 
     def serves(self) -> None:
-        """Called when this process is about to report that it is ready."""
+        """Called whenever this process is about to report that it is ready to serve requests."""
 
     def retire(self) -> bool:
-        """Called at SIGTERM. Returns whether this component has handed the clients over to another
+        """Called at SIGTERM. Returns whether this component has handed the gateway's clients over to its next
         process.
         """
         return False
 
     def on_clients_handed_over(self) -> None:
-        """Called at SIGTERM after any component has handed the clients over to another process."""
+        """Called at SIGTERM, only if some component has handed the clients over to the gateway's next
+        process.
+        """
 
     def flushed(self) -> bool:
-        """Returns whether this component has sent all answers that it owes."""
+        """Returns whether this component has sent all answers to clients that it still had to send; asked
+        during the shutdown.
+        """
         return True
 
     def stop(self) -> None:
-        """Releases resources after the event loop has ended."""
+        """Called after the event loop has ended, to release the component's sockets and files."""
 
 
 class DoorPart(Part):
-    """Serves the operators' HTTP endpoint, described in `docs/design/daily.md`."""
+    """Serves the operators' HTTP endpoints, for readiness, metrics, drains and taking stores out of service,
+    as described in `docs/design/daily.md`.
+    """
 
     def __init__(self, host: Host) -> None:
         super().__init__(host)
@@ -171,8 +200,9 @@
 
 
 class UpgradePart(Part):
-    """Hands clients over between an old and a new process of one gateway. It is created after the operators'
-    endpoint, because both processes share the list of stores that operators took out of service.
+    """Hands clients over from the old to the new process of one gateway during an upgrade. It is created
+    after DoorPart, because the processes share the list of stores that operators took out of service, which
+    the operators' endpoint keeps.
     """
 
     def __init__(self, host: Host) -> None:
@@ -215,7 +245,9 @@
 
 
 class PeersPart(Part):
-    """Exchanges the Router's datagrams with peer gateways, where the platform allows them."""
+    """Exchanges the messages of the Routers with peer gateways as UDP datagrams. Enabled by `peer_listen` in
+    the configuration, where the platform allows such messages.
+    """
 
     def __init__(self, host: Host) -> None:
         super().__init__(host)
@@ -240,8 +272,8 @@
             self.peers.tell(action)
 
     def on_clients_handed_over(self) -> None:
-        """Closes the socket, since otherwise the operating system would still deliver some of the new
-        process's datagrams to this one.
+        """Closes the socket for datagrams from peers, since otherwise the operating system would still
+        deliver some of the datagrams meant for the gateway's new process to this one.
         """
         self.stop()
 
@@ -252,8 +284,8 @@
 
 
 class MemoryPart(Part):
-    """Keeps learned values across restarts, as described in `docs/design/memory.md`. The platform's gateway
-    has no disk and does not use it.
+    """Keeps what the Router has learned across restarts, in files, as described in `docs/design/memory.md`.
+    The platform's gateway has no disk and does not use this component.
     """
 
     def __init__(self, host: Host) -> None:
@@ -271,7 +303,9 @@
 
 
 class StormsPart(Part):
-    """Limits traffic during a retry storm, as described in `docs/design/storms.md`."""
+    """Makes the Router limit the traffic that repeats by clients cause during a retry storm, as described in
+    `docs/design/storms.md`.
+    """
 
     def teach(self, planner: Planner) -> None:
         from olivecourse.storm.guard import Guard
@@ -287,7 +321,9 @@
 
 
 def modification_time_ns(path: str | None) -> int:
-    """Returns the time of a file's last change in nanoseconds, or 0 if it cannot be determined."""
+    """Returns the Unix time of a file's last change in nanoseconds, or 0 if there is no path or the time
+    cannot be determined.
+    """
     try:
         return os.stat(path).st_mtime_ns if path else 0
     except OSError:
@@ -295,8 +331,8 @@
 
 
 class FilesPart(Part):
-    """Checks the inventory and the key file of an operator's configuration for changes every second. An
-    invalid file changes nothing.
+    """Checks every second whether the inventory file or the key file of an operator's configuration has
+    changed, and then reads it again. An invalid file is logged and changes nothing.
     """
 
     def __init__(self, host: Host) -> None:
@@ -312,10 +348,13 @@
 
     def reloaded(self, old: Config) -> None:
         if self.host.config.inventory != old.inventory:
-            self.inventory_seen = -1  # Forces the next check, which comes within a second, to read the file.
+            # No file has this modification time, so the next check, within a second, reads the new inventory.
+            self.inventory_seen = -1
 
     def look(self) -> None:
-        """Reads the files that have changed, then schedules the next check."""
+        """Reads the inventory file and the key file again if they have changed, then schedules the next
+        check.
+        """
         host, config = self.host, self.host.config
         try:
             changed_at = modification_time_ns(config.inventory)
@@ -333,14 +372,18 @@
 
 
 def _rollout_component() -> type[Part]:
-    """Imports the rollout component only when it is enabled."""
+    """Returns the class of the rollout component. Its module is imported here, only if the component is
+    enabled.
+    """
     from olivecourse.rollout.part import RolloutPart
 
     return RolloutPart
 
 
 def parts_of(config: Config) -> list[type[Part]]:
-    """Returns the component classes that a configuration enables, in the order of their creation."""
+    """Returns the classes of the optional components that a configuration enables, in the order in which the
+    gateway creates them.
+    """
     planner_is_local = config.planner is None
     candidates: tuple[tuple[bool, type[Part]], ...] = (
         (bool(config.doors), DoorPart),
--- a/olivecourse/service.py
+++ b/olivecourse/service.py
@@ -1,4 +1,6 @@
-"""A planner in a process of its own: an event loop, and one Router for each connected forwarder."""
+"""A planner in a process of its own: an event loop, and one Router for each connected forwarder, which is a
+gateway process that handles the connections and leaves all decisions to the planner.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +18,9 @@
 
 
 class PlannerService:
-    """The planner process. It serves forwarders on a Unix socket until it is stopped."""
+    """The planner process. It plans for forwarders, which connect to its Unix socket, until `stop` is
+    called.
+    """
 
     def __init__(self, config: Config, log: Callable[..., None]) -> None:
         if config.planner is None:
@@ -33,7 +37,9 @@
         )
 
     def _on_planner_created(self, planner: Planner) -> None:
-        """Sets up the planner of a forwarder that has just connected."""
+        """Equips the planner of a forwarder that has just connected with the storm limiter and the learned
+        values of earlier runs, if the configuration enables them.
+        """
         if "storms" in self._config.sections:
             from olivecourse.storm.guard import Guard
 
@@ -55,12 +61,12 @@
             self._keeper.leave(planner.router)
 
     def stop(self) -> None:
-        """Ends the event loop."""
+        """Makes `run` return after the current turn of the event loop. Called at SIGTERM."""
         self.loop.running = False
 
     def reload(self, config: Config) -> None:
-        """Changes nothing: a planner keeps the settings of its start, and the forwarders apply what may
-        change.
+        """Called after SIGHUP. Changes nothing in this process: the planner keeps the settings of its start,
+        and the forwarders apply those parts of a configuration that may change while they run.
         """
         self.log("reloaded", moved=[], needs_restart=[])
 
@@ -68,7 +74,8 @@
         """Runs the event loop until `stop` is called, then releases all resources."""
         self.log("ready", planner=self._server.path)
         self.loop.run(lambda: None)
-        if self._keeper is not None:  # Must happen while the forwarders' Routers still exist.
+        # Saves the learned values, which must happen while the forwarders' Routers still exist.
+        if self._keeper is not None:
             self._keeper.stop()
         self._server.close()
         self.loop.close()
